--- a/geraniumspool/crash_blame.py
+++ b/geraniumspool/crash_blame.py
@@ -1,47 +1,51 @@
-"""Finds the tasks that crash the minions which start them, among their neighbours.
+"""Identify the tasks that crash the minions that run them.
 
-Decides by counts, without input or output. Answered load pattern: a task in five hundred
-crashes its minion, and with it the runs of other jobs; told apart from minions that
-crash by themselves, under tasks that then run well elsewhere.
+Counts crashes per task, without input or output. Handles the case that one task in five
+hundred crashes its minion, which also ends the runs of other jobs there. Tells such tasks
+from minions that crash for another reason, whose tasks then complete on other workers.
 """
 
 import math
 from collections import OrderedDict
 from collections.abc import Collection
 
-# A task that was alone under suspicion when a second minion crashed under it is to blame;
-# one that shared its minions with other suspects has a third.
+# Number of crashes after which a task is blamed: two if it was the only suspect on the minion
+# that crashed, three if other suspects ran there too.
 CRASHES_ALONE = 2
 CRASHES_SHARED = 3
-# Minions that crash within this of each other under tasks that nobody suspects have lost their
-# rack or its power; each is noticed within some ms.
+# If minions without suspect tasks crash within this time of each other, the likely cause is a
+# failed rack or its power supply. Each crash is noticed within some ms.
 TOGETHER_MS = 30.0
-# Suspects are remembered beyond their jobs, as callers send those again. So many tasks are
-# at work on sixty crashed workers.
+# Suspects are remembered after their jobs end because callers resubmit these. About this many
+# tasks run on sixty workers.
 MOST_SUSPECTS = 1_024
 
 
 class CrashBlame:
-    """Minions that crashed under each task, until it has run well."""
+    """Count the minion crashes that each task was involved in since it last completed."""
 
     def __init__(self):
-        """Suspect nobody."""
+        """Start without suspects."""
         self._crashes: OrderedDict[str, int] = OrderedDict()
         self._last_ms = -math.inf
         self._last_tasks: tuple[str, ...] = ()
 
     def is_suspect(self, task: str) -> bool:
-        """Return whether a minion has crashed under a task that has not run well since."""
+        """Return whether a minion crashed while running a task that hasn't completed since."""
         return task in self._crashes
 
     def count(self, task: str) -> int:
-        """Return how many minions have crashed under a task."""
+        """Return the number of minion crashes counted against a task."""
         return self._crashes.get(task, 0)
 
     def note_crash(self, tasks: Collection[str], now: float) -> set[str]:
-        """Take that a minion has crashed under some tasks; return those to be given up."""
+        """Record the crash of a minion; return the tasks that are to blame.
+
+        :param tasks: names of the tasks that were running on the minion
+        :param now: clock time in ms
+        """
         suspects = [task for task in tasks if self.is_suspect(task)]
-        if not suspects and self._is_together(tasks, now):
+        if not suspects and self._is_simultaneous(tasks, now):
             return set()
         limit = CRASHES_ALONE if len(suspects) == 1 else CRASHES_SHARED
         for task in tasks:
@@ -51,16 +55,16 @@
             self._crashes.popitem(last=False)
         return {task for task in suspects if self.count(task) >= limit}
 
-    def _is_together(self, tasks: Collection[str], now: float) -> bool:
-        """Return whether another minion has crashed just now, and then clear its tasks."""
-        is_together = now - self._last_ms < TOGETHER_MS
-        if is_together:
+    def _is_simultaneous(self, tasks: Collection[str], now: float) -> bool:
+        """Return whether another minion crashed just before; if so, acquit its tasks too."""
+        is_simultaneous = now - self._last_ms < TOGETHER_MS
+        if is_simultaneous:
             for task in self._last_tasks:
                 self.acquit(task)
         self._last_ms = now
         self._last_tasks = tuple(tasks)
-        return is_together
+        return is_simultaneous
 
     def acquit(self, task: str) -> None:
-        """Take that a run of a task has ended by itself, and its minion goes on."""
+        """Clear a task of suspicion after one of its runs ended without a minion crash."""
         self._crashes.pop(task, None)
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -1,4 +1,4 @@
-"""The executor's program: the minion's listener, the executor, and its key in the store."""
+"""The executor process: minion listener, executor, and the worker's key in the store."""
 
 import logging
 
@@ -27,13 +27,14 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Left of the grace period for stopping what still runs.
+# Part of the grace period that is reserved for stopping runs that haven't ended by then.
 STOP_MS = 900.0
+# Time limit for these runs to end after they were told to stop.
 END_MS = 500.0
 
 
 class DispatchAgent(Application):
-    """Runs tasks on one minion."""
+    """Run an executor process, which runs tasks on one minion."""
 
     def __init__(
         self,
@@ -46,10 +47,10 @@
         evacuations_prefix: str,
         started_ms: float | None = None,
     ):
-        """Connect the parts.
+        """Create the components of the process and connect them.
 
-        :param evacuations_prefix: that of the store's keys of evacuated domains
-        :param started_ms: when this process started, now where it is not given
+        :param evacuations_prefix: prefix of the store's keys for evacuated failure domains
+        :param started_ms: clock time in ms at which the process started, now if not given
         """
         super().__init__(clock, metrics)
         self._settings = settings
@@ -76,7 +77,7 @@
         address = messenger.me.address
         record = encode_record(WorkerRecord(settings.domain))
         self._key = LeasedKey(store, clock, WORKER_PREFIX + address, record, KEY_TTL_MS)
-        self.executor.lives.on_life = self._keep_life
+        self.executor.lives.on_life = self._store_minion_life
         self._servers: list[WebServer] = []
         self._handlers = {
             StartRuns: self.executor.take_start,
@@ -87,69 +88,74 @@
         }
 
     def serve(self, servers: list[WebServer]) -> None:
-        """Take the listeners to start and stop with this process."""
+        """Set the listeners that start and stop with this process."""
         self._servers = servers
 
     def start(self) -> None:
-        """Bind listeners and start the green tasks."""
+        """Bind the listeners and start the green threads."""
         self._messenger.start(self._receive)
-        # Nothing starts here before it is known what is evacuated.
+        # No task may start before the evacuated failure domains are known.
         self.guard.check()
         self._run(self.executor.run_looks)
         self._run(self.executor.run_ticks)
-        self._run(self._keep_key)
+        self._run(self._maintain_key)
         for server in self._servers:
             server.start()
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
 
     def ready_line(self) -> ReadyLine:
-        """Return the addresses to print once ready."""
+        """Return the line to print when ready, with the process's name and message address."""
         return ReadyLine(ready=self._settings.name, inbox=self._messenger.me.address)
 
     def drain(self) -> bool:
-        """Leave: take nothing new and finish what runs."""
-        _LOG.info("leaving", extra={"fields": (("name", self._settings.name),)})
+        """Shut down gracefully: refuse new runs, finish open ones, then stop the rest.
+
+        :return: whether all runs ended within the grace period
+        """
+        _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
         self.executor.leave()
-        limit = self._settings.grace_s * MS_PER_SECOND - STOP_MS
-        done = self._wait_until(lambda: self.executor.is_idle, limit)
+        limit_ms = self._settings.grace_s * MS_PER_SECOND - STOP_MS
+        done = self._wait_until(lambda: self.executor.is_idle, limit_ms)
         self.executor.stop_all("process_stops")
         self._wait_until(lambda: self.executor.is_idle, END_MS)
         if not self.executor.has_minion:
-            # With its minion gone it does not come back, and no dispatcher need wait for it.
+            # Without its minion the worker doesn't come back, so that no dispatcher needs to
+            # wait for it.
             self._key.withdraw()
         return done
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop the green threads, the listeners and the messenger."""
         super().stop()
         for server in self._servers:
             server.stop()
         self._messenger.stop()
         _LOG.info("stopped", extra={"fields": (("name", self._settings.name),)})
 
-    def _keep_key(self) -> None:
-        """Take up the minion that an earlier process here has left, then keep the key.
+    def _maintain_key(self) -> None:
+        """Adopt the minion in the key of an earlier process at this address, then keep the key.
 
-        Without it a restarted process waits for the minion's next report.
-        The key says what it said until another life tells otherwise: a minion that went down
-        with this host comes back to the same service and rack, and if dispatchers took the
-        worker for one without service meanwhile, all would divide the workers twice for it.
+        Without this a restarted process would have to wait for the minion's next report. The
+        key keeps its value until another minion incarnation reports. A minion that went down
+        with this host comes back to the same service and rack. If the key had no service
+        meanwhile, all dispatchers would redistribute the workers twice.
         """
-        left = self._key.read()
-        record = decode_record(left, WorkerRecord) if left else None
+        stored = self._key.read()
+        record = decode_record(stored, WorkerRecord) if stored else None
         if self._key.was_absent:
-            # The process before withdrew its key, or has ended long ago.
+            # The previous process withdrew its key, or ended so long ago that the key expired.
             self.executor.lives.is_former_over = True
         if record is not None and record.life is not None:
             self._key.go_on_with(encode_record(WorkerRecord(self._settings.domain, record.life)))
             self.executor.take_life(record.life)
         self._key.run()
 
-    def _keep_life(self, life: MinionLife) -> None:
+    def _store_minion_life(self, life: MinionLife) -> None:
         self._key.update(encode_record(WorkerRecord(self._settings.domain, life)))
 
-    def _take_renewal(self, home: Peer, message: RenewRuns) -> None:
-        self.executor.take_renewal(home, message)
+    def _take_renewal(self, dispatcher: Peer, message: RenewRuns) -> None:
+        """Renew a dispatcher's lease; check the key if the dispatcher doesn't see it."""
+        self.executor.take_renewal(dispatcher, message)
         if not message.is_listed:
             eventlet.spawn_n(self._key.check)
 
--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -1,4 +1,4 @@
-"""The dispatcher's program: callers' listener, dispatcher, and what it learns from the store."""
+"""The dispatcher process: job listener, dispatcher, and watches on the store."""
 
 import logging
 from collections.abc import Callable
@@ -39,17 +39,19 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A balancer that asks once a second stops sending callers after two misses.
+# Time between reporting not ready and refusing jobs on shutdown. A load balancer that checks
+# readiness once a second stops sending callers after two failed checks.
 NOTICE_MS = 2_600.0
-# Left of the grace period for the last answers to leave.
+# Part of the grace period that is reserved for sending the last results.
 ANSWER_MS = 700.0
+# Time limits for the last runs to end and for the listener to close.
 CLOSE_MS = 350.0
 
 
 class DispatchEntry(Application):
-    """Serves callers' jobs.
+    """Run a dispatcher process.
 
-    :ivar configuration: the queues in force
+    :ivar configuration: queue configuration in use
     """
 
     def __init__(
@@ -63,11 +65,11 @@
         decode: Callable[[bytes], QueueTable | None],
         started_ms: float | None = None,
     ):
-        """Connect the parts.
+        """Create the components of the process and connect them.
 
-        :param keys: where the store holds what operators ask for
-        :param decode: reads the value of the configuration's key
-        :param started_ms: when this process started, now where it is not given
+        :param keys: names of the store's keys that operators write
+        :param decode: decodes the value of the configuration's key, returns None if it can't
+        :param started_ms: clock time in ms at which the process started, now if not given
         """
         super().__init__(clock, metrics)
         self._settings = settings
@@ -116,12 +118,12 @@
             store,
             keys.prefix,
             clock,
-            self._take_keys,
-            self._take_key,
+            self._load_operator_keys,
+            self._apply_operator_change,
             self.evacuations.confirm,
         )
         self._members_watch = StoreWatch(
-            store, MEMBER_PREFIX, clock, self._take_members, self._take_member
+            store, MEMBER_PREFIX, clock, self._load_members, self._apply_member_change
         )
         self._servers: list[WebServer] = []
         self._leaving = False
@@ -141,20 +143,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether a load balancer should send callers to this process."""
         if self._leaving or self.configuration.table is None:
             return False
         return self.router.has_workers
 
     def serve(self, callers: WebServer, others: list[WebServer]) -> None:
-        """Take the listeners to start and stop with this process.
+        """Set the listeners that start and stop with this process.
 
-        :param callers: the callers' listener, which is drained first
+        :param callers: listener for job submissions, which is drained on shutdown
+        :param others: all other listeners
         """
         self._servers = [callers, *others]
 
     def start(self) -> None:
-        """Bind listeners and start the green tasks."""
+        """Bind the listeners and start the green threads."""
         self._messenger.start(self._receive)
         self._run(self._operators_watch.run)
         self._run(self._members_watch.run)
@@ -166,64 +169,71 @@
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
 
     def ready_line(self) -> ReadyLine:
-        """Return the addresses to print once ready."""
+        """Return the line to print when ready, with the process's name and message address."""
         return ReadyLine(ready=self._settings.name, inbox=self._messenger.me.address)
 
     def drain(self) -> bool:
-        """Leave: send callers elsewhere, finish what is at work, then close."""
+        """Shut down gracefully: report not ready, finish accepted jobs, then close.
+
+        :return: whether all jobs ended within the grace period
+        """
         started = self._clock.now()
-        last = started + self._settings.grace_s * MS_PER_SECOND - ANSWER_MS
+        deadline = started + self._settings.grace_s * MS_PER_SECOND - ANSWER_MS
         self._leaving = True
-        self.dispatcher.ends_ms = last
+        self.dispatcher.ends_ms = deadline
         callers = self._servers[0]
         callers.retire()
-        _LOG.info("leaving", extra={"fields": (("name", self._settings.name),)})
+        _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
         self.router.leave()
-        self._clock.sleep(min(NOTICE_MS, last - started))
-        done = self._wait_until(lambda: self.router.is_idle, last - self._clock.now())
-        # What arrives while the listener closes would be cut off before its end.
+        self._clock.sleep(min(NOTICE_MS, deadline - started))
+        done = self._wait_until(lambda: self.router.is_idle, deadline - self._clock.now())
+        # Refuse further jobs: those that arrive while the listener closes would be cut off.
         self.dispatcher.ends_ms = self._clock.now()
         self.router.abandon()
-        # A caller that is told so may be back before its runs have ended.
+        # Callers resubmit their jobs as soon as they get this result, perhaps before the
+        # runs here have ended.
         self._wait_until(lambda: not self.dispatcher.has_open_runs, CLOSE_MS)
         self.claims.leave()
         callers.drain(CLOSE_MS)
         return done
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop the green threads, the listeners and the messenger."""
         super().stop()
         for server in self._servers:
             server.stop()
         self._messenger.stop()
         _LOG.info("stopped", extra={"fields": (("name", self._settings.name),)})
 
-    def _take_keys(self, snapshot: Snapshot) -> None:
+    def _load_operator_keys(self, snapshot: Snapshot) -> None:
+        """Apply all operators' keys after the watch has read them anew."""
         prefix = self._keys.evacuations
         domains = list_evacuated(snapshot, prefix)
         self.evacuations.replace(domains, snapshot.revision, self.evacuations.heard_ms)
         for pair in snapshot.pairs:
-            self._take_queues(pair.key, pair.value)
+            self._apply_configuration(pair.key, pair.value)
 
-    def _take_key(self, change: Change) -> None:
+    def _apply_operator_change(self, change: Change) -> None:
         prefix = self._keys.evacuations
         if change.key.startswith(prefix):
             domain = change.key.removeprefix(prefix)
             self.evacuations.change(domain, change.value is not None, change.revision)
-        self._take_queues(change.key, change.value)
+        self._apply_configuration(change.key, change.value)
 
-    def _take_queues(self, key: str, value: bytes | None) -> None:
+    def _apply_configuration(self, key: str, value: bytes | None) -> None:
+        """Apply a key's value if it is a valid configuration; ignore it otherwise."""
         if key != self._keys.configuration or value is None:
             return
         table = self._decode(value)
         if table is not None:
             self.configuration.take(table)
 
-    def _take_members(self, snapshot: Snapshot) -> None:
+    def _load_members(self, snapshot: Snapshot) -> None:
+        """Replace the known members after the watch has read them anew."""
         self._peers.directory.replace(snapshot.pairs, self._clock.now())
         self.router.take_members()
 
-    def _take_member(self, change: Change) -> None:
+    def _apply_member_change(self, change: Change) -> None:
         self._peers.directory.change(change.key, change.value, self._clock.now())
         self.router.take_members()
         if change.value is not None and change.key.startswith(WORKER_PREFIX):
--- a/geraniumspool/dispatch_job.py
+++ b/geraniumspool/dispatch_job.py
@@ -1,4 +1,4 @@
-"""One job at its dispatcher: which tasks wait, run, and are done."""
+"""State of one accepted job: its queued, running and finished tasks."""
 
 import logging
 import math
@@ -16,28 +16,40 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A step wider than this share of all room is done in waves.
+# The latency objective assumes that a step which needs more than this share of the total CPU
+# capacity runs in several consecutive waves.
 WAVE_SHARE = 0.25
-# Expected run time where callers declare none, as most tasks last 50 ms to a second.
+# Expected run time of a task if its caller declares none: most tasks take 50 ms to 1 s.
 UNDECLARED_MS = 300.0
 
 
 class TaskId(NamedTuple):
-    """Place of a task in its job."""
+    """Identifier of a task within its job.
+
+    :param step: index of the step
+    :param index: index of the task within the step
+    """
 
     step: int
     index: int
 
 
 class Step:
-    """The tasks of one step.
-
-    :ivar pending: indexes of tasks that wait for a worker
-    :ivar taken: running tasks by the identity of the worker's view
+    """Progress of the tasks of one step.
+
+    :ivar expected_ms: expected run time of one task
+    :ivar chain_ms: expected time of the longest chain of dependent steps that starts with
+        this step
+    :ivar pending: indexes of the tasks that wait for a worker
+    :ivar left: number of tasks that have not succeeded yet
+    :ivar taken: number of open runs by worker, keyed by ``id`` of its :class:`WorkerView`
     """
 
     def __init__(self, spec: StepSpec, expected_ms: float):
-        """Let all tasks wait."""
+        """Create a step whose tasks are all pending.
+
+        :param expected_ms: expected run time of one task
+        """
         self.spec = spec
         self.expected_ms = expected_ms
         self.chain_ms = expected_ms
@@ -47,9 +59,9 @@
 
 
 class Placed(NamedTuple):
-    """A run of a task at a worker.
+    """A run of a task that was sent to a worker.
 
-    :param run_ms: how long it is predicted to take there
+    :param run_ms: predicted run time on that worker
     """
 
     job: "DispatchJob"
@@ -59,22 +71,28 @@
 
 
 class DispatchJob:
-    """A job that was accepted and has not ended.
-
-    :ivar runs: its open runs by order number
-    :ivar predicted_wait_ms: wait that was predicted when it arrived
-    :ivar wait_factor: what was learnt of waits when it arrived
-    :ivar has_waited: whether its wait is over and was learnt from
-    :ivar was_ordered: whether a run may have started
-    :ivar waiters: callers that wait for the answer
-    :ivar holds: tell, for each caller, until when its dispatcher's lease holds the job
-    :ivar ended_ms: when its end was decided
-    :ivar is_claimed: whether no other dispatcher may run it
-    :ivar fence_rank: of the fence that it was claimed by, 0 where arbiters granted it
+    """State of a job at the dispatcher that schedules it.
+
+    :ivar runs: open runs by run number
+    :ivar attempts: number of runs of each task so far
+    :ivar failures: number of failed runs of each task
+    :ivar failed_at: ``id`` of the :class:`WorkerView` at which each task last failed or was
+        interrupted
+    :ivar predicted_wait_ms: queueing time predicted on the job's arrival
+    :ivar wait_factor: correction factor used in that prediction, see :class:`WaitLearner`
+    :ivar has_waited: whether the actual queueing time was recorded
+    :ivar was_ordered: whether a run was sent to a worker and so may have started
+    :ivar finished: event that is sent when the job ends
+    :ivar waiters: number of callers that wait for the result
+    :ivar holds: one function for each caller that returns the clock time in ms at which the
+        lease of the caller's dispatcher on the job expires
+    :ivar ended_ms: clock time in ms at which the result was set
+    :ivar is_claimed: whether this dispatcher holds the exclusive claim to run the job
+    :ivar fence_rank: rank of the fence that the job was claimed by, 0 if arbiters granted it
     """
 
     def __init__(self, spec: JobSpec, queue: Queue, steps: list[Step]):
-        """Let all tasks wait."""
+        """Create a job whose tasks are all pending."""
         self.spec = spec
         self.queue = queue
         self.steps = steps
@@ -97,62 +115,68 @@
 
     @property
     def claim_id(self) -> str:
-        """Return the id that it is claimed by."""
+        """Return the id under which the job is claimed."""
         return self.spec.job_id
 
     def claim_left_ms(self, now: float) -> float:
-        """Return the time after which executors have ended all its runs."""
+        """Return the time in ms after which executors have ended all runs of the job.
+
+        :param now: clock time in ms
+        """
         return max(0.0, self.timing.arrived_ms + self.timing.limit_ms - now)
 
     def is_held(self, now: float) -> bool:
-        """Return whether somebody still waits for it as far as leases tell."""
+        """Return whether a caller's dispatcher still holds an unexpired lease on the job."""
         return any(hold() > now for hold in self.holds)
 
     @property
     def is_over(self) -> bool:
-        """Whether its end was decided."""
+        """Whether the job has a result; some runs may still be stopping."""
         return self.result is not None
 
     @property
     def has_pending(self) -> bool:
-        """Whether a task waits whose turn has come."""
+        """Whether any task is pending whose preceding steps are complete."""
         return any(step.pending for step in self.ready_steps())
 
     def ready_steps(self) -> list[Step]:
-        """Return the steps with waiting tasks whose turn has come."""
+        """Return the steps with pending tasks whose preceding steps are complete."""
         return [step for step in self.steps if step.pending and self._is_ready(step)]
 
     def left_ms(self) -> float:
-        """Return the expected time of the longest chain that has yet to start."""
+        """Return the expected time of the longest chain of steps from a ready step on, in ms."""
         return max((step.chain_ms for step in self.ready_steps()), default=0.0)
 
     def pending_cpu(self) -> int:
-        """Return the processor room that its waiting tasks take at once."""
+        """Return the CPU that the tasks of all ready steps need, in thousandths of a core."""
         return sum(len(step.pending) * step.spec.need.cpu for step in self.ready_steps())
 
     @property
     def level(self) -> int:
-        """Return the urgency of its queue's priority, 0 the most urgent."""
+        """Return the priority level of the job's queue; 0 is the most urgent."""
         return level_of(self.queue.priority)
 
     @property
     def done_share(self) -> float:
-        """Return the share of its tasks that are done."""
+        """Return the fraction of the job's tasks that have succeeded."""
         tasks = sum(step.spec.count for step in self.steps)
         return 1 - sum(step.left for step in self.steps) / tasks if tasks else 0.0
 
     def pending_work(self) -> float:
-        """Return room times time of the tasks that wait, later steps included."""
+        """Return the work of all pending tasks, including those of steps not yet ready.
+
+        :return: thousandths of a core times ms
+        """
         return sum(len(step.pending) * step.spec.need.cpu * step.expected_ms for step in self.steps)
 
     def next_attempt(self, task: TaskId) -> int:
-        """Return the number of the next run of a task."""
+        """Return the attempt number for the next run of a task, counting from 1."""
         number = self.attempts.get(task, 0) + 1
         self.attempts[task] = number
         return number
 
     def task_name(self, task: TaskId) -> str:
-        """Return the name of a task, the same for all its runs."""
+        """Return the name of a task, which is the same for all its attempts."""
         return f"{self.spec.job_id}.0.{task.step}.{task.index}"
 
     def _is_ready(self, step: Step) -> bool:
@@ -160,9 +184,9 @@
 
 
 def make_steps(spec: JobSpec, ratio: float) -> list[Step]:
-    """Return a job's steps with expected times and the chains that begin with each.
+    """Return a job's steps with their expected run times and chain lengths.
 
-    :param ratio: actual by declared run times, as learnt
+    :param ratio: learnt ratio of actual to declared run times of the queue
     """
     steps = [Step(step, (step.declared_ms or UNDECLARED_MS) * ratio) for step in spec.steps]
     for number in range(len(steps) - 1, -1, -1):
@@ -174,21 +198,21 @@
 
 
 def measure_objective(steps: list[Step], queue: Queue, capacity_cpu: float) -> float:
-    """Return the time within which a job is in time, in ms.
+    """Return a job's latency objective in ms, counted from its arrival.
 
-    :param capacity_cpu: processor room of all workers, in thousandths of a core
+    :param capacity_cpu: CPU capacity of all workers, in thousandths of a core
     """
     ends: list[float] = []
     for step in steps:
         waves = 1
         if capacity_cpu > 0:
-            wide = step.spec.count * step.spec.need.cpu / (WAVE_SHARE * capacity_cpu)
-            waves = max(1, math.ceil(wide))
+            needed_waves = step.spec.count * step.spec.need.cpu / (WAVE_SHARE * capacity_cpu)
+            waves = max(1, math.ceil(needed_waves))
         before = max((ends[earlier] for earlier in step.spec.after), default=0.0)
         ends.append(before + waves * step.expected_ms)
     return queue.objective_factor * max(ends, default=0.0) + queue.objective_ms
 
 
 def log_job(text: str, job: DispatchJob, **fields: object) -> None:
-    """Write a line on a decision about a job, with its id."""
+    """Log a message about a job, with the job's id as the first field."""
     _LOG.info(text, extra={"fields": (("job", job.spec.job_id), *fields.items())})
--- a/geraniumspool/dispatch_policy.py
+++ b/geraniumspool/dispatch_policy.py
@@ -1,7 +1,7 @@
-"""The decisions of a dispatcher that load patterns are played against.
+"""Policies for admission, ordering and placement that a dispatcher carries out.
 
-A dispatcher asks its policy and carries out what it says; the policy sees no
-input or output. The one in use is :class:`ExpectedUse`.
+A policy does no input or output, so that it can be simulated against load patterns.
+:class:`ExpectedUse` is the policy in use.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,61 +12,64 @@
 from geraniumspool.packing import Candidate, Place, PlaceRequest
 from geraniumspool.urgency import Outlook, Rank
 
-# A job is refused on its arrival if it is less likely than this to be of use.
+# An arriving job is refused if the probability that its result is still useful to the caller
+# is below this.
 MIN_USE = 0.3
-# One that was taken is refused after all below this: estimates change, and callers are
-# served better by a wait that ends well than by two decisions.
+# An admitted job is refused later only below this lower probability: estimates fluctuate, and
+# waiting for a result serves callers better than a reversed admission decision.
 MIN_KEPT_USE = 0.15
 
 
 class DispatchPolicy(Protocol):
-    """In which order jobs are served, which are refused, and where their tasks go."""
+    """Decide the order of service, which jobs are refused, and where tasks are placed."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
-        """Return a job's place in the order of service."""
+        """Return a job's rank in the order of service; the least is served first."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
-        """Return whether a job that has just arrived is refused.
+        """Return whether an arriving job is refused.
 
-        :param others: the jobs of its service that wait here
+        :param outlook: predicted queueing conditions of the job
+        :param others: jobs of the same service that are queued in this process
+        :param now: clock time in ms
         """
 
     def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
-        """Return whether a job that was taken and has not begun is refused after all."""
+        """Return whether an admitted job without a started task is refused after all."""
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-        """Return the worker for a task, see :func:`geraniumspool.packing.choose`."""
+        """Return the worker for a task; see :func:`geraniumspool.packing.choose`."""
 
 
 class ExpectedUse:
-    """A job is taken if it is likely to be of use to its caller, late or in time.
+    """Admit a job if its result is likely to be useful to the caller, in time or late.
 
-    Less urgent work waits, as far as its callers' time allows, and is not refused for the
-    sake of what is about to come.
+    Less urgent jobs queue as long as their callers' timeouts allow. They are not refused to
+    reserve capacity for future arrivals.
     """
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
-        """Return a job's place: begun ones first, then by priority, late ones last in each."""
+        """Rank started jobs first, then by priority, and late jobs last within a priority."""
         left_ms = job.left_ms()
         return urgency.rank(job.timing, left_ms, now, job.was_ordered, job.level, job.done_share)
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
-        """Return whether a job is unlikely to be of use, late or in time."""
-        return _predict_use(job, outlook, now) < MIN_USE
+        """Return whether a job's result is unlikely to be useful, in time or late."""
+        return _useful_probability(job, outlook, now) < MIN_USE
 
     def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
-        """Return whether a job that was taken and has not begun is refused after all."""
-        return _predict_use(job, outlook, now) < MIN_KEPT_USE
+        """Return whether an admitted job without a started task is refused after all."""
+        return _useful_probability(job, outlook, now) < MIN_KEPT_USE
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-        """Return the worker where the task is predicted to end first."""
+        """Return the worker on which the task is predicted to end first."""
         return packing.choose(workers, request)
 
 
-def _predict_use(job: DispatchJob, outlook: Outlook, now: float) -> float:
-    """Return the chance that a job is of use, late or in time."""
+def _useful_probability(job: DispatchJob, outlook: Outlook, now: float) -> float:
+    """Return the probability that a job's result is useful, in time or late."""
     return urgency.predict_chances(job.timing, job.left_ms(), outlook, now).of_use
--- a/geraniumspool/dispatcher.py
+++ b/geraniumspool/dispatcher.py
@@ -1,8 +1,8 @@
-"""The dispatcher: takes jobs whose callers wait for the end, and has their tasks run.
+"""Accept jobs from waiting callers and schedule their tasks on workers.
 
-Tasks wait here until a worker has room, so that the most urgent one is chosen
-late. A dispatcher remembers nothing after its life: its callers send a job
-again, to any dispatcher, which claims it before a task starts.
+Tasks are queued in the dispatcher until a worker has free capacity, so that the most
+urgent task is chosen as late as possible. A dispatcher keeps no state across restarts:
+callers resubmit a job, to any dispatcher, which claims the job before it starts a task.
 """
 
 import logging
@@ -41,44 +41,46 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Time limits and leases are looked at this often; a job waits for it only where nothing
-# else happens.
+# Interval at which time limits and leases are checked. Job submissions and worker reports
+# trigger scheduling on their own, so a task waits for a tick only if neither happens.
 TICK_MS = 30.0
-# An answer has to be back before the caller goes away: two hops to clients and a tick.
+# A job's result must reach the caller before its timeout: two network hops and one tick.
 ANSWER_MARGIN_MS = 40.0
-# A caller that names no time waits this long.
+# Timeout of callers that specify none.
 DEFAULT_WAIT_MS = 15_000.0
-# A process that is about to end takes jobs that are over by then, though they take this many
-# times as long as expected, and the time of a message to a full worker more: callers keep
-# using their connections while it leaves.
+# Callers keep using their connections while a process shuts down. It accepts only jobs that
+# end in time even if they take this many times as long as expected, plus the time of one
+# message to a full worker.
 LEAVING_FACTOR = 2.0
 LEAVING_MARGIN_MS = 100.0
-# Learning of run times: about the last thirty jobs of a queue.
+# Weight of a new sample in the moving average of actual to declared run times: the average
+# covers about the last thirty successful tasks of a queue.
 RATIO_WEIGHT = 0.03
 MIN_RATIO = 0.2
 MAX_RATIO = 5.0
-# A pass gives up after as many tasks in a row that find no room.
+# A scheduling pass stops after this many jobs could not be placed completely.
 MAX_MISSES = 6
 
-# Reasons of ends that tell of a crash of their minion; one that is silent may be cut off.
+# Reasons that mean that the minion crashed. A silent minion doesn't count: it may just be
+# unreachable.
 CRASHES = frozenset({"minion_down", "minion_replaced"})
 
-# The job is at work at another dispatcher.
+# Result code: another dispatcher runs the job.
 HELD_ELSEWHERE = "held_elsewhere"
 
 _RETRIED = frozenset({RUN_STOPPED, RUN_LAPSED})
 
 
-def _hold_for_ever() -> float:
+def _never_expires() -> float:
     return math.inf
 
 
 class Dispatcher:
-    """Jobs of this process.
+    """Queue, schedule and track the jobs accepted by this process.
 
-    :ivar ends_ms: time at which the process ends, infinite while it does not know
-    :ivar find_capacity: returns the processor room that other dispatchers' workers of a
-        service have
+    :ivar ends_ms: clock time in ms at which the process will exit, infinite if unknown
+    :ivar find_capacity: returns the CPU capacity, in thousandths of a core, of the workers
+        that other dispatchers own for a service
     """
 
     def __init__(
@@ -91,13 +93,14 @@
         claims: JobClaims,
         policy: DispatchPolicy | None = None,
     ):
-        """Start with no job and no worker.
+        """Create a dispatcher without jobs or workers.
 
-        :param send: queues a message to a worker's agent
+        :param send: queues a message to a worker's executor process
         :param domain: failure domain of this process
-        :param evacuations: failure domains in which nothing is placed
-        :param claims: keep other dispatchers from running the same jobs
-        :param policy: what decides, :class:`ExpectedUse` where none is given
+        :param evacuations: failure domains in which no task is placed
+        :param claims: exclusive claims that keep other dispatchers from running the same jobs
+        :param policy: admission, ordering and placement policy, by default
+            :class:`ExpectedUse`
         """
         self._policy = policy or ExpectedUse()
         self._clock = clock
@@ -105,41 +108,42 @@
         self.fleet = Fleet(clock, send, self._lose_runs, evacuations)
         self.fleet.on_new_life = lambda: claims.ask_anew("executor_new")
         self._jobs: dict[str, DispatchJob] = {}
-        # Those with tasks that may be ordered, so that a pass does not look at all jobs.
+        # Jobs with tasks that are ready to be placed, so that a scheduling pass doesn't
+        # iterate over all jobs.
         self._pending: dict[str, DispatchJob] = {}
-        self._ratios: dict[str, float] = {}
+        self._run_time_ratios: dict[str, float] = {}
         self._arrivals: dict[str, Arrivals] = {}
-        self._waits = urgency.WaitLearner()
+        self._wait_learner = urgency.WaitLearner()
         self._blame = CrashBlame()
         self._placer = JobPlacer(clock, self.fleet, self._policy, self._blame, domain)
         self._is_placing = False
         self._claims = claims
-        claims.on_granted = self._take_claimed
-        claims.on_held = self._take_held
-        claims.on_doubt = self._take_doubt
+        claims.on_granted = self._on_claim_granted
+        claims.on_held = self._on_held_elsewhere
+        claims.on_doubt = self._on_claim_uncertain
         claims.fences.find_silence = self.fleet.find_silence
         claims.fences.is_closed = self.fleet.is_closed
-        self.find_capacity: Callable[[str], float] = _know_no_other
+        self.find_capacity: Callable[[str], float] = _no_remote_capacity
         self.ends_ms = math.inf
 
     @property
     def is_idle(self) -> bool:
-        """Whether no job is at work or waits here."""
+        """Whether no job is running or queued in this process."""
         return not self._jobs
 
     @property
     def has_open_runs(self) -> bool:
-        """Whether a run is at work or being stopped, as far as known."""
+        """Whether any run may still be running or stopping at a worker."""
         return any(view.runs for view in self.fleet.views)
 
     def count_waiting(self, queue: Queue) -> int:
-        """Return the jobs of a queue of which no task has been ordered."""
+        """Return the number of jobs of a queue of which no task has been sent to a worker."""
         return sum(
             job.queue.name == queue.name and not job.was_ordered for job in self._jobs.values()
         )
 
     def knows(self, job_id: str) -> bool:
-        """Return whether a job is at work or waits here."""
+        """Return whether a job is running or queued in this process."""
         return job_id in self._jobs
 
     def submit(
@@ -149,14 +153,17 @@
         wait_ms: float,
         version: int = 0,
         age_ms: float = 0.0,
-        hold: Callable[[], float] = _hold_for_ever,
+        hold: Callable[[], float] = _never_expires,
     ) -> JobResult | DispatchJob:
-        """Take a job, join it to the one at work, or refuse it.
-
-        :param wait_ms: how long its caller waits, 0 where it does not say
-        :param version: version of the configuration that the queue is from
-        :param age_ms: how long ago it arrived at the dispatcher of its caller
-        :param hold: returns until when its caller's dispatcher holds a lease on it
+        """Admit a job, join it to the job already known by the same id, or refuse it.
+
+        :param wait_ms: the caller's timeout in ms, 0 if it specified none
+        :param version: version of the configuration that defines the queue
+        :param age_ms: time in ms since the job arrived at the dispatcher that the caller is
+            connected to
+        :param hold: returns the clock time in ms at which the lease on the job expires that
+            the caller's dispatcher holds
+        :return: the admitted or joined job, or the result of a refused one
         """
         job = self._jobs.get(spec.job_id)
         if job is not None:
@@ -164,8 +171,8 @@
             job.waiters += 1
             job.holds.append(hold)
             return job
-        job = DispatchJob(spec, queue, make_steps(spec, self._ratios.get(queue.name, 1.0)))
-        refusal = self._judge(job, wait_ms or DEFAULT_WAIT_MS, age_ms)
+        job = DispatchJob(spec, queue, make_steps(spec, self._run_time_ratios.get(queue.name, 1.0)))
+        refusal = self._check_admission(job, wait_ms or DEFAULT_WAIT_MS, age_ms)
         if refusal is not None:
             self._counters.add("dispatch_jobs", queue=queue.name, outcome=refusal.code)
             log_job(
@@ -196,18 +203,24 @@
         self._claims.ask(job)
         return job
 
-    def _take_claimed(self, job: DispatchJob, rank: int) -> None:
-        """Take that no other dispatcher may run a job."""
+    def _on_claim_granted(self, job: DispatchJob, rank: int) -> None:
+        """Schedule a job after its claim was granted.
+
+        :param rank: rank of the fence that the job was claimed by, 0 if arbiters granted it
+        """
         job.is_claimed = True
         job.fence_rank = rank
         self.schedule()
 
-    def _take_doubt(self, job: DispatchJob) -> None:
-        """Take that another dispatcher may run a job meanwhile."""
+    def _on_claim_uncertain(self, job: DispatchJob) -> None:
+        """Start no further tasks of a job that another dispatcher may be running."""
         job.is_claimed = False
 
-    def _take_held(self, job: DispatchJob, holder: str) -> None:
-        """Hand a job back that another dispatcher runs."""
+    def _on_held_elsewhere(self, job: DispatchJob, holder: str) -> None:
+        """End a job that another dispatcher runs.
+
+        :param holder: address of that dispatcher
+        """
         if job.is_over:
             return
         code, outcome = HELD_ELSEWHERE, JobOutcome.REFUSED
@@ -216,18 +229,18 @@
         self._end(job, JobResult(outcome, code, urgency.MIN_RETRY_MS, holder=holder))
 
     def wait(self, job: DispatchJob) -> JobResult:
-        """Wait for a job's end and return it."""
+        """Block until a job has ended and return its result."""
         job.finished.wait()
         return job.result
 
     def leave_job(self, job: DispatchJob) -> None:
-        """Take that one caller of a job has gone."""
+        """Record that one caller has disconnected; end the job if it was the last one."""
         job.waiters -= 1
         if job.waiters <= 0 and not job.is_over:
             self._end(job, JobResult(JobOutcome.GONE, "caller_gone"))
 
     def cancel(self, job_id: str) -> bool:
-        """End a job on its caller's word; return whether it was known."""
+        """Cancel a job at its caller's request; return whether the job was known."""
         job = self._jobs.get(job_id)
         if job is None:
             return False
@@ -235,12 +248,12 @@
         return True
 
     def abandon(self) -> None:
-        """End every job, as the process is about to end."""
+        """End every job because the process is about to exit."""
         for job in list(self._jobs.values()):
             self._give_up(job, "process_stops")
 
     def apply_evacuations(self, find_others: Callable[[], list[str]]) -> None:
-        """Place on the workers that may be used now.
+        """Apply a change of the evacuated failure domains and reschedule.
 
         :param find_others: returns the addresses of usable workers of other dispatchers
         """
@@ -251,21 +264,21 @@
         self.schedule()
 
     def _finish_elsewhere(self, others: list[str]) -> None:
-        """Have the rest of the jobs that have begun run at workers of other dispatchers.
+        """Finish started jobs on workers of other dispatchers.
 
-        Without them their callers would wait to the end of their time.
+        Without any worker their callers would wait until they time out.
         """
         self.fleet.borrow(others)
         fields = (("jobs", len(self._pending)), ("workers", len(others)))
-        _LOG.info("workers borrowed", extra={"fields": fields})
+        _LOG.info("using workers of other dispatchers", extra={"fields": fields})
         if not others:
             for job in list(self._pending.values()):
                 self._give_up(job, "no_worker")
 
     def return_unowned(self) -> None:
-        """Give back the jobs that have not begun if no worker is left to place them on.
+        """Refuse jobs without a started task if this dispatcher owns no usable worker.
 
-        All may have gone to other dispatchers, or be evacuated.
+        All its workers may have been reassigned to other dispatchers, or be evacuated.
         """
         if self.fleet.has_owned:
             return
@@ -274,14 +287,14 @@
                 self._give_up(job, "moved")
 
     def describe_loads(self) -> tuple[ServiceLoad, ...]:
-        """Return what the own workers of each service have to offer."""
+        """Return the load of the workers that this dispatcher owns, for each service."""
         services = {
             view.state.service for view in self.fleet.views if view.is_owned and view.is_usable
         }
         return tuple(self.describe_load(service) for service in sorted(services))
 
     def describe_load(self, service: str) -> ServiceLoad:
-        """Return what the own workers of a service have to offer."""
+        """Return the load of the workers that this dispatcher owns for a service."""
         usable = self.fleet.usable_of(service)
         jobs = [job for job in self._jobs.values() if job.queue.service == service]
         waiting = [job for job in jobs if job.spec.job_id in self._pending]
@@ -295,18 +308,21 @@
         )
 
     def take_report(self, sender: Peer, report: WorkerReport) -> None:
-        """Take what a worker says of its runs and its room."""
+        """Process a worker's report of ended runs and free capacity."""
         view = self.fleet.take_report(sender, report)
         ended = [
             (run.owner, end) for end in report.ends if (run := view.runs.pop(end.number, None))
         ]
-        self._take_crash([placed for placed, end in ended if _tells_crash(end)])
+        self._handle_crash([placed for placed, end in ended if _is_crash(end)])
         for placed, end in ended:
-            self._take_end(placed, end)
+            self._handle_run_end(placed, end)
         self.schedule()
 
-    def _take_crash(self, crashed: list[Placed]) -> None:
-        """Give up the jobs of tasks that crash their minions."""
+    def _handle_crash(self, crashed: list[Placed]) -> None:
+        """Fail the jobs whose tasks are to blame for a minion crash.
+
+        :param crashed: runs that were active on the minion when it crashed
+        """
         if not crashed:
             return
         names = {placed.job.task_name(placed.task): placed for placed in crashed}
@@ -316,7 +332,7 @@
             ("tasks", ",".join(f"{name}={self._blame.count(name)}" for name in names)),
             ("blamed", ",".join(blamed)),
         )
-        _LOG.warning("minion crashed under tasks", extra={"fields": fields})
+        _LOG.warning("minion crashed while running tasks", extra={"fields": fields})
         self._counters.add("minion_crashes", blamed=str(bool(blamed)).lower())
         for name in blamed:
             job = names[name].job
@@ -324,18 +340,18 @@
                 self._end(job, JobResult(JobOutcome.FAILED, "crashes_minions"))
 
     def run_ticks(self) -> None:
-        """Keep leases and time limits for ever."""
+        """Renew leases, enforce time limits and reschedule, in an endless loop."""
         while True:
             self._clock.sleep(TICK_MS)
             self.fleet.renew()
             self._claims.check()
             self._expire()
             if self._jobs:
-                self._reconsider()
+                self._shed_load()
                 self._place()
 
     def schedule(self) -> None:
-        """Place waiting tasks once what arrived together has been taken."""
+        """Request a scheduling pass, which runs after the events that are pending now."""
         if not self._is_placing:
             self._is_placing = True
             eventlet.spawn_n(self._place_scheduled)
@@ -344,8 +360,8 @@
         self._is_placing = False
         self._place()
 
-    def _judge(self, job: DispatchJob, wait_ms: float, age_ms: float) -> JobResult | None:
-        """Return why a job is refused, or None after fixing its times."""
+    def _check_admission(self, job: DispatchJob, wait_ms: float, age_ms: float) -> JobResult | None:
+        """Set a job's timing; return a refusal, or None if the job is admitted."""
         if job.spec.unsupported:
             return JobResult(JobOutcome.REFUSED, job.spec.unsupported, NO_WORKER_RETRY_MS)
         workers = self.fleet.usable_of(job.queue.service)
@@ -353,45 +369,46 @@
         capacity = sum(view.room.cpu for view in workers) + self.find_capacity(job.queue.service)
         objective_ms = measure(job.steps, job.queue, capacity)
         job.timing = Timing(now - age_ms, objective_ms, wait_ms - ANSWER_MARGIN_MS)
-        backlog = self._describe(job.queue.service, workers, now)
+        backlog = self._describe_backlog(job.queue.service, workers, now)
         refusal = job_admission.judge(job, backlog, self._policy, now)
-        return refusal or self._judge_end(job, now)
+        return refusal or self._check_shutdown(job, now)
 
     def judge_end(self, spec: JobSpec, queue: Queue) -> JobResult | None:
-        """Return a refusal if the process is going to end before a job does, else None."""
-        steps = make_steps(spec, self._ratios.get(queue.name, 1.0))
-        return self._judge_end(DispatchJob(spec, queue, steps), self._clock.now())
+        """Return a refusal if the process may exit before a job ends, else None."""
+        steps = make_steps(spec, self._run_time_ratios.get(queue.name, 1.0))
+        return self._check_shutdown(DispatchJob(spec, queue, steps), self._clock.now())
 
-    def _judge_end(self, job: DispatchJob, now: float) -> JobResult | None:
+    def _check_shutdown(self, job: DispatchJob, now: float) -> JobResult | None:
         takes_ms = job.predicted_wait_ms + LEAVING_FACTOR * job.left_ms() + LEAVING_MARGIN_MS
         if now + takes_ms <= self.ends_ms:
             return None
         return JobResult(JobOutcome.REFUSED, "leaving", urgency.MIN_RETRY_MS)
 
-    def _describe(self, service: str, workers: list[WorkerView], now: float) -> Backlog:
-        """Return what is known of the load."""
+    def _describe_backlog(self, service: str, workers: list[WorkerView], now: float) -> Backlog:
+        """Return the backlog of a service, as input for admission decisions."""
         return Backlog(
             self._jobs.values(),
             [job for job in self._pending.values() if job.queue.service == service],
             workers,
             self.fleet.is_gathering,
             self._sum_work(service, now),
-            self._waits.factor,
+            self._wait_learner.factor,
             self.fleet.unseen,
         )
 
     def _sum_work(self, service: str, now: float) -> QueuedWork:
-        """Return the work of a service that waits and arrives here."""
+        """Return the queued work of a service together with its arrival rates."""
         jobs = [job for job in self._pending.values() if job.queue.service == service]
         work = job_admission.sum_work(jobs, self._policy, now)
         arrivals = self._arrivals.get(service)
         return arrivals.add_to(work, now) if arrivals else work
 
     def _place(self) -> None:
-        """Order runs for waiting tasks, the most urgent job first."""
+        """Assign waiting tasks to workers, the most urgent job first."""
         self._claims.check_pause()
         now = self._clock.now()
-        # A process that wakes from a freeze must start nothing for an entry that has given it up.
+        # After a process pause, leases may have expired: start nothing for a caller's dispatcher
+        # that has already given this one up.
         waiting = [job for job in self._pending.values() if job.is_claimed and job.is_held(now)]
         waiting.sort(key=lambda job: self._policy.rank(job, now))
         misses = 0
@@ -406,28 +423,28 @@
         self.fleet.flush()
 
     def _learn_wait(self, job: DispatchJob, now: float) -> None:
-        """Hold the wait that has ended against the one predicted on arrival."""
+        """Record a job's actual wait against the wait predicted on its arrival."""
         if not job.has_waited:
             job.has_waited = True
             predicted_ms = job.predicted_wait_ms / job.wait_factor
-            self._waits.note(predicted_ms, now - job.timing.arrived_ms)
+            self._wait_learner.note(predicted_ms, now - job.timing.arrived_ms)
 
-    def _reconsider(self) -> None:
-        """Refuse jobs that are not going to be served, rather than hold them."""
+    def _shed_load(self) -> None:
+        """Refuse queued jobs that are unlikely to be served in time instead of keeping them."""
         now = self._clock.now()
         waiting: dict[str, list[DispatchJob]] = {}
         for job in self._pending.values():
             waiting.setdefault(job.queue.service, []).append(job)
         for service, jobs in waiting.items():
-            self._give_up_too_large(service, jobs)
+            self._shed_too_large(service, jobs)
             workers = self.fleet.usable_of(service)
             if workers:
-                self._reconsider_service(jobs, self._describe(service, workers, now), now)
+                self._shed_service_load(jobs, self._describe_backlog(service, workers, now), now)
 
-    def _give_up_too_large(self, service: str, jobs: list[DispatchJob]) -> None:
-        """End jobs that fit no worker any more, since rooms have shrunk.
+    def _shed_too_large(self, service: str, jobs: list[DispatchJob]) -> None:
+        """End jobs that no longer fit on any worker because worker capacity has shrunk.
 
-        Workers that take nothing now count as well, as they may be back soon.
+        Workers that accept no tasks at the moment count as well: they may recover soon.
         """
         workers = self.fleet.of_service(service)
         if not workers:
@@ -436,7 +453,7 @@
             self._give_up(job, "no_capacity")
             jobs.remove(job)
 
-    def _reconsider_service(self, jobs: list[DispatchJob], backlog: Backlog, now: float) -> None:
+    def _shed_service_load(self, jobs: list[DispatchJob], backlog: Backlog, now: float) -> None:
         ranked = sorted((self._policy.rank(job, now), number) for number, job in enumerate(jobs))
         ahead = 0.0
         for rank, number in ranked:
@@ -448,18 +465,18 @@
                     continue
             ahead += job.pending_work()
 
-    def _take_end(self, placed: Placed, end: RunEnd) -> None:
+    def _handle_run_end(self, placed: Placed, end: RunEnd) -> None:
         job, task = placed.job, placed.task
         step = job.steps[task.step]
         job.runs.pop(end.number, None)
         step.taken[id(placed.worker)] = step.taken.get(id(placed.worker), 1) - 1
         if job.is_over:
-            self._note_run_over(job)
+            self._handle_late_run_end(job)
             return
         if end.how in (RUN_DONE, RUN_FAILED):
             self._blame.acquit(job.task_name(task))
         if end.how == RUN_DONE:
-            self._learn(job, step, end.ran_ms)
+            self._learn_run_time(job, step, end.ran_ms)
             step.left -= 1
             if all(other.left == 0 for other in job.steps):
                 self._end(job, JobResult(JobOutcome.SUCCEEDED))
@@ -480,7 +497,7 @@
             job.is_claimed = False
             self._claims.contest(job)
         log_job(
-            "task waits again",
+            "task requeued",
             job,
             task=f"{task.step}.{task.index}",
             how=end.how,
@@ -488,34 +505,36 @@
             worker=placed.worker.peer.address,
         )
         if self._blame.is_suspect(job.task_name(task)):
-            # The others of its step need not wait until it may start.
+            # Queue it last: a suspect needs a worker without other suspects, and the other
+            # tasks of the step shouldn't wait for that.
             step.pending.append(task.index)
         else:
             step.pending.appendleft(task.index)
         self._pending[job.spec.job_id] = job
 
-    def _note_run_over(self, job: DispatchJob) -> None:
-        """Take that a run has ended whose job had ended before."""
+    def _handle_late_run_end(self, job: DispatchJob) -> None:
+        """Release the claim of an ended job once its last run has ended."""
         if not job.runs:
             self._claims.release(job)
             took_ms = self._clock.now() - job.ended_ms
             self._counters.observe("job_stop_ms", took_ms, queue=job.queue.name)
-            log_job("runs of job over", job, after_ms=round(took_ms, 1))
+            log_job("all runs of ended job stopped", job, after_ms=round(took_ms, 1))
 
     def _lose_runs(self, runs: list[OpenRun], reason: str) -> None:
         for run in runs:
-            self._take_end(run.owner, RunEnd(run.number, RUN_LAPSED, reason=reason))
+            self._handle_run_end(run.owner, RunEnd(run.number, RUN_LAPSED, reason=reason))
 
-    def _learn(self, job: DispatchJob, step: Step, ran_ms: float) -> None:
+    def _learn_run_time(self, job: DispatchJob, step: Step, ran_ms: float) -> None:
+        """Update the queue's ratio of actual to declared run times."""
         declared = step.spec.declared_ms
         if declared <= 0 or ran_ms <= 0:
             return
-        ratio = self._ratios.get(job.queue.name, 1.0)
+        ratio = self._run_time_ratios.get(job.queue.name, 1.0)
         seen = min(MAX_RATIO, max(MIN_RATIO, ran_ms / declared))
-        self._ratios[job.queue.name] = ratio + RATIO_WEIGHT * (seen - ratio)
+        self._run_time_ratios[job.queue.name] = ratio + RATIO_WEIGHT * (seen - ratio)
 
     def _expire(self) -> None:
-        """Answer callers whose time is up, or whose job cannot be of use any more."""
+        """End jobs whose caller times out, or that can no longer start early enough."""
         now = self._clock.now()
         for job in list(self._jobs.values()):
             if now >= job.timing.arrived_ms + job.timing.limit_ms:
@@ -524,7 +543,7 @@
                 self._give_up(job, "too_late")
 
     def _give_up(self, job: DispatchJob, code: str) -> None:
-        """End a job that was not finished; one that never ran may come back."""
+        """End an unfinished job; refuse it with a retry delay if none of its tasks ran."""
         self._learn_wait(job, self._clock.now())
         if job.was_ordered:
             self._end(job, JobResult(JobOutcome.UNFINISHED, code))
@@ -533,6 +552,7 @@
         self._end(job, JobResult(JobOutcome.REFUSED, code, retry))
 
     def _end(self, job: DispatchJob, result: JobResult) -> None:
+        """End a job with a result, stop its runs and wake its callers."""
         job.result = result
         job.ended_ms = self._clock.now()
         del self._jobs[job.spec.job_id]
@@ -558,9 +578,9 @@
         job.finished.send()
 
 
-def _tells_crash(end: RunEnd) -> bool:
+def _is_crash(end: RunEnd) -> bool:
     return end.how == RUN_LAPSED and end.reason in CRASHES
 
 
-def _know_no_other(_service: str) -> float:
+def _no_remote_capacity(_service: str) -> float:
     return 0.0
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -1,4 +1,8 @@
-"""The workers that a dispatcher knows: their state, their leases, and its runs there."""
+"""A dispatcher's view of the workers: their state, their leases, and its open runs there.
+
+A dispatcher holds a lease at each worker. The worker ends the dispatcher's runs once the lease
+has expired without a renewal.
+"""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping, Set
@@ -20,33 +24,40 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Three renewals fit into a lease.
+# Renewal interval for workers with open runs: three renewals fit into a lease.
 RENEW_MS = 180.0
-# A worker without runs is asked for its state this often.
+# Renewal interval for workers without open runs, whose answers report their state.
 IDLE_RENEW_MS = 600.0
-# Two renewals without an answer: nothing new is ordered there. Counted from the first.
+# A worker that has left two renewals unanswered counts as silent and gets no new runs. Counted
+# from the first unanswered message.
 SUSPECT_MS = 450.0
-# Runs of a silent worker are over once both leases and the time of a stop have passed.
+# Runs of a silent worker have certainly ended after this: both leases, the dispatcher's at the
+# worker and the worker's at the minion, have expired, and the time to stop a run has passed.
 LOST_MS = RUNS_OVER_MS
-# Workers that came up with this process, or fell silent just now, are heard within this.
+# Time within which workers are expected to report that started together with this process or
+# have just become silent.
 GATHER_MS = 1_500.0
-# A worker that is not in the store and silent for this long is forgotten.
+# A worker that isn't listed in the store and has been silent for this long is removed.
 FORGET_MS = 3_000.0
-# A renewal names runs only once their orders must have arrived.
+# A renewal lists a run only this long after the run was sent, when it must have arrived at the
+# worker.
 LISTED_AFTER_MS = 120.0
-# A link without an answer for this long is opened anew; connecting takes a few ms.
+# A connection is reopened after this time without an answer; connecting takes a few ms.
 RESET_MS = 900.0
-# Jobs that have begun are finished at workers that went to another dispatcher within this:
-# their last tasks wait for about as long as those of the longest job run.
+# Time for which a worker reassigned to another dispatcher may still be used to finish started
+# jobs: a job's last tasks wait for about as long as the tasks of the longest job run.
 FORMER_MS = 3_000.0
-# Silent workers are tried again this often.
+# Renewal interval for silent workers.
 SEEK_MS = 300.0
 
 
 class OpenRun(NamedTuple):
-    """A run that was ordered and has not ended.
+    """A run that was sent to a worker and has not ended.
 
-    :param owner: what the dispatcher knows it by
+    :param number: run number, ascending per dispatcher
+    :param owner: object that the dispatcher associates with the run
+    :param need: resources that the run takes
+    :param sent_ms: clock time in ms at which it was queued for sending
     """
 
     number: int
@@ -56,26 +67,36 @@
 
 
 class WorkerView:
-    """One worker as a dispatcher sees it.
+    """What a dispatcher knows about one worker.
+
+    Times are the dispatcher's clock in ms unless said otherwise.
 
-    :ivar state: as last heard
+    :ivar peer: address and incarnation of the worker's executor process
+    :ivar state: state in the last report
     :ivar echo_ms: the worker's clock in its last report
-    :ivar echoed_ms: that clock as it was last sent back, from which its lease counts
-    :ivar heard_ms: when that report arrived
-    :ivar asked_ms: when the first message since then was sent, 0 where there is none
-    :ivar upto: highest order number that the state counts in
+    :ivar echoed_ms: value of ``echo_ms`` that was last sent to the worker, from which its lease
+        counts
+    :ivar heard_ms: when the last report arrived, 0 before the first
+    :ivar reset_ms: when the connection was last reopened
+    :ivar renewed_ms: when the last message was sent that renews the lease
+    :ivar asked_ms: when the first message since the last report was sent, 0 for none
+    :ivar known_ms: when the worker became known
+    :ivar upto: highest run number that the reported state includes
+    :ivar last_number: highest run number sent
     :ivar runs: open runs by number
-    :ivar stopping: numbers of those that were to be stopped
-    :ivar free: room that is free there as far as known
-    :ivar was_usable: whether it has been usable at any time
-    :ivar is_evacuated: whether operators want no task started in its failure domain
-    :ivar is_listed: whether its key was in the store at the last look
+    :ivar stopping: numbers of open runs that the worker was asked to stop
+    :ivar free: estimated free capacity: as reported, less the runs sent since
+    :ivar is_usable: whether new runs may be sent there
+    :ivar was_usable: whether it has ever been usable
+    :ivar is_silent: whether messages to it are unanswered, or it has never reported
+    :ivar is_evacuated: whether its failure domain is evacuated, so that no task starts there
+    :ivar is_listed: whether the store listed its key at the last update
     :ivar is_owned: whether this dispatcher places new jobs there
-    :ivar disowned_ms: when it went to another dispatcher
+    :ivar disowned_ms: when the worker was reassigned to another dispatcher
     """
 
     def __init__(self, address: str, now: float):
-        """Know an address, and nothing else."""
+        """Create a silent worker of which only the address is known."""
         self.peer = Peer(address, ANY_INCARNATION)
         self.state = WorkerState()
         self.echo_ms = 0.0
@@ -100,43 +121,43 @@
 
     @property
     def room(self) -> Room:
-        """Return all its room."""
+        """Return the worker's total capacity."""
         return self.state.room
 
     @property
     def pace(self) -> float:
-        """Return actual by expected run times there."""
+        """Return the ratio of actual to expected run times on the worker."""
         return self.state.pace
 
     @property
     def domain(self) -> str:
-        """Return its failure domain."""
+        """Return the worker's failure domain."""
         return self.state.domain
 
     @property
     def rack(self) -> str:
-        """Return its rack."""
+        """Return the worker's rack."""
         return self.state.rack
 
     @property
     def labels(self) -> tuple[str, ...]:
-        """Return its labels."""
+        """Return the worker's labels."""
         return self.state.labels
 
     def note_sent(self, now: float) -> None:
-        """Take that a message was sent that renews the lease and will be answered."""
+        """Record that a message was sent that renews the lease and requires an answer."""
         self.renewed_ms = now
         self.echoed_ms = self.echo_ms
         self.asked_ms = self.asked_ms or now
 
     def add(self, run: OpenRun) -> None:
-        """Count a run whose order is about to be sent."""
+        """Add a run that is about to be sent, and deduct its need from the free capacity."""
         self.runs[run.number] = run
         self.last_number = run.number
         self.free = self.free.minus(run.need)
 
     def take(self, report: WorkerReport, now: float) -> None:
-        """Take a report."""
+        """Update the view from a worker's report."""
         self.echo_ms = max(self.echo_ms, report.now_ms)
         self.heard_ms = now
         self.asked_ms = 0.0
@@ -152,11 +173,11 @@
 
 
 class Fleet:
-    """All workers of one dispatcher.
+    """Track the workers of one dispatcher and exchange messages with them.
 
-    :ivar reset_link: has the next message to a peer take a new connection
-    :ivar is_broken: tells whether the connection to a peer was closed by the other end
-    :ivar on_new_life: called once a life of an executor is heard that was not known
+    :ivar reset_link: makes the next message to a peer open a new connection
+    :ivar is_broken: returns whether the connection to a peer was closed by the remote end
+    :ivar on_new_life: called when a worker reports with an incarnation unknown so far
     """
 
     def __init__(
@@ -166,9 +187,10 @@
         on_lost: Callable[[list[OpenRun], str], None],
         evacuations: Evacuations,
     ):
-        """Know no worker.
+        """Create a fleet without workers.
 
-        :param on_lost: called with the runs of a worker that is gone, and why
+        :param send: queues a message to a worker's executor process
+        :param on_lost: called with the open runs of a worker that is given up, and the reason
         :param evacuations: failure domains in which no worker is usable
         """
         self._clock = clock
@@ -176,9 +198,9 @@
         self._send = send
         self._on_lost = on_lost
         self._views: dict[str, WorkerView] = {}
-        self.reset_link: Callable[[Peer], None] = _keep_link
-        self.is_broken: Callable[[Peer], bool] = _trust_link
-        self.on_new_life: Callable[[], None] = _pass_over
+        self.reset_link: Callable[[Peer], None] = _ignore_peer
+        self.is_broken: Callable[[Peer], bool] = _assume_open
+        self.on_new_life: Callable[[], None] = _do_nothing
         self._known: Set[str] = frozenset()
         self._outbox: dict[Peer, list[RunOrder]] = {}
 
@@ -188,7 +210,7 @@
         return self._views.values()
 
     def of_service(self, service: str) -> list[WorkerView]:
-        """Return the workers of a service that have been heard of and are not evacuated."""
+        """Return the owned workers that last reported a service and are not evacuated."""
         return [
             view
             for view in self._views.values()
@@ -196,7 +218,10 @@
         ]
 
     def former_of(self, service: str) -> list[WorkerView]:
-        """Return the workers of a service that went to other dispatchers just now."""
+        """Return the workers of a service that other dispatchers own and that are still known.
+
+        These were reassigned recently or are used to finish started jobs.
+        """
         return [
             view
             for view in self._views.values()
@@ -205,29 +230,29 @@
 
     @property
     def has_owned(self) -> bool:
-        """Whether this dispatcher places on any worker."""
+        """Whether this dispatcher owns any worker that is not evacuated."""
         return any(view.is_owned and not view.is_evacuated for view in self._views.values())
 
     @property
     def has_evacuated(self) -> bool:
-        """Whether a worker here would be usable if its domain were not evacuated."""
+        """Whether a known worker would be usable if its failure domain were not evacuated."""
         return any(view.is_evacuated and view.state.accepts for view in self._views.values())
 
     def apply_evacuations(self) -> None:
-        """Take that other domains are evacuated than before.
+        """Apply a change of the evacuated failure domains.
 
-        Workers that were taken back are asked for their state before they are used.
+        Workers of restored domains are asked for their state before they are used again.
         """
         for view in self._views.values():
-            self._take_domain(view, view.domain)
+            self._apply_domain(view, view.domain)
 
     def usable_of(self, service: str) -> list[WorkerView]:
-        """Return the workers of a service that take new runs."""
+        """Return the owned workers of a service that accept new runs."""
         return [view for view in self.of_service(service) if view.is_usable]
 
     @property
     def is_gathering(self) -> bool:
-        """Whether workers are about to be heard that are silent now."""
+        """Whether reports are expected shortly from owned workers that are silent now."""
         now = self._clock.now()
         return any(
             view.is_owned and view.is_silent and now - max(view.heard_ms, view.known_ms) < GATHER_MS
@@ -236,7 +261,7 @@
 
     @property
     def unseen(self) -> int:
-        """Return how many workers have been listed just now and may be usable soon."""
+        """Return the number of newly listed workers that may become usable soon."""
         now = self._clock.now()
         return sum(
             view.is_owned
@@ -247,13 +272,16 @@
         )
 
     def set_owned(self, owned: Set[str], listed: Set[str], known: Mapping[str, str]) -> None:
-        """Place new jobs on these workers from now on, and on no others that are known.
+        """Set the workers on which this dispatcher places new jobs.
 
-        A worker that no dispatcher knows from the store any more stays with the one that hears
-        it: it may be cut off from the store alone.
+        A worker in ``known`` is owned only if ``owned`` has it. A worker that is not in
+        ``known`` stays with the dispatcher that owned it so far: it may only be cut off from the
+        store.
 
-        :param listed: workers that are in the store
-        :param known: workers that all dispatchers divide among them, with their failure domains
+        :param owned: addresses of the workers assigned to this dispatcher
+        :param listed: addresses of the workers that the store lists
+        :param known: failure domains, by address, of all workers that are divided among the
+            dispatchers
         """
         now = self._clock.now()
         self._known = known.keys()
@@ -264,18 +292,18 @@
         }
         for address in owned - self._views.keys():
             self._views[address] = WorkerView(address, now)
-            _LOG.info("worker listed", extra={"fields": (("worker", address),)})
+            _LOG.info("worker added", extra={"fields": (("worker", address),)})
         for address, view in self._views.items():
             view.is_listed = address in listed
             if view.is_owned and address not in owned:
                 view.disowned_ms = now
             view.is_owned = address in owned
             if address in known:
-                self._take_domain(view, known[address])
+                self._apply_domain(view, known[address])
         self.renew()
 
     def borrow(self, addresses: Iterable[str]) -> None:
-        """Have some workers of other dispatchers finish the jobs that have begun here."""
+        """Use workers of other dispatchers for a limited time to finish started jobs."""
         now = self._clock.now()
         for address in addresses:
             view = self._views.get(address)
@@ -286,7 +314,10 @@
         self.renew()
 
     def list_unlisted(self) -> tuple[str, ...]:
-        """Return the addresses of the workers used here that the store does not list."""
+        """Return the addresses of owned workers that the store no longer lists.
+
+        They are those missing from ``known`` at the last :meth:`set_owned`.
+        """
         return tuple(
             address
             for address, view in self._views.items()
@@ -294,33 +325,36 @@
         )
 
     def is_closed(self, address: str) -> bool:
-        """Return whether the connection to an executor was closed by its end."""
+        """Return whether the connection to an executor was closed by the executor's end."""
         return self.is_broken(Peer(address, ANY_INCARNATION))
 
     def find_silence(self, address: str) -> float | None:
-        """Return when a worker was last heard that is silent now, None for any other."""
+        """Return the clock time in ms of a silent worker's last report.
+
+        Return None if the worker is not silent, unknown, or has never reported.
+        """
         view = self._views.get(address)
         if view is None or not view.is_silent or not view.heard_ms:
             return None
         return view.heard_ms
 
     def note_written(self, address: str) -> None:
-        """Take that a worker has just written its key: a silent one is up again."""
+        """Reconnect to a silent worker that has just written its key, as it is up again."""
         view = self._views.get(address)
         if view is not None and view.is_silent:
             self.reset_link(view.peer)
             self._renew(view, self._clock.now())
 
     def order(self, view: WorkerView, order: RunOrder, owner: object) -> None:
-        """Take room at a worker and put an order into the next message to it.
+        """Reserve capacity at a worker and queue a run for the next message to it.
 
-        :param owner: what the caller knows the run by
+        :param owner: object that the caller associates with the run
         """
         view.add(OpenRun(order.number, owner, order.need, self._clock.now()))
         self._outbox.setdefault(view.peer, []).append(order)
 
     def flush(self) -> None:
-        """Send the orders that were made, one message to each worker."""
+        """Send the queued runs, in one message to each worker."""
         outbox, self._outbox = self._outbox, {}
         now = self._clock.now()
         news = self._evacuations.tell()
@@ -330,16 +364,22 @@
             self._send(peer, StartRuns(view.echo_ms, tuple(orders), news))
 
     def stop(self, runs: Iterable[tuple[WorkerView, int]]) -> None:
-        """Ask workers to stop runs, with one message to each."""
-        batches: dict[Peer, list[int]] = {}
+        """Ask workers to stop runs, in one message to each worker.
+
+        :param runs: workers and run numbers
+        """
+        numbers_by_peer: dict[Peer, list[int]] = {}
         for view, number in runs:
-            batches.setdefault(view.peer, []).append(number)
+            numbers_by_peer.setdefault(view.peer, []).append(number)
             view.stopping.add(number)
-        for peer, numbers in batches.items():
+        for peer, numbers in numbers_by_peer.items():
             self._send(peer, StopRuns(tuple(numbers)))
 
     def take_report(self, sender: Peer, report: WorkerReport) -> WorkerView:
-        """Take a worker's report and return its view; ends are left to the caller."""
+        """Update a worker's view from its report and return the view.
+
+        The caller handles the ended runs that the report lists.
+        """
         view = self._views.get(sender.address)
         now = self._clock.now()
         if view is None:
@@ -359,56 +399,56 @@
                     )
                 },
             )
-        self._mark(view, report.state.domain)
+        self._mark_evacuated(view, report.state.domain)
         view.take(report, now)
         if view.runs and view.echo_ms - view.echoed_ms >= RENEW_MS:
-            # The lease that an idle worker was left with is nearly over.
+            # Idle workers get renewals less often: the lease may be about to expire.
             self._renew(view, now)
         return view
 
     def take_rejection(self, sender: Peer) -> None:
-        """Take that another process answers at a worker's address."""
+        """Handle a rejection that shows another incarnation at a worker's address."""
         view = self._views.get(sender.address)
         if view is not None and view.peer.incarnation != sender.incarnation:
             self._replace(view, sender)
             self._renew(view, self._clock.now())
 
     def renew(self) -> None:
-        """Renew the leases that are due, and give up workers that are silent."""
+        """Renew the leases that are due, detect silent workers and give up lost runs."""
         now = self._clock.now()
         for view in list(self._views.values()):
             silent_ms = now - max(view.heard_ms, view.known_ms)
             unanswered_ms = now - view.asked_ms if view.asked_ms else 0.0
-            is_gone = unanswered_ms > SUSPECT_MS or self.is_broken(view.peer)
-            if is_gone and not view.is_silent:
-                self._suspect(view, unanswered_ms)
+            is_unreachable = unanswered_ms > SUSPECT_MS or self.is_broken(view.peer)
+            if is_unreachable and not view.is_silent:
+                self._mark_silent(view, unanswered_ms)
             if view.runs and now - view.heard_ms > LOST_MS:
-                self._lose(view, "worker_silent")
-            if not view.runs and self._is_over(view, silent_ms, now):
+                self._give_up_runs(view, "worker_silent")
+            if not view.runs and self._is_removable(view, silent_ms, now):
                 del self._views[view.peer.address]
-                _LOG.info("worker forgotten", extra={"fields": (("worker", view.peer.address),)})
+                _LOG.info("worker removed", extra={"fields": (("worker", view.peer.address),)})
                 continue
-            pause = RENEW_MS if view.runs else IDLE_RENEW_MS
+            interval_ms = RENEW_MS if view.runs else IDLE_RENEW_MS
             if view.is_silent:
-                pause = SEEK_MS
-                self._reset(view, now)
-            if now - view.renewed_ms >= pause:
+                interval_ms = SEEK_MS
+                self._reset_if_due(view, now)
+            if now - view.renewed_ms >= interval_ms:
                 self._renew(view, now)
 
     @staticmethod
-    def _is_over(view: WorkerView, silent_ms: float, now: float) -> bool:
+    def _is_removable(view: WorkerView, silent_ms: float, now: float) -> bool:
         if not view.is_owned:
             return now - view.disowned_ms > FORMER_MS
         return silent_ms > FORGET_MS and not view.is_listed
 
-    def _mark(self, view: WorkerView, domain: str) -> None:
-        """Note whether a worker is evacuated; all are until the operators' word is known."""
+    def _mark_evacuated(self, view: WorkerView, domain: str) -> None:
+        """Set whether a worker is evacuated; all are until the evacuated domains are known."""
         view.is_evacuated = not self._evacuations.is_known or self._evacuations.covers(domain)
 
-    def _take_domain(self, view: WorkerView, domain: str) -> None:
-        """Stop using an evacuated worker; ask one that was taken back for its state."""
+    def _apply_domain(self, view: WorkerView, domain: str) -> None:
+        """Stop using an evacuated worker; ask one of a restored domain for its state."""
         was_evacuated = view.is_evacuated
-        self._mark(view, domain)
+        self._mark_evacuated(view, domain)
         if view.is_evacuated:
             view.is_usable = False
         elif was_evacuated:
@@ -418,22 +458,23 @@
         view.note_sent(now)
         view.stopping &= view.runs.keys()
         if view.stopping:
-            # The first message may have been lost, and what is listed below goes on.
+            # The first stop message may have been lost, and the runs listed in the renewal
+            # below keep running.
             self._send(view.peer, StopRuns(tuple(view.stopping)))
-        old = now - LISTED_AFTER_MS
-        numbers = [run.number for run in view.runs.values() if run.sent_ms < old]
+        listed_before = now - LISTED_AFTER_MS
+        numbers = [run.number for run in view.runs.values() if run.sent_ms < listed_before]
         upto = max(numbers, default=0)
         news = self._evacuations.tell()
         message = RenewRuns(view.echo_ms, tuple(numbers), upto, view.is_listed, news)
         self._send(view.peer, message)
 
-    def _reset(self, view: WorkerView, now: float) -> None:
-        """Open a new link now and then: the old one may have gone silent for good."""
+    def _reset_if_due(self, view: WorkerView, now: float) -> None:
+        """Reopen the connection if it is due: the old one may be dead without notice."""
         if now - max(view.reset_ms, view.heard_ms, view.known_ms) > RESET_MS:
             view.reset_ms = now
             self.reset_link(view.peer)
 
-    def _suspect(self, view: WorkerView, silent_ms: float) -> None:
+    def _mark_silent(self, view: WorkerView, silent_ms: float) -> None:
         view.is_silent = True
         view.is_usable = False
         _LOG.warning(
@@ -448,7 +489,10 @@
         )
 
     def _replace(self, view: WorkerView, sender: Peer) -> None:
-        """Take another life of a worker's agent: it clears its minion before it reports."""
+        """Start over with a new incarnation of a worker's executor process.
+
+        The new process clears its minion of runs before it reports.
+        """
         if view.peer.incarnation != ANY_INCARNATION:
             _LOG.warning("worker replaced", extra={"fields": (("worker", sender.address),)})
         self.on_new_life()
@@ -458,19 +502,19 @@
         view.upto = 0
         view.is_usable = False
 
-    def _lose(self, view: WorkerView, reason: str) -> None:
+    def _give_up_runs(self, view: WorkerView, reason: str) -> None:
         runs = list(view.runs.values())
         view.runs.clear()
         self._on_lost(runs, reason)
 
 
-def _pass_over() -> None:
+def _do_nothing() -> None:
     pass
 
 
-def _trust_link(_peer: Peer) -> bool:
+def _assume_open(_peer: Peer) -> bool:
     return False
 
 
-def _keep_link(_peer: Peer) -> None:
+def _ignore_peer(_peer: Peer) -> None:
     pass
--- a/geraniumspool/groups.py
+++ b/geraniumspool/groups.py
@@ -1,26 +1,28 @@
-"""Divides the workers among dispatchers: each worker has one that places tasks there.
+"""Divide the workers among dispatchers: each worker has one owner that places tasks on it.
 
-Plain functions. All dispatchers that know the same members come to the same groups
-without a message. Answered load patterns: bursts that fill all workers, in which
-dispatchers that share workers order more than fits; the loss of dispatchers, whose
-workers go to the others while most of the rest stay where they are.
+Pure functions. All dispatchers that know the same members compute the same assignment without
+exchanging messages. If dispatchers shared workers, they would send them more runs than fit
+when a burst fills all workers. If a dispatcher is lost, its workers go to the others while
+most other workers keep their owner.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 from zlib import crc32
 
-# Dispatchers place on about this many workers: smaller groups are full while others have
-# room, larger ones have one process place all and lose more when it dies.
+# Approximate number of workers of a dispatcher. Small groups fill up while others have free
+# capacity; large ones concentrate placement in one process, so that more is lost when it dies.
 GROUP_WORKERS = 12
-# At this many busy workers a core an owner has time to spare; a start waits for a busy one.
+# Maximum number of workers per core of a dispatcher's processor. It is still lightly loaded when
+# all of them are busy; a saturated dispatcher would delay the start of tasks.
 WORKERS_PER_CORE = 16
 
 
 class Owner(NamedTuple):
-    """A dispatcher that may place tasks.
+    """A dispatcher that can own workers.
 
-    :param capacity: speed of its processor, of cores
+    :param domain: failure domain of the dispatcher
+    :param capacity: processing capacity in cores
     """
 
     address: str
@@ -29,7 +31,7 @@
 
 
 class Site(NamedTuple):
-    """What a worker is for, and where it is."""
+    """Service and location of a worker."""
 
     service: str
     domain: str
@@ -41,63 +43,78 @@
 ) -> dict[str, str]:
     """Return the address of the owner of each worker of one service.
 
-    An owner has at most its share by capacity. Workers prefer owners in their failure
-    domain, and those of a rack the same one, so that jobs near their data find them together.
+    An owner gets at most its share by capacity. Workers prefer owners in their failure domain.
+    Workers of a rack prefer the same owner, so that one dispatcher can serve a job near its data
+    with all of them.
+
+    :param members: all dispatchers
+    :param workers: workers by address
+    :param group_workers: target number of workers per owner
     """
     owners = choose_owners(members, len(workers), group_workers)
     if not owners:
         return {}
-    sizes = {owner.address: _size_of(owner, group_workers) for owner in owners}
+    sizes = {owner.address: _group_size(owner, group_workers) for owner in owners}
     total = sum(sizes.values())
     quota = {address: -int(-len(workers) * size // total) for address, size in sizes.items()}
-    scores: dict[Site, list[Owner]] = {}
-    groups: dict[str, str] = {}
+    rankings: dict[Site, list[Owner]] = {}
+    assignment: dict[str, str] = {}
     for address in sorted(workers, key=_hash):
         site = workers[address]
-        ranked = scores.get(site)
-        if ranked is None:
-            ranked = scores[site] = _rank_owners(site, owners)
-        for owner in ranked:
+        ranking = rankings.get(site)
+        if ranking is None:
+            ranking = rankings[site] = _rank_owners(site, owners)
+        for owner in ranking:
             if quota[owner.address] > 0:
                 quota[owner.address] -= 1
-                groups[address] = owner.address
+                assignment[address] = owner.address
                 break
-    return groups
+    return assignment
 
 
 def choose_owners(
     members: list[Owner], workers: int, group_workers: float = GROUP_WORKERS
 ) -> list[Owner]:
-    """Return the dispatchers that own groups: the fastest of each failure domain first."""
+    """Return the dispatchers that own workers.
+
+    The fastest of each failure domain come first, then the second fastest of each, and so on,
+    until there are enough for the workers.
+
+    :param members: all dispatchers
+    :param workers: number of workers
+    :param group_workers: target number of workers per owner
+    """
     ordered = sorted(members, key=lambda member: (-member.capacity, _hash(member.address)))
-    seen: dict[str, int] = {}
-    places = {}
+    domain_counts: dict[str, int] = {}
+    domain_ranks = {}
     for member in ordered:
-        places[member.address] = seen.get(member.domain, 0)
-        seen[member.domain] = places[member.address] + 1
-    ordered.sort(key=lambda member: places[member.address])
+        domain_ranks[member.address] = domain_counts.get(member.domain, 0)
+        domain_counts[member.domain] = domain_ranks[member.address] + 1
+    ordered.sort(key=lambda member: domain_ranks[member.address])
     owners: list[Owner] = []
-    left = float(workers)
+    unassigned = float(workers)
     for member in ordered:
-        size = _size_of(member, group_workers)
-        if owners and left < size / 2:
+        size = _group_size(member, group_workers)
+        if owners and unassigned < size / 2:
             break
         owners.append(member)
-        left -= size
+        unassigned -= size
     return owners
 
 
-def _size_of(owner: Owner, group_workers: float) -> float:
-    """Return how many workers an owner is meant to have."""
+def _group_size(owner: Owner, group_workers: float) -> float:
+    """Return the target number of workers of an owner."""
     return min(group_workers, WORKERS_PER_CORE * owner.capacity)
 
 
 def _rank_owners(site: Site, owners: list[Owner]) -> list[Owner]:
-    place = f"{site.domain}/{site.rack}/"
+    """Return the owners in a site's order of preference, by rendezvous hashing."""
+    location = f"{site.domain}/{site.rack}/"
     return sorted(
-        owners, key=lambda owner: (owner.domain != site.domain, _hash(place + owner.address))
+        owners, key=lambda owner: (owner.domain != site.domain, _hash(location + owner.address))
     )
 
 
 def _hash(text: str) -> int:
+    """Return a hash that is the same in all processes."""
     return crc32(text.encode())
--- a/geraniumspool/job_admission.py
+++ b/geraniumspool/job_admission.py
@@ -1,8 +1,7 @@
-"""Decides whether a job is taken on its arrival, and when its caller may come back.
+"""Admission control: decide whether an arriving job is accepted or when to retry it.
 
-Plain functions. Answered load patterns: loads over capacity, in which what is
-taken and not served costs its caller time; the first moments after a start,
-before all workers are known.
+Pure functions. They handle overload, in which a job that is accepted but not served costs
+its caller time, and the first moments after a start, before all workers are known.
 """
 
 import math
@@ -17,28 +16,30 @@
 from geraniumspool.queued_work import LEVELS, NO_WORK, QueuedWork
 from geraniumspool.urgency import Outlook
 
-# All workers are back within about this time after a loss of power.
+# Time within which about all workers are back after a power loss.
 GATHERING_MS = 250.0
-# Until workers are known a caller comes back after this.
+# Retry delay for callers whose job no known worker can serve.
 NO_WORKER_RETRY_MS = 1_000.0
-# Runs are taken to last this long where none of one's own tells.
+# Assumed run time if the dispatcher has no queued or running tasks to derive it from.
 UNKNOWN_RUN_MS = 400.0
-# Callers wait for a quarter of a minute at most; longer predictions say no more.
+# Upper bound of predicted waits. Callers wait for 15 s at most, so that a longer prediction
+# carries no more information.
 LONGEST_WAIT_MS = 60_000.0
-# Of a full worker's room half a task stays unused in the mean, as the next does not fit.
+# On average a full worker leaves capacity for half a task unused because the next task doesn't
+# fit.
 UNUSED_SHARE = 0.5
 
 
 class Backlog(NamedTuple):
-    """What a dispatcher knows when a job arrives.
-
-    :param jobs: all jobs at work or waiting here
-    :param waiting: those of the service that wait for workers
-    :param workers: usable workers of the job's service
-    :param is_gathering: whether more workers are about to be heard of
-    :param queued: work that waits and arrives here, by level
-    :param wait_factor: actual by predicted waits, as learnt
-    :param unseen: workers that have been listed just now and may be usable soon
+    """Load of a dispatcher, as input for admission decisions.
+
+    :param jobs: all running and queued jobs of this process
+    :param waiting: jobs of the service with tasks that wait for a worker
+    :param workers: usable workers of the service
+    :param is_gathering: whether reports of further workers are expected shortly
+    :param queued: queued work and arrival rates of this process, by priority level
+    :param wait_factor: learnt ratio of actual to predicted waits
+    :param unseen: number of newly listed workers that may become usable soon
     """
 
     jobs: Collection[DispatchJob]
@@ -53,11 +54,11 @@
 def judge(
     job: DispatchJob, backlog: Backlog, policy: DispatchPolicy, now: float
 ) -> JobResult | None:
-    """Return why a job is refused, None where it is taken.
+    """Return a refusal, or None if the job is accepted.
 
-    The job's times have to be fixed.
+    Set the job's predicted wait. The job's timing must have been set before.
     """
-    refusal = _judge_service(job, backlog)
+    refusal = _check_service(job, backlog)
     if refusal is not None:
         return refusal
     left_ms = job.left_ms()
@@ -86,7 +87,7 @@
     policy: DispatchPolicy,
     now: float,
 ) -> QueuedWork:
-    """Return the work of some jobs that waits, by level."""
+    """Return the pending work of some jobs, by priority level."""
     in_time = [0.0] * LEVELS
     late = [0.0] * LEVELS
     for job in jobs:
@@ -96,25 +97,26 @@
 
 
 def find_outlook(job: DispatchJob, ahead: float, backlog: Backlog) -> Outlook:
-    """Return what a waiting job has before it.
+    """Return the predicted queueing conditions of a job.
 
-    :param ahead: work that waits here and is served before it
+    :param ahead: queued work of this process that is served before the job, in thousandths
+        of a core times ms
     """
     workers = backlog.workers
     queued = backlog.queued
     level = job.level
     need = job.pending_cpu()
-    task = max((step.spec.need.cpu for step in job.ready_steps()), default=0)
-    room = _measure_room(backlog, task)
-    free = sum(_count_usable(view.free.cpu, task) for view in workers)
-    least = urgency.MIN_SPARE * room
+    task_cpu = max((step.spec.need.cpu for step in job.ready_steps()), default=0)
+    capacity = _usable_capacity(backlog, task_cpu)
+    free = sum(_round_to_tasks(view.free.cpu, task_cpu) for view in workers)
+    min_spare = urgency.MIN_SPARE * capacity
     return Outlook(
         ahead == 0 and need <= free,
         ahead,
         ahead,
-        max(least, room - sum(queued.arriving[:level])),
-        max(urgency.MIN_LATE_SPARE * room, room - sum(queued.usual[: level + 1])),
-        _predict_opening(job, backlog, need - free, room),
+        max(min_spare, capacity - sum(queued.arriving[:level])),
+        max(urgency.MIN_LATE_SPARE * capacity, capacity - sum(queued.usual[: level + 1])),
+        _predict_opening(job, backlog, need - free, capacity),
         backlog.wait_factor,
     )
 
@@ -122,38 +124,38 @@
 def _sum_ahead(
     job: DispatchJob, waiting: list[DispatchJob], policy: DispatchPolicy, now: float
 ) -> float:
-    """Return the work here that is served before a job."""
+    """Return the queued work of this process that is served before a job."""
     own = policy.rank(job, now)
     others = (other for other in waiting if other is not job)
     return sum(other.pending_work() for other in others if policy.rank(other, now) <= own)
 
 
-def _measure_room(backlog: Backlog, task: int) -> float:
-    """Return the room that tasks of a size can use, of workers about to be back as well.
+def _usable_capacity(backlog: Backlog, task_cpu: int) -> float:
+    """Return the CPU that tasks of a size can use, in thousandths of a core.
 
-    Without those, jobs are refused after a loss of power for want of workers that are there
-    a moment later.
+    Workers expected back soon count as well. Without them, jobs would be refused after a power
+    loss for lack of workers that are available a moment later.
     """
     workers = backlog.workers
-    room = sum(max(0.0, view.room.cpu - task * UNUSED_SHARE) for view in workers)
-    return room * (1 + backlog.unseen / len(workers))
+    capacity = sum(max(0.0, view.room.cpu - task_cpu * UNUSED_SHARE) for view in workers)
+    return capacity * (1 + backlog.unseen / len(workers))
 
 
-def _count_usable(free: int, need: int) -> int:
-    """Return the part of a worker's free room that tasks of a need can take."""
+def _round_to_tasks(free: int, need: int) -> int:
+    """Round a worker's free CPU down to a multiple of the CPU need of one task."""
     return max(0, free) // need * need if need > 0 else max(0, free)
 
 
-def _predict_opening(job: DispatchJob, backlog: Backlog, missing: float, room: float) -> float:
-    """Return the time until as much room as is missing has become free."""
+def _predict_opening(job: DispatchJob, backlog: Backlog, missing: float, capacity: float) -> float:
+    """Return the predicted time in ms until the missing CPU capacity becomes free."""
     if missing <= 0:
         return 0.0
-    freeing = room / measure_run((job, *backlog.jobs))
-    return missing / freeing if freeing else math.inf
+    freed_per_ms = capacity / measure_run((job, *backlog.jobs))
+    return missing / freed_per_ms if freed_per_ms else math.inf
 
 
-def _judge_service(job: DispatchJob, backlog: Backlog) -> JobResult | None:
-    """Return why a job cannot be served whatever the load, None where it can."""
+def _check_service(job: DispatchJob, backlog: Backlog) -> JobResult | None:
+    """Return a refusal if the known workers cannot serve a job at any load, else None."""
     retry_ms = urgency.choose_retry(NO_WORKER_RETRY_MS)
     if not backlog.workers:
         if backlog.is_gathering:
@@ -165,23 +167,23 @@
 
 
 def has_room(job: DispatchJob, workers: list[WorkerView]) -> bool:
-    """Return whether each step of a job can run at some worker, once that is empty."""
+    """Return whether each step of a job has a worker that can run its tasks when idle."""
     return all(any(packing.may_run(view, step.spec) for view in workers) for step in job.steps)
 
 
 def measure_run(jobs: Iterable[DispatchJob]) -> float:
-    """Return how long room is taken for, in ms, by all tasks of some jobs.
+    """Return the mean run time of the tasks of some jobs in ms, weighted by CPU.
 
-    All workers are taken to run such a mix.
+    It is the harmonic mean, on the assumption that all workers run the same mix of tasks.
     """
-    room = rate = 0.0
+    total_cpu = rate = 0.0
     for job in jobs:
         for step in job.ready_steps():
             cpu = len(step.pending) * step.spec.need.cpu
-            room += cpu
+            total_cpu += cpu
             rate += cpu / step.expected_ms
         for placed in job.runs.values():
             cpu = job.steps[placed.task.step].spec.need.cpu
-            room += cpu
+            total_cpu += cpu
             rate += cpu / placed.run_ms
-    return room / rate if rate else UNKNOWN_RUN_MS
+    return total_cpu / rate if rate else UNKNOWN_RUN_MS
--- a/geraniumspool/job_placer.py
+++ b/geraniumspool/job_placer.py
@@ -1,7 +1,7 @@
-"""Places the waiting tasks of one job on workers with room.
+"""Place the pending tasks of a job on workers with free capacity.
 
-Answered load patterns: jobs that have begun when their workers go to another dispatcher or
-are evacuated; tasks that may crash their minions beside others that may.
+Handles started jobs whose workers were evacuated or reassigned to another dispatcher, and
+keeps tasks suspected of crashing minions apart from each other.
 """
 
 from geraniumspool import packing, urgency
@@ -13,18 +13,20 @@
 from geraniumspool.packing import PlaceRequest
 from geraniumspool.run_messages import RunOrder
 
-# An order that meets a full worker returns after this, and goes where there is room.
+# Time for which a full worker queues a run before it refuses it. Zero, so that the task is
+# placed at once on a worker with free capacity.
 PATIENCE_MS = 0.0
 
 
 class JobPlacer:
-    """Orders runs for a job's tasks, numbered in the order of their orders."""
+    """Send runs of a job's tasks to workers, with ascending run numbers."""
 
     def __init__(
         self, clock: Clock, fleet: Fleet, policy: DispatchPolicy, blame: CrashBlame, domain: str
     ):
-        """Connect the parts.
+        """Create a placer that has sent no run.
 
+        :param blame: tasks suspected of crashing minions
         :param domain: failure domain of this process
         """
         self._clock = clock
@@ -35,14 +37,15 @@
         self._next_number = 1
 
     def place(self, job: DispatchJob, now: float) -> bool:
-        """Order what fits of a job; return whether all its waiting tasks found room."""
+        """Place as many pending tasks of a job as fit; return whether all were placed."""
         workers = self._fleet.of_service(job.queue.service)
         if not workers and job.was_ordered:
-            # The workers went to another dispatcher; what has begun is finished there.
+            # The workers were reassigned to another dispatcher; a started job is still
+            # finished on them.
             workers = self._fleet.former_of(job.queue.service)
         lateness = self._policy.rank(job, now).lateness
-        end = urgency.allowed_end(job.timing, lateness, job.was_ordered)
-        within_ms = job.timing.arrived_ms + end - now
+        allowed_ms = urgency.allowed_end(job.timing, lateness, job.was_ordered)
+        within_ms = job.timing.arrived_ms + allowed_ms - now
         placed: dict[str, int] = {}
         for number, step in enumerate(job.steps):
             if step not in job.ready_steps():
@@ -71,21 +74,24 @@
         request = PlaceRequest(step.spec, step.expected_ms, within_ms, self._domain, step.taken)
         for _ in range(len(step.pending)):
             task = TaskId(number, step.pending[0])
-            shunned = job.failed_at.get(task)
-            fit = [view for view in workers if id(view) != shunned] if shunned else workers
+            excluded = job.failed_at.get(task)
+            allowed = [view for view in workers if id(view) != excluded] if excluded else workers
             if self._blame.is_suspect(job.task_name(task)):
-                place = self._policy.choose(self._without_suspects(fit), request)
+                place = self._policy.choose(self._without_suspects(allowed), request)
             else:
-                place = self._policy.choose(fit or workers, request)
+                place = self._policy.choose(allowed or workers, request)
             if place is None:
                 return
             step.pending.popleft()
-            self._order(job, task, step, place)
+            self._start_run(job, task, step, place)
             address = place.worker.peer.address
             placed[address] = placed.get(address, 0) + 1
 
     def _without_suspects(self, workers: list[WorkerView]) -> list[WorkerView]:
-        """Return the workers on which a second crash would name one task."""
+        """Return the workers that run no suspect task.
+
+        A crash of such a worker's minion under one more suspect is then clearly its fault.
+        """
         return [
             view
             for view in workers
@@ -95,7 +101,7 @@
             )
         ]
 
-    def _order(self, job: DispatchJob, task: TaskId, step: Step, place: packing.Place) -> None:
+    def _start_run(self, job: DispatchJob, task: TaskId, step: Step, place: packing.Place) -> None:
         now = self._clock.now()
         view = place.worker
         order = RunOrder(
--- a/geraniumspool/job_specs.py
+++ b/geraniumspool/job_specs.py
@@ -1,4 +1,4 @@
-"""Jobs as callers describe them."""
+"""Job specifications submitted by callers, and job results."""
 
 import enum
 from typing import NamedTuple
@@ -7,15 +7,16 @@
 
 
 class StepSpec(NamedTuple):
-    """Equal tasks of one job.
+    """A group of identical tasks of a job.
 
     :param count: number of tasks
-    :param need: room that each takes
-    :param declared_ms: rough run time of a task, 0 where none is declared
-    :param after: numbers of the steps that must be done first
-    :param label: label that a worker must have, or empty
-    :param rack: rack near the data, or empty
-    :param per_worker: most tasks of the step on one worker, 0 for no limit
+    :param need: resources that each task takes
+    :param declared_ms: approximate run time of a task in ms, 0 if not declared
+    :param after: indexes of the steps that must be complete before this one starts
+    :param label: label that a worker must have, empty for none
+    :param rack: rack near the data, empty for none
+    :param per_worker: maximum number of concurrent tasks of the step on one worker, 0 for no
+        limit
     """
 
     count: int
@@ -28,10 +29,10 @@
 
 
 class JobSpec(NamedTuple):
-    """One job.
+    """Specification of a job.
 
-    :param payload: handed to every task
-    :param unsupported: what it asks for that is not served here, empty for nothing
+    :param payload: data passed to every task
+    :param unsupported: code of a requested feature that dispatchers don't support, else empty
     """
 
     job_id: str
@@ -41,7 +42,11 @@
 
 
 class JobOutcome(enum.Enum):
-    """How a job ended for its caller."""
+    """Outcome of a job for its caller.
+
+    ``UNFINISHED`` and ``REFUSED`` are described at :class:`JobResult`; ``GONE`` means that all
+    callers disconnected before the job ended.
+    """
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -51,13 +56,13 @@
 
 
 class JobResult(NamedTuple):
-    """Answer to a job.
+    """Result of a job.
 
-    :param outcome: a refused job has not run and never will; of an unfinished one some
-        tasks may have run, and none runs any more
-    :param code: reason of a failure or refusal
-    :param retry_after_ms: when a refused job may come back
-    :param inputs: what a refusal was decided by, for logs
+    :param outcome: no task of a refused job has run or will run; some tasks of an unfinished
+        job may have run, and none runs any more
+    :param code: reason code of a failure or refusal, empty on success
+    :param retry_after_ms: delay in ms after which a refused job may be resubmitted
+    :param inputs: names and values that a refusal was decided by, for logging
     :param holder: address of the dispatcher that runs the job instead, else empty
     """
 
--- a/geraniumspool/owner_choice.py
+++ b/geraniumspool/owner_choice.py
@@ -1,8 +1,8 @@
-"""Chooses the dispatcher that has a job's tasks run.
+"""Choose the dispatcher that schedules a job's tasks on the workers that it owns.
 
-Plain functions. Answered load patterns: bursts in which groups of workers fill
-unevenly; entries that choose at the same time by the same reports, which must not
-all choose the same owner.
+Pure functions. They handle bursts that fill the dispatchers' workers unevenly, and
+dispatchers that choose at the same time by the same load reports, which must not all choose
+the same owner.
 """
 
 import random
@@ -14,25 +14,28 @@
 from geraniumspool.queued_work import level_of
 from geraniumspool.queues import Queue
 
-# Of owners alike this many are compared, drawn by their room: the best of all would be
-# chosen by every entry until it reports again.
+# Number of owners that are drawn at random, weighted by free capacity, and compared. If the best
+# of all were chosen, every dispatcher would choose the same one until its next load report.
 CHOICES = 2
-# A message to the owner and back, with its decoding at both ends.
+# Time of a message to the owner and back, including decoding at both ends.
 HOP_MS = 2.0
-# Owners of another failure domain are chosen only where the wait is shorter by this: what
-# crosses domains is the dearest traffic.
+# An owner in another failure domain is chosen only if its wait is shorter by this: traffic between
+# failure domains is the most expensive.
 CROSS_MS = 15.0
-# Jobs near their data run half as long at least, which is this much for a usual one.
+# Run time saved near the data: away from it, jobs take at least twice as long, which makes this
+# difference for a typical job.
 AWAY_MS = 100.0
+# Upper bound of predicted waits.
 FAR_OFF_MS = 60_000.0
 
 
 class Option(NamedTuple):
-    """An owner that a job may go to.
+    """A dispatcher that a job may be assigned to.
 
-    :param owner: what the caller knows it by, None for this process
-    :param load: what its workers have to offer
-    :param sent_work: work forwarded to it since it told so
+    :param owner: object by which the caller identifies the dispatcher, None for this process
+    :param domain: failure domain of the dispatcher
+    :param load: load of its workers in its last report
+    :param sent_work: work forwarded to it since that report, in thousandths of a core times ms
     """
 
     owner: object
@@ -42,9 +45,10 @@
 
 
 class Request(NamedTuple):
-    """What of a job decides where it goes.
+    """Properties of a job that decide which dispatcher it is assigned to.
 
-    :param cpu: processor room that its first tasks take at once
+    :param level: priority level of its queue; 0 is the most urgent
+    :param cpu: CPU that the tasks of its first steps need, in thousandths of a core
     :param racks: racks near its data
     """
 
@@ -54,43 +58,46 @@
 
 
 def describe_job(spec: JobSpec, queue: Queue) -> Request:
-    """Return what of a job decides where it goes."""
-    first = [step for step in spec.steps if not step.after]
-    cpu = sum(step.count * step.need.cpu for step in first)
+    """Return the properties of a job that decide which dispatcher it is assigned to."""
+    first_steps = [step for step in spec.steps if not step.after]
+    cpu = sum(step.count * step.need.cpu for step in first_steps)
     racks = frozenset(step.rack for step in spec.steps if step.rack)
     return Request(level_of(queue.priority), cpu, racks)
 
 
 def choose_option(options: Sequence[Option], request: Request, domain: str) -> Option | None:
-    """Return where a job is expected to begin first, None where nobody has workers.
+    """Return the best of the compared dispatchers by predicted wait and other costs.
+
+    Return None if no dispatcher has workers.
 
     :param domain: failure domain of this process
     """
     usable = [option for option in options if option.load.room_cpu > 0]
     compared = [option for option in usable if option.owner is None]
-    near = [option for option in usable if option.domain == domain and option.owner is not None]
-    far = [option for option in usable if option.domain != domain]
-    compared += _draw(near) + _draw(far)
+    local = [option for option in usable if option.domain == domain and option.owner is not None]
+    remote = [option for option in usable if option.domain != domain]
+    compared += _sample(local) + _sample(remote)
     if request.racks:
         compared += [option for option in usable if request.racks & set(option.load.racks)]
     return min(compared, key=lambda option: _cost(option, request, domain), default=None)
 
 
 def predict_wait(option: Option, request: Request) -> float:
-    """Return about when a job's tasks would all have started there, in ms."""
+    """Return the predicted wait in ms until all first tasks of a job have started there."""
     load = option.load
     queued = load.queued
     levels = range(request.level + 1)
     ahead = sum(queued.in_time[level] + queued.late[level] for level in levels)
-    taken = option.sent_work / load.run_ms if load.run_ms else 0.0
-    missing = max(0.0, request.cpu - max(0.0, load.free_cpu - taken))
-    if not missing and not ahead:
+    taken_cpu = option.sent_work / load.run_ms if load.run_ms else 0.0
+    missing_cpu = max(0.0, request.cpu - max(0.0, load.free_cpu - taken_cpu))
+    if not missing_cpu and not ahead:
         return 0.0
-    work = ahead + option.sent_work + missing * load.run_ms
+    work = ahead + option.sent_work + missing_cpu * load.run_ms
     return min(FAR_OFF_MS, work / load.room_cpu)
 
 
 def _cost(option: Option, request: Request, domain: str) -> float:
+    """Return the predicted wait in ms plus penalties for distance."""
     cost = predict_wait(option, request)
     if option.owner is not None:
         cost += HOP_MS
@@ -101,8 +108,12 @@
     return cost
 
 
-def _draw(options: Iterable[Option]) -> list[Option]:
-    """Return some options, drawn by their free room, or by all of it where none is free."""
+def _sample(options: Iterable[Option]) -> list[Option]:
+    """Return a random sample of at most :data:`CHOICES` options.
+
+    Options are weighted by free CPU, or by total CPU if fewer than :data:`CHOICES` options have
+    any free CPU.
+    """
     left = list(options)
     if len(left) <= CHOICES:
         return left
@@ -110,8 +121,8 @@
     if sum(1 for weight in weights if weight) < CHOICES:
         weights = [option.load.room_cpu for option in left]
     first = random.choices(left, weights)[0]
-    at = left.index(first)
-    del left[at], weights[at]
+    index = left.index(first)
+    del left[index], weights[index]
     if not sum(weights):
         weights = [1.0] * len(left)
     return [first, random.choices(left, weights)[0]]
--- a/geraniumspool/packing.py
+++ b/geraniumspool/packing.py
@@ -1,7 +1,7 @@
-"""Chooses a worker for a task: the one where it is predicted to end first.
+"""Choose the worker on which a task is predicted to end first.
 
-Plain functions. Answered load patterns: minions of unequal speed and room,
-minions that turn slow, racks near a job's data, limits of tasks on one worker.
+Pure functions. They handle minions of unequal speed and capacity, minions that become slow,
+racks near a job's data, and limits on the number of a step's tasks per worker.
 """
 
 import math
@@ -12,22 +12,31 @@
 from geraniumspool.job_specs import StepSpec
 from geraniumspool.rooms import Room
 
-# One hop between failure domains and back, as times between them are about a millisecond.
+# Round trip between failure domains; one way takes about 1 ms.
 REMOTE_MS = 2.0
-# Away from its data a task takes this many times as long.
+# Factor by which a task takes longer outside the rack near its data.
 FAR_FACTOR = 1.5
-# A full worker counts as this share slower than an empty one, and chance adds as much as
-# the next: so dispatchers that know the same leave room at the fast workers.
+# A full worker is scored as slower than an idle one by FULL_SHARE, and a random share of up to
+# SPREAD_SHARE is added, so that dispatchers with the same information don't all fill the fastest
+# workers.
 FULL_SHARE = 0.5
 SPREAD_SHARE = 0.1
-# A worker that this would fill to more than this share may be full already, as what is
-# known of it is some tens of ms old; then the order comes back and has lost about as much.
+# A worker that would be left with less than CONFLICT_SHARE of its CPU may be full already, because
+# its last report is some tens of ms old. It would then refuse the run, which costs about
+# CONFLICT_MS.
 CONFLICT_SHARE = 0.15
 CONFLICT_MS = 15.0
 
 
 class Candidate(Protocol):
-    """What is known of a worker."""
+    """Properties of a worker that placement depends on.
+
+    :ivar free: free capacity
+    :ivar room: total capacity
+    :ivar pace: ratio of actual to expected run times there
+    :ivar domain: failure domain
+    :ivar is_usable: whether it accepts new runs
+    """
 
     free: Room
     room: Room
@@ -39,11 +48,12 @@
 
 
 class PlaceRequest(NamedTuple):
-    """One task that waits for a worker.
+    """Requirements of a task that is to be placed.
 
-    :param within_ms: longest run that is of use; slower workers are passed over
-    :param domain: the dispatcher's failure domain
-    :param taken: tasks of the step on each worker, by the worker's identity
+    :param expected_ms: expected run time
+    :param within_ms: longest run time that is still useful; slower workers are skipped
+    :param domain: failure domain of the dispatcher
+    :param taken: number of open runs of the step by worker, keyed by the worker's ``id``
     """
 
     step: StepSpec
@@ -54,54 +64,56 @@
 
 
 class Place(NamedTuple):
-    """A worker with the time that a task is predicted to take there."""
+    """A chosen worker and the predicted run time of the task there in ms."""
 
     worker: Candidate
     run_ms: float
 
 
 def predict_run(worker: Candidate, step: StepSpec, expected_ms: float) -> float:
-    """Return the run time of a task at a worker in ms."""
-    far = FAR_FACTOR if step.rack and step.rack != worker.rack else 1.0
-    return expected_ms * worker.pace * far
+    """Return the predicted run time in ms of a task on a worker."""
+    locality_factor = FAR_FACTOR if step.rack and step.rack != worker.rack else 1.0
+    return expected_ms * worker.pace * locality_factor
 
 
 def may_run(worker: Candidate, step: StepSpec) -> bool:
-    """Return whether a worker can ever run tasks of a step."""
+    """Return whether an idle worker could run a task of a step."""
     if not worker.room.fits(step.need):
         return False
     return not step.label or step.label in worker.labels
 
 
 def choose(workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-    """Return the best worker with room for one task, or None.
+    """Return the best worker with free capacity for one task, or None.
 
-    None is sent ahead of room: where it waited, a more urgent one could not overtake it.
+    Tasks aren't sent to workers in advance, before capacity is free: a more urgent task
+    couldn't overtake one that waits at a worker.
     """
     step = request.step
     best = None
     best_score = -math.inf
     for worker in workers:
-        if not worker.free.fits(step.need) or not _may_take(worker, step, request.taken):
+        if not worker.free.fits(step.need) or not _accepts(worker, step, request.taken):
             continue
         run_ms = predict_run(worker, step, request.expected_ms)
         if run_ms > request.within_ms:
             continue
-        score = -_measure_cost(worker, step, run_ms, request.domain)
+        score = -_placement_cost(worker, step, run_ms, request.domain)
         if score > best_score:
             best, best_score = Place(worker, run_ms), score
     return best
 
 
-def _may_take(worker: Candidate, step: StepSpec, taken: dict[int, int]) -> bool:
+def _accepts(worker: Candidate, step: StepSpec, taken: dict[int, int]) -> bool:
     if not worker.is_usable or not may_run(worker, step):
         return False
     return not step.per_worker or taken.get(id(worker), 0) < step.per_worker
 
 
-def _measure_cost(worker: Candidate, step: StepSpec, run_ms: float, domain: str) -> float:
-    used = 1 - worker.free.cpu / max(1, worker.room.cpu)
-    cost = run_ms * (1 + FULL_SHARE * used + SPREAD_SHARE * random.random())
+def _placement_cost(worker: Candidate, step: StepSpec, run_ms: float, domain: str) -> float:
+    """Return the cost of a placement in ms; the least is the best."""
+    used_share = 1 - worker.free.cpu / max(1, worker.room.cpu)
+    cost = run_ms * (1 + FULL_SHARE * used_share + SPREAD_SHARE * random.random())
     if worker.free.cpu - step.need.cpu < CONFLICT_SHARE * worker.room.cpu:
         cost += CONFLICT_MS
     if worker.domain != domain:
--- a/geraniumspool/queued_work.py
+++ b/geraniumspool/queued_work.py
@@ -1,93 +1,104 @@
-"""Work that waits and work that arrives, by urgency, as dispatchers tell each other.
+"""Queued work and arrival rates by priority level, as dispatchers report them to each other.
 
-Work is room times run time: thousandths of a core times ms.
+Work is CPU need times run time, in thousandths of a core times ms.
 """
 
 import math
 from typing import NamedTuple
 
-# Priorities from this one on count alike: operators use three or four.
+# Number of priority levels. Higher priority numbers count as the last level, as operators use
+# three or four.
 LEVELS = 4
-# Arrivals of now are averaged over about this long: long against the time between two jobs
-# of one dispatcher, 20 ms to 200 ms, and short against a burst, which lasts some seconds.
+# Time constant of the average of recent arrivals: long compared with the interval between two
+# jobs of one dispatcher, 20 ms to 200 ms, and short compared with a burst, which lasts some
+# seconds.
 RECENT_MS = 2_000.0
-# Usual arrivals are averaged over several bursts and the calm between them.
+# Time constant of the average of usual arrivals: it spans several bursts and the calm between
+# them.
 USUAL_MS = 20_000.0
 
-_NOTHING = (0.0,) * LEVELS
+_NO_LEVEL_WORK = (0.0,) * LEVELS
 
 
 class QueuedWork(NamedTuple):
-    """Work by level, the most urgent first.
+    """Work by priority level, the most urgent first.
 
-    :param in_time: work that waits, of jobs that can still be in time
-    :param late: work that waits, of jobs that are late and still of use
-    :param arriving: work of the jobs that were taken lately, in one ms
-    :param usual: the same over a longer time
+    :param in_time: queued work of jobs that can still be in time
+    :param late: queued work of jobs that are late
+    :param arriving: recent arrival rate: work of accepted jobs per ms
+    :param usual: arrival rate averaged over a longer time
     """
 
-    in_time: tuple[float, ...] = _NOTHING
-    late: tuple[float, ...] = _NOTHING
-    arriving: tuple[float, ...] = _NOTHING
-    usual: tuple[float, ...] = _NOTHING
+    in_time: tuple[float, ...] = _NO_LEVEL_WORK
+    late: tuple[float, ...] = _NO_LEVEL_WORK
+    arriving: tuple[float, ...] = _NO_LEVEL_WORK
+    usual: tuple[float, ...] = _NO_LEVEL_WORK
 
 
 NO_WORK = QueuedWork()
 
 
 class ArrivalMeter:
-    """Averages the work that arrives, by level."""
+    """Exponentially weighted average of the arrival rate of work, by priority level."""
 
     def __init__(self, now: float, memory_ms: float):
-        """Start with none.
+        """Create a meter without arrivals.
 
-        :param now: time in ms
-        :param memory_ms: about how long is averaged over
+        :param now: clock time in ms
+        :param memory_ms: time constant of the average
         """
         self._memory_ms = memory_ms
-        self._sums = list(_NOTHING)
-        self._begun_ms = now
-        self._noted_ms = now
+        self._sums = list(_NO_LEVEL_WORK)
+        self._started_ms = now
+        self._updated_ms = now
 
     def note(self, level: int, work: float, now: float) -> None:
-        """Take that a job with some work has arrived."""
-        self._fade(now)
+        """Record the arrival of a job.
+
+        :param work: its work in thousandths of a core times ms
+        :param now: clock time in ms
+        """
+        self._decay(now)
         self._sums[level] += work
 
     def rates(self, now: float) -> tuple[float, ...]:
-        """Return the work that arrives in one ms, by level."""
-        self._fade(now)
-        age_ms = max(RECENT_MS, now - self._begun_ms)
+        """Return the arrival rate in work per ms, by priority level."""
+        self._decay(now)
+        age_ms = max(RECENT_MS, now - self._started_ms)
         span_ms = self._memory_ms * (1 - math.exp(-age_ms / self._memory_ms))
         return tuple(total / span_ms for total in self._sums)
 
-    def _fade(self, now: float) -> None:
-        kept = math.exp(-(now - self._noted_ms) / self._memory_ms)
-        self._sums = [total * kept for total in self._sums]
-        self._noted_ms = now
+    def _decay(self, now: float) -> None:
+        factor = math.exp(-(now - self._updated_ms) / self._memory_ms)
+        self._sums = [total * factor for total in self._sums]
+        self._updated_ms = now
 
 
 class Arrivals:
-    """Work of one service that arrives at one dispatcher, lately and usually."""
+    """Recent and usual arrival rates of the work of one service at one dispatcher."""
 
     def __init__(self, now: float):
-        """Start with none.
+        """Start without arrivals.
 
-        :param now: time in ms
+        :param now: clock time in ms
         """
         self._recent = ArrivalMeter(now, RECENT_MS)
         self._usual = ArrivalMeter(now, USUAL_MS)
 
     def note(self, level: int, work: float, now: float) -> None:
-        """Take that a job with some work has arrived."""
+        """Record the arrival of a job.
+
+        :param work: its work in thousandths of a core times ms
+        :param now: clock time in ms
+        """
         self._recent.note(level, work, now)
         self._usual.note(level, work, now)
 
     def add_to(self, waiting: QueuedWork, now: float) -> QueuedWork:
-        """Return waiting work together with what arrives."""
+        """Return queued work with its arrival rates set."""
         return waiting._replace(arriving=self._recent.rates(now), usual=self._usual.rates(now))
 
 
 def level_of(priority: int) -> int:
-    """Return the level of a queue's priority, of which 0 is the most urgent."""
+    """Return the priority level of a queue's priority; 0 is the most urgent."""
     return max(0, min(LEVELS - 1, priority))
--- a/geraniumspool/queues.py
+++ b/geraniumspool/queues.py
@@ -1,4 +1,4 @@
-"""The operators' queues: where jobs are handed in, and how they are served."""
+"""Queues that operators configure: where callers submit jobs and how these are served."""
 
 import logging
 from typing import NamedTuple
@@ -7,15 +7,17 @@
 
 
 class Queue(NamedTuple):
-    """One queue, to which callers hand in jobs under a host and a path prefix.
-
-    :param service: pool of minions that run its tasks
-    :param priority: urgency, 0 is the most urgent
-    :param attempts: most runs of a task that may end as failed
-    :param objective_factor: part of the latency objective that grows with the job's work
-    :param objective_ms: part of the latency objective that does not
-    :param timeout_ms: longest wait of a caller whatever it asks for
-    :param advised: whether only some minions may run a task, by word of a service
+    """A queue, to which callers submit jobs under a host and a path prefix.
+
+    :param host: host name that callers address
+    :param prefix: path prefix of job submissions
+    :param service: service whose minions run the tasks
+    :param priority: priority, 0 is the most urgent
+    :param attempts: number of failed runs of a task after which its job fails
+    :param objective_factor: latency objective as a multiple of the job's expected run time
+    :param objective_ms: constant part of the latency objective in ms, added to the multiple
+    :param timeout_ms: upper bound of a caller's timeout in ms, whatever it asks for
+    :param advised: whether a service restricts which minions may run a task
     """
 
     name: str
@@ -31,13 +33,13 @@
 
 
 class QueueTable:
-    """The queues of one version of the configuration."""
+    """Queues of one version of the configuration."""
 
     def __init__(self, version: int, queues: tuple[Queue, ...], max_body_bytes: int = 0):
         """Index the queues by host.
 
-        :param version: rises with each change, not always by one
-        :param max_body_bytes: longest body of a request, 0 for no limit
+        :param version: version number, which rises with each change, not always by one
+        :param max_body_bytes: maximum size of a request body, 0 for no limit
         """
         self.version = version
         self.queues = queues
@@ -45,13 +47,13 @@
         self._by_host: dict[str, list[Queue]] = {}
         for queue in queues:
             self._by_host.setdefault(queue.host.lower(), []).append(queue)
-        for listed in self._by_host.values():
-            listed.sort(key=lambda queue: -len(queue.prefix))
+        for host_queues in self._by_host.values():
+            host_queues.sort(key=lambda queue: -len(queue.prefix))
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path, or None.
+        """Return the queue with the longest prefix that matches a path, or None.
 
-        :param host: host that the caller addressed, a port left out
+        :param host: host that the caller addressed, without the port
         """
         for queue in self._by_host.get(host.lower(), ()):
             if path.startswith(queue.prefix):
@@ -60,24 +62,27 @@
 
 
 class QueueConfiguration:
-    """The queues in force at one process; an older version never comes back."""
+    """Queue configuration in use by one process; an older version never replaces a newer one.
+
+    :ivar table: queues of the version in use, None before the first one
+    """
 
     def __init__(self):
         """Start without a configuration."""
         self.table: QueueTable | None = None
 
     def take(self, table: QueueTable) -> bool:
-        """Put a version in force unless it is older; return whether that changed anything."""
+        """Apply a version if it is newer than the one in use; return whether it was applied."""
         if self.table is not None and table.version <= self.table.version:
             return False
-        before = self.table.version if self.table else 0
+        previous_version = self.table.version if self.table else 0
         self.table = table
         _LOG.info(
-            "configuration taken",
+            "configuration applied",
             extra={
                 "fields": (
                     ("version", table.version),
-                    ("before", before),
+                    ("before", previous_version),
                     ("queues", len(table.queues)),
                 )
             },
--- a/geraniumspool/rooms.py
+++ b/geraniumspool/rooms.py
@@ -1,12 +1,12 @@
-"""Amounts of the resources that tasks need and workers offer."""
+"""Resource amounts that tasks need and workers offer."""
 
 from typing import NamedTuple
 
 
 class Room(NamedTuple):
-    """An amount of each resource of a worker.
+    """Amounts of CPU, memory and accelerators.
 
-    :param cpu: thousandths of a core
+    :param cpu: CPU in thousandths of a core
     :param memory_mb: memory in MB
     :param accelerators: number of accelerators
     """
@@ -16,7 +16,7 @@
     accelerators: int = 0
 
     def fits(self, need: "Room") -> bool:
-        """Return whether ``need`` is at most this much of every resource."""
+        """Return whether ``need`` exceeds no amount of this one."""
         return (
             need.cpu <= self.cpu
             and need.memory_mb <= self.memory_mb
@@ -32,7 +32,7 @@
         )
 
     def minus(self, other: "Room") -> "Room":
-        """Return what is left of this amount, negative where there is too little."""
+        """Return the difference of both amounts; single resources may become negative."""
         return Room(
             self.cpu - other.cpu,
             self.memory_mb - other.memory_mb,
--- a/geraniumspool/urgency.py
+++ b/geraniumspool/urgency.py
@@ -1,53 +1,61 @@
-"""Decides in which order jobs are served, which are refused, and when callers return.
+"""Rank jobs by urgency, predict whether they meet their deadline, and choose retry delays.
 
-Plain functions on numbers. Answered load patterns: a burst over capacity, in
-which what is admitted late would ruin what can still be in time; one kind of
-job that crowds out others; the return of callers after an outage.
+Pure functions on numbers. They handle bursts over capacity, in which late jobs would delay
+jobs that can still be in time; one kind of job that crowds out others; and the return of
+many callers after an outage.
 """
 
 import math
 import random
 from typing import NamedTuple
 
-# A job that takes up to this many objectives still is of some use to its caller.
+# The result of a job is still useful to its caller up to this multiple of the latency
+# objective.
 LATE_FACTOR = 3.0
-# Estimates of run times are off by some tens of per cent: a job that has not begun counts as
-# late once less than this share of its objective is to spare, so that those behind it can
-# still be in time.
+# Run time estimates are off by some tens of per cent. A job that hasn't started counts as late
+# once its slack falls below this share of its objective, so that the jobs behind it can still
+# be in time.
 START_MARGIN = 0.1
-# Of long jobs it would be so much that they never became the most urgent.
+# Cap of that margin: for long jobs the share alone would be so large that they never became the
+# most urgent.
 MAX_START_MARGIN_MS = 40.0
-# What is left by more urgent arrivals is not taken to be less than this share of all room.
+# Lower bound of the capacity that more urgent arrivals are assumed to leave, as a share of the
+# total capacity.
 MIN_SPARE = 0.02
-# Services are sized for their usual load: at least this share is left for what is late.
+# Lower bound for late jobs: services are sized for their usual load, which leaves at least this
+# share of the total capacity.
 MIN_LATE_SPARE = 0.25
-# Predicted waits are off by about a fifth of the objective, and are too short by somewhat
-# less, since jobs that come later overtake: the logistic curve of the chance to be in time.
+# Width and offset, in latency objectives, of the logistic curve that gives the probability of
+# being in time. Predicted waits are off by about a fifth of the objective, and are too short
+# by somewhat less because jobs that arrive later overtake.
 CHANCE_SPREAD = 0.12
 CHANCE_SHIFT = 0.15
 LARGEST_EXPONENT = 50.0
-# A job of which this share is done is finished while its caller waits, however late: little
-# more work makes an answer of it.
+# A job with at least this share of its tasks done isn't moved to the end of the order, however
+# late it is, while its caller waits: little more work completes it.
 FINISH_SHARE = 0.5
-# Learning of waits: about the last thirty jobs that had to wait; one tells no more than that
-# it waited for four times as long. Shorter waits are those of messages.
+# The moving averages of predicted and actual waits cover about the last thirty jobs that had to
+# wait. A single job counts for at most a fourfold deviation in either direction. Waits shorter
+# than SHORTEST_WAIT_MS are network latency and are ignored.
 WAIT_WEIGHT = 0.03
 WAIT_PRIOR_MS = 100.0
 MAX_WAIT_FACTOR = 4.0
 SHORTEST_WAIT_MS = 10.0
 MIN_RETRY_MS = 200.0
-# Nothing is known of a load so far ahead: a caller who waits longer misses what gets free.
+# The load can't be predicted further ahead: callers that wait longer would miss capacity that
+# becomes free.
 MAX_RETRY_MS = 10_000.0
-# Callers that are refused together come back spread over as long again as they wait.
+# Random share added to retry delays: callers refused together come back spread over an interval
+# as long as the delay.
 RETRY_SPREAD = 1.0
 
 
 class Timing(NamedTuple):
-    """Points in time of one job, in ms of the dispatcher's clock.
+    """Arrival time, latency objective and timeout of a job.
 
-    :param arrived_ms: when its caller's request was read
-    :param objective_ms: time after arrival within which it is in time
-    :param limit_ms: time after arrival at which its caller goes away
+    :param arrived_ms: clock time in ms at which the caller's request was read
+    :param objective_ms: latency objective in ms, counted from the arrival
+    :param limit_ms: timeout in ms, counted from the arrival, after which the caller is gone
     """
 
     arrived_ms: float
@@ -55,22 +63,29 @@
     limit_ms: float
 
     def latest_start(self, left_ms: float) -> float:
-        """Return when a chain of ``left_ms`` has to start to be in time."""
+        """Return the latest clock time at which a job can start and still be in time.
+
+        :param left_ms: expected time of its longest remaining chain of steps
+        """
         return self.arrived_ms + self.objective_ms - left_ms
 
     def last_use(self, left_ms: float) -> float:
-        """Return when a chain of ``left_ms`` has to start to be of any use."""
-        useful = min(LATE_FACTOR * self.objective_ms, self.limit_ms)
-        return self.arrived_ms + useful - left_ms
+        """Return the latest clock time at which a job can start and still be useful.
+
+        :param left_ms: expected time of its longest remaining chain of steps
+        """
+        useful_ms = min(LATE_FACTOR * self.objective_ms, self.limit_ms)
+        return self.arrived_ms + useful_ms - left_ms
 
 
 class Rank(NamedTuple):
-    """Place of a job in the order of service; the least is served first.
+    """Sort key for the order of service; the least is served first.
 
-    :param is_past_use: whether its caller has no use of it any more
+    :param is_past_use: whether the job's result is no longer useful to the caller
     :param is_new: whether none of its tasks has started
-    :param level: urgency of its queue's priority, 0 the most urgent
-    :param lateness: one of the constants below
+    :param level: priority level of its queue; 0 is the most urgent
+    :param lateness: :data:`IN_TIME`, :data:`LATE` or :data:`TOO_LATE`
+    :param latest_start_ms: latest clock time at which it can start and still be in time
     """
 
     is_past_use: bool
@@ -82,7 +97,8 @@
 
 IN_TIME = 0
 LATE = 1
-# No use to its caller by the objective, but it has begun: what is ready is still delivered.
+# The result is no longer useful by the latency objective. A started job is still finished and
+# its result delivered.
 TOO_LATE = 2
 
 
@@ -94,21 +110,22 @@
     level: int = 0,
     done_share: float = 0.0,
 ) -> Rank:
-    """Return a job's place: begun ones first, then by priority, late ones last in each.
+    """Rank started jobs first, then by priority, and late jobs last within a priority.
 
-    Among equals the one that has to start first goes first. The rest of a begun job counts
-    as in time while it is of use: what it has had is lost if the rest does not follow. The
-    least urgent queue bears what is too much, as far as its callers can wait.
+    Among equals, the job with the earliest latest start goes first. A started job counts as in
+    time as long as its result is useful: the work done so far is lost unless the rest follows.
+    Under overload the least urgent queue waits, as long as its callers' timeouts allow.
 
-    :param left_ms: expected time of what is left of its longest chain
+    :param left_ms: expected time of its longest remaining chain of steps
+    :param now: clock time in ms
     :param has_started: whether some of its tasks have started
-    :param level: urgency of its queue's priority, 0 the most urgent
-    :param done_share: share of its tasks that are done
+    :param level: priority level of its queue; 0 is the most urgent
+    :param done_share: fraction of its tasks that have succeeded
     """
-    latest = timing.latest_start(left_ms)
+    latest_start_ms = timing.latest_start(left_ms)
     lateness = _find_lateness(timing, left_ms, now, has_started)
     is_past_use = lateness == TOO_LATE and done_share < FINISH_SHARE
-    return Rank(is_past_use, not has_started, level, lateness, latest)
+    return Rank(is_past_use, not has_started, level, lateness, latest_start_ms)
 
 
 def _find_lateness(timing: Timing, left_ms: float, now: float, has_started: bool) -> int:
@@ -121,9 +138,10 @@
 
 
 def allowed_end(timing: Timing, lateness: int, has_started: bool = False) -> float:
-    """Return the time after arrival at which a run of a job has to end to be of use.
+    """Return the time in ms after a job's arrival by which its runs have to end to be useful.
 
-    A begun job is not held back for being late: its last tasks used to wait with room free.
+    A started job gets the longer limit of a late one: otherwise its last tasks would wait
+    although workers have free capacity.
     """
     if lateness == TOO_LATE:
         return timing.limit_ms
@@ -132,15 +150,17 @@
 
 
 class Outlook(NamedTuple):
-    """What a waiting job has before it. Work is in thousandths of a core times ms.
-
-    :param is_free: whether room for all of it is free now and nothing is served before it
-    :param ahead: work that is served before it while it can be in time
-    :param late_ahead: work that is served before it once it is late
-    :param spare: room that more urgent arrivals leave, in thousandths of a core
-    :param late_spare: room that all arrivals leave that are served before late jobs
-    :param opening_ms: time until room for its own tasks has become free
-    :param factor: actual by predicted waits, as learnt
+    """Predicted queueing conditions of a job.
+
+    Work is in thousandths of a core times ms, capacity in thousandths of a core.
+
+    :param is_free: whether all its tasks can start now and no queued job is served before it
+    :param ahead: work that is served before the job while it can be in time
+    :param late_ahead: work that is served before the job once it is late
+    :param spare: capacity left by more urgent arrivals
+    :param late_spare: capacity left by all arrivals that are served before late jobs
+    :param opening_ms: time until enough capacity for the job's own tasks becomes free
+    :param factor: learnt ratio of actual to predicted waits
     """
 
     is_free: bool
@@ -153,41 +173,41 @@
 
     @property
     def wait_ms(self) -> float:
-        """Return the predicted time until all of it has started, as a job in time."""
+        """Return the predicted time in ms until all its tasks have started, if in time."""
         if self.is_free:
             return 0.0
         return self.factor * (_divide(self.ahead, self.spare) + self.opening_ms)
 
     @property
     def late_wait_ms(self) -> float:
-        """Return the predicted time until all of it has started, as a late job."""
+        """Return the predicted time in ms until all its tasks have started, if late."""
         if self.is_free:
             return 0.0
         return self.factor * (_divide(self.late_ahead, self.late_spare) + self.opening_ms)
 
 
 class Chances(NamedTuple):
-    """How likely a job is to be in time, and to be of use at all."""
+    """Probabilities that a job is in time, and that its result is useful, in time or late."""
 
     in_time: float
     of_use: float
 
 
 class WaitLearner:
-    """Learns how much longer jobs wait than was predicted, from those that have begun."""
+    """Moving average of the ratio of actual to predicted waits of jobs."""
 
     def __init__(self):
-        """Trust predictions."""
+        """Start with a ratio of 1."""
         self._predicted_ms = WAIT_PRIOR_MS
         self._actual_ms = WAIT_PRIOR_MS
 
     @property
     def factor(self) -> float:
-        """Return actual by predicted waits of the last jobs."""
+        """Return the ratio of actual to predicted waits of the last jobs."""
         return self._actual_ms / self._predicted_ms
 
     def note(self, predicted_ms: float, actual_ms: float) -> None:
-        """Take how long a job has waited until all of it had started, or was given up."""
+        """Record the wait of a job until all its tasks were started or it was given up."""
         if max(predicted_ms, actual_ms) < SHORTEST_WAIT_MS:
             return
         predicted_ms = max(predicted_ms, actual_ms / MAX_WAIT_FACTOR)
@@ -197,28 +217,31 @@
 
 
 def predict_chances(timing: Timing, left_ms: float, outlook: Outlook, now: float) -> Chances:
-    """Return the chances of a job that waits."""
+    """Return the probabilities that a queued job is in time and that its result is useful."""
     in_time = predict_chance(timing, timing.latest_start(left_ms) - now, outlook.wait_ms)
     late = predict_chance(timing, timing.last_use(left_ms) - now, outlook.late_wait_ms)
     return Chances(in_time, in_time + (1 - in_time) * late)
 
 
 def predict_chance(timing: Timing, slack_ms: float, wait_ms: float) -> float:
-    """Return the chance that a wait is over within some slack."""
+    """Return the probability that a wait ends within the available slack."""
     if math.isinf(wait_ms):
         return 0.0
-    spare = (slack_ms - wait_ms) / timing.objective_ms - CHANCE_SHIFT
-    exponent = max(-LARGEST_EXPONENT, min(LARGEST_EXPONENT, -spare / CHANCE_SPREAD))
+    margin = (slack_ms - wait_ms) / timing.objective_ms - CHANCE_SHIFT
+    exponent = max(-LARGEST_EXPONENT, min(LARGEST_EXPONENT, -margin / CHANCE_SPREAD))
     return 1 / (1 + math.exp(exponent))
 
 
-def _divide(work: float, room: float) -> float:
+def _divide(work: float, capacity: float) -> float:
     if work <= 0:
         return 0.0
-    return work / room if room > 0 else math.inf
+    return work / capacity if capacity > 0 else math.inf
 
 
 def choose_retry(wait_ms: float) -> float:
-    """Return when a refused caller should come back, in ms, spread at random."""
-    base = min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms))
-    return base * (1 + RETRY_SPREAD * random.random())
+    """Return the retry delay for a refused caller in ms, with random jitter.
+
+    :param wait_ms: predicted wait
+    """
+    base_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms))
+    return base_ms * (1 + RETRY_SPREAD * random.random())
