--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -1,4 +1,4 @@
-"""A dispatcher or more with executors and minions, all in memory."""
+"""Simulation of dispatchers, executors and minions in memory, on a manual clock."""
 
 import eventlet
 
@@ -43,37 +43,44 @@
 EVACUATIONS_PREFIX = "op/evacuate/"
 EVACUATION_MS = 5_000.0
 LONG_AGO_MS = 60_000.0
-# A watch of the store is answered this often.
+# Interval at which a dispatcher's watch of the store reads the evacuated domains.
 WATCH_MS = 1_000
 
 
 def make_spec(job_id, count=1, cpu=4_000, run_ms=100, how="", declared_ms=None, **step):
-    """Return a job of one step whose payload minions in memory understand."""
+    """Return a job of one step, with a payload that :class:`MemoryMinion` understands.
+
+    :param cpu: CPU need of a task in thousandths of a core
+    :param run_ms: actual run time of a task
+    :param how: how a task ends, for example ``fail`` or ``crash``, empty for success
+    :param declared_ms: declared run time, ``run_ms`` if not given
+    :param step: further fields of the :class:`StepSpec`
+    """
     payload = f"{cpu}:{run_ms}" + (f":{how}" if how else "")
     declared = run_ms if declared_ms is None else declared_ms
     return JobSpec(job_id, payload, (StepSpec(count, Room(cpu), declared, **step),))
 
 
 class OperatorList:
-    """The evacuated domains as the store lists them."""
+    """Store content with the keys of the evacuated failure domains."""
 
     def __init__(self):
         self.domains = frozenset()
         self.revision = 1
 
     def change(self, *domains):
-        """Have these be all that are evacuated."""
+        """Replace the evacuated failure domains."""
         self.domains = frozenset(domains)
         self.revision += 1
 
     def list(self):
-        """Return the keys, as the store does."""
+        """Return the keys as a snapshot of the store."""
         keys = [EVACUATIONS_PREFIX + domain for domain in sorted(self.domains)]
         return Snapshot(self.revision, tuple(KeyValue(key, b"{}", self.revision) for key in keys))
 
 
 def make_guard(clock, counters, domain="north", operators=None):
-    """Return a guard that has read the operators' list."""
+    """Return a guard that has read the evacuated failure domains."""
     operators = operators or OperatorList()
     evacuations = Evacuations(clock, counters)
     evacuations.replace(operators.domains, operators.revision, clock.now())
@@ -83,9 +90,9 @@
 
 
 class Worker:
-    """An executor with its minion, its messenger and its green tasks.
+    """An executor with its minion, messenger and green threads.
 
-    :ivar is_cut_off: whether it does not reach the store
+    :ivar is_cut_off: whether it can't reach the store
     """
 
     def __init__(
@@ -146,20 +153,20 @@
 
     def _list_evacuated(self):
         if self.is_cut_off:
-            raise StoreUnavailable("cut off")
+            raise StoreUnavailable(f"store is unreachable from {self.address}")
         return self.world.operators.list()
 
     def kill(self):
-        """End the process, as by a signal; the minion lives on."""
+        """End the executor process as a kill signal does; the minion keeps running."""
         for task in self.tasks:
             task.kill()
         self.messenger.stop()
 
 
 class Home:
-    """A dispatcher with its messenger and its green tasks.
+    """A dispatcher process with its messenger and green threads.
 
-    :ivar is_cut_off: whether it does not reach the store
+    :ivar is_cut_off: whether it can't reach the store
     """
 
     def __init__(self, world, name, incarnation=1, capacity=1.0, domain="north", is_cut_off=False):
@@ -182,7 +189,7 @@
             domain,
             self.peers.views.values,
             lambda: self.peers.executors,
-            # Nothing was there before the first processes.
+            # No process ran before the first ones, so that their claims need not wait.
             world.clock.now() - LONG_AGO_MS if incarnation == 1 else None,
         )
         self.dispatcher = Dispatcher(
@@ -236,33 +243,35 @@
         return self.messenger.me.address
 
     def submit(self, spec, queue=QUEUE, wait_ms=3_000.0):
-        """Hand a job in; return what its caller will be told, once it is."""
-        told = Caller()
-        taken = self.router.submit(spec, queue, wait_ms)
-        if isinstance(taken, JobResult):
-            told.take(taken, self.world.clock.now())
+        """Submit a job; return its caller, who gets the result once there is one."""
+        caller = Caller()
+        answer = self.router.submit(spec, queue, wait_ms)
+        if isinstance(answer, JobResult):
+            caller.take(answer, self.world.clock.now())
         else:
-            told.job = taken
-            eventlet.spawn_n(lambda: told.take(self.router.wait(taken), self.world.clock.now()))
-        return told
+            caller.job = answer
+            eventlet.spawn_n(lambda: caller.take(self.router.wait(answer), self.world.clock.now()))
+        return caller
 
     def place(self, spec, queue=QUEUE, wait_ms=3_000.0):
-        """Have a job placed by this dispatcher, whoever owns the workers."""
-        told = Caller()
-        told.job = self.dispatcher.submit(spec, queue, wait_ms)
-        eventlet.spawn_n(lambda: told.take(self.dispatcher.wait(told.job), self.world.clock.now()))
-        return told
+        """Submit a job to this dispatcher itself, without forwarding to another one."""
+        caller = Caller()
+        caller.job = self.dispatcher.submit(spec, queue, wait_ms)
+        eventlet.spawn_n(
+            lambda: caller.take(self.dispatcher.wait(caller.job), self.world.clock.now())
+        )
+        return caller
 
     def unlist_member(self, key):
-        """Take that a member is not in the store any more."""
+        """Apply that a member's key was deleted from the store."""
         self.peers.directory.change(key, None, self.world.clock.now())
 
     def list_member(self, key, record):
-        """Take that the store lists a member."""
+        """Apply that a member's key was written to the store."""
         self.peers.directory.change(key, encode_record(record), self.world.clock.now())
 
     def note_written(self, address):
-        """Take that an executor has written its key, as a watch of the store tells it."""
+        """Notify the dispatcher, as its watch does, that an executor has written its key."""
         self.dispatcher.fleet.note_written(address)
         self.claims.take_worker(address)
 
@@ -271,7 +280,7 @@
         return [eventlet.spawn(task) for task in tasks]
 
     def read_operators(self):
-        """Take what operators ask for, as a watch of the store tells it."""
+        """Read the evacuated domains from the store, as a watch does, unless cut off."""
         if not self.is_cut_off:
             now = self.world.clock.now()
             self.evacuations.replace(
@@ -288,23 +297,28 @@
         self.router.take_rejection(sender)
 
     def freeze(self):
-        """Do nothing by itself until thawed."""
+        """Stop the green threads until :meth:`thaw`, as a paused process does."""
         for task in self.tasks:
             task.kill()
 
     def thaw(self):
-        """Go on."""
+        """Restart the green threads."""
         self.tasks = self._spawn_ticks()
 
     def kill(self):
-        """End the process; what it knew is gone."""
+        """End the process and lose its state."""
         for task in self.tasks:
             task.kill()
         self.messenger.stop()
 
 
 class Caller:
-    """What one caller was told."""
+    """A caller of a job.
+
+    :ivar job: the job while it is running, None if it was refused
+    :ivar result: the job's result, None until it is known
+    :ivar at_ms: clock time in ms at which the result arrived
+    """
 
     def __init__(self):
         self.job = None
@@ -321,7 +335,11 @@
 
 
 class DispatchWorld:
-    """Dispatchers and workers on one network in memory."""
+    """Dispatchers and workers on a simulated network.
+
+    :ivar homes: the dispatchers
+    :ivar domains: failure domains, to which processes are assigned in turn
+    """
 
     def __init__(
         self,
@@ -361,21 +379,21 @@
         return self.homes[0]
 
     def evacuate(self, *domains):
-        """Have operators evacuate these domains and no others."""
+        """Set the evacuated failure domains, as operators do."""
         self.operators.change(*domains)
         for home in self.homes:
             home.read_operators()
 
     def close(self):
-        """End all green tasks."""
+        """Stop all green threads."""
         for part in (*self.workers, *self.homes):
             part.kill()
 
     def started(self, task):
-        """Return how often a task was started at all minions."""
+        """Return how many times a task was started on any minion."""
         return sum(key.task == task for worker in self.workers for key in worker.minion.started)
 
     def running_twice(self):
-        """Return the tasks that run at two minions now."""
+        """Return the tasks that are running on two minions at the same time."""
         running = [task for worker in self.workers for task in worker.minion.running]
         return {task for task in running if running.count(task) > 1}
--- a/tests/test_dispatch_agent.py
+++ b/tests/test_dispatch_agent.py
@@ -1,4 +1,4 @@
-"""Tests of the executor's program: what a process leaves in the store for the next one."""
+"""Tests of the executor process: the key that it leaves in the store for its successor."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class ReplacedProcessTest(unittest.TestCase):
-    """A process that takes up the minion of the one before it."""
+    """An executor process that adopts the minion of its predecessor."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -44,21 +44,23 @@
         return agent
 
     def report(self, **changes):
+        """Deliver a report of the minion with some fields changed."""
         life = self.minion.life
         self.minion.life = life._replace(sequence=life.sequence + 1, **changes)
         eventlet.spawn_n(self.agent.executor.take_life, self.minion.life)
         self.clock.advance(100)
 
     def replace(self):
+        """Replace the executor process by a new one at the same address."""
         self.agent.stop()
         self.agent = self.start(2)
 
-    def test_it_goes_on_without_a_report(self):
+    def test_it_accepts_runs_before_the_minions_next_report(self):
         self.replace()
         self.assertTrue(self.agent.executor.state().accepts)
 
-    def test_a_minion_that_leaves_gets_nothing_new(self):
-        # The one before was told; the next report is up to 1.5 s away.
+    def test_a_draining_minion_gets_no_new_runs(self):
+        # Only the predecessor got the report, and the next one may take up to 1.5 s.
         before = self.minion.life
         self.report(draining=True)
         self.replace()
@@ -70,32 +72,33 @@
         eventlet.spawn_n(self.agent.drain)
         self.clock.advance(2_000)
 
-    def test_one_that_ends_after_its_minion_leaves_no_key(self):
-        # Dispatchers that start later would wait for its word on jobs of before.
+    def test_a_process_that_ends_after_its_minion_deletes_its_key(self):
+        # Dispatchers that start later would otherwise wait for it to confirm earlier jobs.
         self.report(draining=True)
         self.agent.executor.lose_life(self.minion.life.instance)
         self.drain()
         self.assertIsNone(self.store.get(WORKER_PREFIX + ADDRESS))
 
-    def test_one_that_ends_before_its_minion_keeps_the_key_for_the_next(self):
+    def test_a_process_that_ends_before_its_minion_keeps_its_key(self):
         self.drain()
         self.assertIsNotNone(self.store.get(WORKER_PREFIX + ADDRESS))
 
-    def test_its_key_keeps_the_service_of_a_minion_that_is_down(self):
-        # Without it all dispatchers divide the workers anew, and again once the minion is back.
+    def test_the_key_keeps_the_service_of_a_minion_that_is_down(self):
+        # Otherwise all dispatchers would redistribute the workers, and again when the minion is
+        # back.
         self.agent.stop()
         self.minion.reborn("i-2")
-        seen = set()
+        seen_records = set()
         self.agent = self.start(2)
         for _ in range(20):
             record = decode_record(self.store.get(WORKER_PREFIX + ADDRESS).value, WorkerRecord)
-            seen.add((record.service, record.rack, record.domain))
+            seen_records.add((record.service, record.rack, record.domain))
             self.clock.advance(100)
         life = self.minion.life
-        self.assertEqual({(life.service, life.rack, "north")}, seen)
+        self.assertEqual({(life.service, life.rack, "north")}, seen_records)
         self.assertFalse(self.agent.executor.state().accepts)
 
-    def test_a_minion_that_has_started_again_is_not_taken_for_what_it_was(self):
+    def test_a_restarted_minion_is_not_adopted_before_it_reports(self):
         self.agent.stop()
         self.minion.restart()
         self.agent = self.start(2)
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -269,8 +269,8 @@
             self.callers.hand_in(spec)
             return
         home = self.draw.choice([home for home in self.world.homes if not self.is_frozen(home)])
-        told = home.submit(spec, wait_ms=5_000.0)
-        self.jobs[spec.job_id] = (spec, home, told)
+        caller = home.submit(spec, wait_ms=5_000.0)
+        self.jobs[spec.job_id] = (spec, home, caller)
 
     def pick(self):
         return self.draw.choice(self.world.workers)
@@ -390,8 +390,8 @@
             return
         self.replace_home(place)
         due = self.world.clock.now() + RESEND_MS
-        for spec, home, told in self.jobs.values():
-            if home is old and told.result is None:
+        for spec, home, caller in self.jobs.values():
+            if home is old and caller.result is None:
                 self.returns.append((due, spec))
         self.note(f"{old.address} replaced")
 
@@ -477,12 +477,12 @@
         self.callers.calm()
 
     def check_answers(self):
-        for name, (spec, _home, told) in self.jobs.items():
-            if told.result is None:
+        for name, (spec, _home, caller) in self.jobs.items():
+            if caller.result is None:
                 self.violations.append(f"{name} was never answered")
-            elif told.outcome is JobOutcome.SUCCEEDED:
+            elif caller.outcome is JobOutcome.SUCCEEDED:
                 self.check_success(name, spec)
-            elif told.outcome is JobOutcome.REFUSED and name not in self.sent_again:
+            elif caller.outcome is JobOutcome.REFUSED and name not in self.sent_again:
                 self.check_refusal(name, spec)
 
     def check_refusal(self, name, spec):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher with executors and minions in memory."""
+"""Tests of the dispatcher with simulated executors and minions."""
 
 import unittest
 
@@ -23,16 +23,16 @@
 KEYS = OperatorKeys("op/", "op/config", "op/evacuate/")
 
 TASK = "j1.0.0.0"
-# A caller that lost its connection sends its job again after this.
+# Delay after which a caller that lost its connection resubmits its job.
 RESEND_MS = 1_300.0
 
 
 class DispatchCase(unittest.TestCase):
-    """A world of one dispatcher and three workers."""
+    """A simulation of one dispatcher and three workers, unless overridden."""
 
     workers = 3
     homes = 1
-    # The first dispatcher, as the fastest, places on all workers.
+    # The first dispatcher is the fastest and therefore owns all workers.
     capacities = (2.0,)
 
     def setUp(self):
@@ -42,64 +42,64 @@
         self.home = self.world.home
 
     def advance(self, total_ms, step_ms=10):
-        """Let time pass, and check that no task runs twice at a time."""
+        """Advance the clock and check that no task ever runs twice at the same time."""
         for _ in range(int(total_ms // step_ms)):
             self.clock.advance(step_ms)
             self.assertEqual(set(), self.world.running_twice())
 
     def find_worker(self, task):
-        """Return the worker that runs a task."""
+        """Return the worker that is running a task."""
         return next(w for w in self.world.workers if task in w.minion.running)
 
 
-class AnswersTest(DispatchCase):
-    """How jobs end for their callers."""
+class ResultsTest(DispatchCase):
+    """Results that callers get."""
 
     def test_a_job_succeeds_when_all_tasks_are_done(self):
-        told = self.home.submit(make_spec("j1", count=5))
+        caller = self.home.submit(make_spec("j1", count=5))
         self.advance(50)
-        self.assertIsNone(told.outcome)
+        self.assertIsNone(caller.outcome)
         self.advance(200)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
         self.assertEqual([1] * 5, [self.world.started(f"j1.0.0.{index}") for index in range(5)])
         self.assertTrue(self.home.dispatcher.is_idle)
 
-    def test_steps_wait_for_those_they_come_after(self):
+    def test_a_step_starts_only_after_its_preceding_steps(self):
         steps = (StepSpec(2, Room(4_000), 100.0), StepSpec(2, Room(4_000), 100.0, (0,)))
-        told = self.home.submit(JobSpec("j1", "4000:100", steps))
+        caller = self.home.submit(JobSpec("j1", "4000:100", steps))
         self.advance(90)
         self.assertEqual(0, self.world.started("j1.0.1.0"))
         self.advance(200)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_job_fails_once_a_task_has_used_its_attempts(self):
-        told = self.home.submit(make_spec("j1", how="fail"))
+        caller = self.home.submit(make_spec("j1", how="fail"))
         self.advance(300)
-        self.assertEqual((JobOutcome.FAILED, "attempts_used"), told.result[:2])
+        self.assertEqual((JobOutcome.FAILED, "attempts_used"), caller.result[:2])
         self.assertEqual(QUEUE.attempts, self.world.started(TASK))
 
-    def test_a_failed_attempt_is_repeated_elsewhere(self):
-        told = self.home.submit(make_spec("j1", how="fail"), QUEUE._replace(attempts=3))
+    def test_a_failed_task_is_retried_on_another_worker(self):
+        caller = self.home.submit(make_spec("j1", how="fail"), QUEUE._replace(attempts=3))
         self.advance(600)
-        self.assertEqual(JobOutcome.FAILED, told.outcome)
-        used = [w for w in self.world.workers if w.minion.started]
-        self.assertGreater(len(used), 1)
+        self.assertEqual(JobOutcome.FAILED, caller.outcome)
+        used_workers = [w for w in self.world.workers if w.minion.started]
+        self.assertGreater(len(used_workers), 1)
 
-    def test_a_job_that_has_begun_ends_unfinished_at_its_callers_limit(self):
-        told = self.home.submit(make_spec("j1", run_ms=5_000, declared_ms=300), wait_ms=1_000.0)
+    def test_a_started_job_ends_unfinished_at_its_callers_timeout(self):
+        caller = self.home.submit(make_spec("j1", run_ms=5_000, declared_ms=300), wait_ms=1_000.0)
         self.advance(1_000)
-        self.assertEqual((JobOutcome.UNFINISHED, "deadline"), told.result[:2])
+        self.assertEqual((JobOutcome.UNFINISHED, "deadline"), caller.result[:2])
         self.advance(100)
         self.assertEqual([set()] * 3, [w.minion.running for w in self.world.workers])
 
-    def test_a_job_sent_again_joins_the_one_at_work(self):
+    def test_a_resubmitted_job_joins_the_running_one(self):
         first = self.home.submit(make_spec("j1"))
         second = self.home.submit(make_spec("j1"))
         self.advance(200)
         self.assertEqual([JobOutcome.SUCCEEDED] * 2, [first.outcome, second.outcome])
         self.assertEqual(1, self.world.started(TASK))
 
-    def test_runs_are_stopped_when_the_last_caller_has_gone(self):
+    def test_runs_are_stopped_when_the_last_caller_disconnects(self):
         first = self.home.submit(make_spec("j1", run_ms=2_000))
         second = self.home.submit(make_spec("j1", run_ms=2_000))
         self.advance(50)
@@ -110,7 +110,7 @@
         self.advance(100)
         self.assertEqual([set()] * 3, [w.minion.running for w in self.world.workers])
 
-    def test_a_job_is_refused_at_once_where_nothing_serves_it(self):
+    def test_a_job_that_no_worker_can_run_is_refused_at_once(self):
         cases = {
             "no_worker": (make_spec("j1"), QUEUE._replace(service="other")),
             "no_capacity": (make_spec("j2", cpu=99_000), QUEUE),
@@ -121,54 +121,56 @@
         }
         for code, (spec, queue) in cases.items():
             with self.subTest(code=code):
-                told = self.home.submit(spec, queue)
-                self.assertEqual((JobOutcome.REFUSED, code), told.result[:2])
-                self.assertGreater(told.result.retry_after_ms, 0)
+                caller = self.home.submit(spec, queue)
+                self.assertEqual((JobOutcome.REFUSED, code), caller.result[:2])
+                self.assertGreater(caller.result.retry_after_ms, 0)
                 self.advance(50)
                 self.assertEqual(0, self.world.started(f"{spec.job_id}.0.0.0"))
 
-    def test_labels_and_limits_of_tasks_on_a_worker_hold(self):
-        told = self.home.submit(make_spec("j1", count=3, cpu=1_000, per_worker=1, label="a"))
+    def test_labels_and_limits_of_tasks_per_worker_are_respected(self):
+        caller = self.home.submit(make_spec("j1", count=3, cpu=1_000, per_worker=1, label="a"))
         self.advance(50)
         self.assertEqual([1, 1, 1], [len(w.minion.running) for w in self.world.workers])
         self.advance(200)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
         refused = self.home.submit(make_spec("j2", label="z"))
         self.assertEqual("no_capacity", refused.result.code)
 
 
 class OverloadTest(DispatchCase):
-    """More work than room."""
+    """More work than the workers have capacity for."""
 
     workers = 2
 
-    def test_what_cannot_be_in_time_is_refused_at_once_with_a_time_to_return(self):
-        told = [self.home.submit(make_spec(f"j{n}", count=2, cpu=5_000)) for n in range(40)]
-        refused = [caller for caller in told if caller.outcome is JobOutcome.REFUSED]
+    def test_jobs_that_cannot_be_in_time_are_refused_at_once_with_a_retry_delay(self):
+        callers = [self.home.submit(make_spec(f"j{n}", count=2, cpu=5_000)) for n in range(40)]
+        refused = [caller for caller in callers if caller.outcome is JobOutcome.REFUSED]
         self.assertGreater(len(refused), 20)
         self.assertEqual({"overload"}, {caller.result.code for caller in refused})
-        returns = [caller.result.retry_after_ms for caller in refused]
-        self.assertGreater(max(returns) - min(returns), 100)
+        retries_ms = [caller.result.retry_after_ms for caller in refused]
+        self.assertGreater(max(retries_ms) - min(retries_ms), 100)
         self.advance(1_500)
-        for number, caller in enumerate(told):
+        for number, caller in enumerate(callers):
             if caller.outcome is JobOutcome.REFUSED:
                 self.assertEqual(0, self.world.started(f"j{number}.0.0.0"))
 
-    def test_what_is_accepted_at_twice_the_load_is_mostly_in_time(self):
-        told = []
+    def test_jobs_accepted_at_twice_the_capacity_are_mostly_in_time(self):
+        callers = []
         for number in range(100):
-            told.append((self.clock.now(), self.home.submit(make_spec(f"j{number}", cpu=5_000))))
+            callers.append((self.clock.now(), self.home.submit(make_spec(f"j{number}", cpu=5_000))))
             self.clock.advance(12)
         self.advance(1_000)
         served = [
-            caller.at_ms - sent for sent, caller in told if caller.outcome is JobOutcome.SUCCEEDED
+            caller.at_ms - sent
+            for sent, caller in callers
+            if caller.outcome is JobOutcome.SUCCEEDED
         ]
         in_time = sum(took <= 1.6 * 100 + 60 for took in served)
-        # Four run at a time for 100 ms each, so 48 fit into the 1.2 s.
+        # Four jobs run at a time for 100 ms each, so that 48 fit into the 1.2 s.
         self.assertGreater(in_time, 40)
         self.assertGreater(in_time, 0.8 * len(served))
 
-    def test_the_tighter_job_is_served_first(self):
+    def test_the_job_with_less_slack_is_served_first(self):
         blocker = self.home.submit(make_spec("b", count=4, cpu=5_000, run_ms=150))
         self.advance(20)
         loose = self.home.submit(make_spec("l", cpu=10_000, run_ms=400))
@@ -179,24 +181,24 @@
         self.advance(900)
         self.assertEqual([JobOutcome.SUCCEEDED] * 2, [loose.outcome, tight.outcome])
 
-    def test_orders_for_room_that_another_took_come_back_and_go_elsewhere(self):
+    def test_runs_refused_by_a_worker_that_another_dispatcher_filled_go_to_another_worker(self):
         other = Home(self.world, "h9")
         self.world.homes.append(other)
-        everywhere = {worker.address for worker in self.world.workers}
-        other.dispatcher.fleet.set_owned(everywhere, everywhere, dict.fromkeys(everywhere, "north"))
+        addresses = {worker.address for worker in self.world.workers}
+        other.dispatcher.fleet.set_owned(addresses, addresses, dict.fromkeys(addresses, "north"))
         self.clock.advance(100)
-        told = [self.home.submit(make_spec("a", count=3, cpu=5_000))]
-        told.append(other.place(make_spec("b", count=1, cpu=5_000)))
+        callers = [self.home.submit(make_spec("a", count=3, cpu=5_000))]
+        callers.append(other.place(make_spec("b", count=1, cpu=5_000)))
         self.advance(400)
-        self.assertEqual([JobOutcome.SUCCEEDED] * 2, [caller.outcome for caller in told])
+        self.assertEqual([JobOutcome.SUCCEEDED] * 2, [caller.outcome for caller in callers])
         for worker in self.world.workers:
             self.assertLessEqual(worker.minion.most_used.cpu, 10_000)
 
 
-class LeavingTest(DispatchCase):
-    """Jobs that arrive while the process is about to end."""
+class ShutdownTest(DispatchCase):
+    """Jobs that arrive while the process is shutting down."""
 
-    def test_only_what_is_over_by_the_end_is_taken(self):
+    def test_only_jobs_that_end_before_the_process_are_accepted(self):
         self.home.dispatcher.ends_ms = self.clock.now() + 1_000
         short = self.home.submit(make_spec("s", run_ms=200))
         long = self.home.submit(make_spec("l", run_ms=600))
@@ -205,59 +207,61 @@
         self.assertEqual(JobOutcome.SUCCEEDED, short.outcome)
         self.assertEqual(0, self.world.started("l.0.0.0"))
 
-    def test_nothing_is_taken_once_the_listener_closes(self):
+    def test_jobs_are_refused_once_the_listener_closes(self):
         dispatcher = self.home.dispatcher
-        taken = []
-        entry = make_leaving_entry(self.clock, dispatcher, lambda: taken.append(self.submit_late()))
-        leaving = eventlet.spawn(entry.drain)
+        answers = []
+        entry = make_draining_entry(
+            self.clock, dispatcher, lambda: answers.append(self.submit_late())
+        )
+        draining = eventlet.spawn(entry.drain)
         self.advance(4_000)
-        self.assertTrue(leaving.wait())
-        self.assertEqual([(JobOutcome.REFUSED, "leaving")], taken)
+        self.assertTrue(draining.wait())
+        self.assertEqual([(JobOutcome.REFUSED, "leaving")], answers)
         self.assertEqual(0, self.world.started("late.0.0.0"))
 
     def submit_late(self):
-        """Hand in a job that takes longer than the listener does to close."""
+        """Submit a job that takes longer than the listener takes to close."""
         late = self.home.submit(make_spec("late", run_ms=100))
         return late.outcome, late.result and late.result.code
 
 
 class SharingTest(DispatchCase):
-    """Room for which the work of several dispatchers waits."""
+    """Workers for which the jobs of several dispatchers wait."""
 
     workers = 2
     homes = 2
     urgent = QUEUE._replace(priority=0)
-    later = QUEUE._replace(priority=1)
+    less_urgent = QUEUE._replace(priority=1)
 
     def fill(self):
-        """Have all workers full, a less urgent job wait, and urgent ones come elsewhere."""
+        """Fill all workers, queue a less urgent job, and submit urgent ones elsewhere."""
         self.home.submit(make_spec("b", count=4, cpu=5_000, run_ms=300))
-        less_urgent = make_spec("l", count=2, cpu=5_000, run_ms=1_000)
-        told = self.home.submit(less_urgent, self.later, 9_000.0)
+        spec = make_spec("l", count=2, cpu=5_000, run_ms=1_000)
+        caller = self.home.submit(spec, self.less_urgent, 9_000.0)
         self.advance(20)
         other = self.world.homes[1]
         for number in range(3):
             other.submit(make_spec(f"u{number}", count=4, cpu=5_000, run_ms=300), self.urgent)
         self.advance(200)
-        return told
+        return caller
 
-    def test_less_urgent_jobs_wait_for_those_of_others(self):
-        told = self.fill()
+    def test_less_urgent_jobs_wait_for_urgent_ones_of_another_dispatcher(self):
+        caller = self.fill()
         self.advance(200)
         self.assertEqual(1, self.world.started("u0.0.0.0"))
         self.assertEqual(0, self.world.started("l.0.0.0"))
         self.advance(4_000)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_work_of_a_dispatcher_that_died_holds_back_others_for_a_second_only(self):
-        told = self.fill()
+    def test_queued_work_of_a_dead_dispatcher_delays_other_jobs_by_a_second_at_most(self):
+        caller = self.fill()
         self.world.homes.pop().kill()
         self.advance(1_000)
         self.assertEqual(1, self.world.started("l.0.0.0"))
         self.advance(1_500)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_work_of_another_service_is_not_told_with_it(self):
+    def test_a_load_report_leaves_out_the_work_of_other_services(self):
         self.fill()
         loads = {load.service: load for load in self.home.dispatcher.describe_loads()}
         self.assertEqual({QUEUE.service}, loads.keys())
@@ -265,8 +269,8 @@
         self.assertEqual(NO_WORK, self.home.dispatcher.describe_load("other").queued)
 
 
-class Closing:
-    """A callers' listener whose last caller comes while it closes."""
+class ClosingListener:
+    """A job listener that calls a function while it closes, as if one last job arrived."""
 
     def __init__(self, on_drain):
         self._on_drain = on_drain
@@ -278,8 +282,11 @@
         self._on_drain()
 
 
-def make_leaving_entry(clock, dispatcher, on_drain):
-    """Return an entry of a dispatcher in memory, ready to leave."""
+def make_draining_entry(clock, dispatcher, on_drain):
+    """Return a dispatcher process around a simulated dispatcher, ready to be drained.
+
+    :param on_drain: called while its listener closes
+    """
     settings = DispatcherSettings(
         name="n",
         domain="north",
@@ -293,17 +300,17 @@
     store = MemoryStore(clock)
     entry = DispatchEntry(settings, clock, MemoryCounters(), messenger, store, KEYS, bytes)
     entry.dispatcher = dispatcher
-    entry.serve(Closing(on_drain), [])
+    entry.serve(ClosingListener(on_drain), [])
     return entry
 
 
 class FaultsTest(DispatchCase):
-    """Faults, during which no task runs twice at a time."""
+    """Faults, during which no task may run twice at the same time."""
 
     homes = 2
 
-    def test_a_silent_worker_is_given_up_only_after_both_leases(self):
-        told = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+    def test_runs_of_a_silent_worker_are_given_up_only_after_both_leases(self):
+        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         self.world.network.part(self.home.address, worker.address)
@@ -311,34 +318,34 @@
         self.assertEqual(1, self.world.started(TASK))
         self.advance(2_000)
         self.assertEqual(2, self.world.started(TASK))
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_a_worker_that_is_heard_but_hears_nothing(self):
-        told = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+    def test_a_worker_that_receives_no_messages_but_sends_them(self):
+        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         self.world.network.cut.add((self.home.address, worker.address))
         self.advance(3_500)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_a_worker_that_hears_but_is_not_heard(self):
-        told = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+    def test_a_worker_whose_messages_are_lost_but_that_receives_them(self):
+        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         self.world.network.cut.add((worker.address, self.home.address))
         self.advance(3_500)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_a_job_whose_dispatcher_died_comes_back_through_another(self):
+    def test_a_job_whose_dispatcher_died_is_resubmitted_to_another(self):
         self.home.submit(make_spec("j1", run_ms=3_000), wait_ms=8_000.0)
         self.advance(50)
         self.home.kill()
         self.advance(RESEND_MS)
-        told = self.world.homes[1].submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
+        caller = self.world.homes[1].submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
         self.advance(600)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_a_job_comes_back_while_executor_and_dispatcher_died(self):
+    def test_a_job_is_resubmitted_after_its_executor_and_dispatcher_died(self):
         self.home.submit(make_spec("j1", run_ms=3_000), wait_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
@@ -346,48 +353,48 @@
         self.advance(DISPATCHER_LEASE_MS - 60)
         worker.kill()
         self.advance(RESEND_MS - DISPATCHER_LEASE_MS + 60)
-        told = self.world.homes[1].submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
+        caller = self.world.homes[1].submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
         self.advance(1_500)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_an_executor_that_is_replaced_clears_its_minion_first(self):
-        told = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+    def test_a_replaced_executor_first_stops_the_runs_of_its_minion(self):
+        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         worker.kill()
         self.advance(200)
-        place = self.world.workers.index(worker)
-        self.world.workers[place] = Worker(
+        index = self.world.workers.index(worker)
+        self.world.workers[index] = Worker(
             self.world, worker.name, incarnation=2, minion=worker.minion, fence=2
         )
         self.advance(3_000)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_unanswered_starts_never_run_beside_others(self):
+    def test_a_start_call_without_answer_never_leads_to_two_concurrent_runs(self):
         for number, fault in enumerate(CallFault):
             with self.subTest(fault=fault):
                 for worker in self.world.workers:
                     worker.minion.script(Scripted("start", fault))
                 job = f"j{number}"
-                told = self.home.submit(make_spec(job, run_ms=300), wait_ms=8_000.0)
+                caller = self.home.submit(make_spec(job, run_ms=300), wait_ms=8_000.0)
                 self.advance(2_500)
-                self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+                self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
                 self.advance(4_000)
 
-    def test_a_crashed_minion_loses_its_runs_to_others(self):
-        told = self.home.submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
+    def test_runs_of_a_crashed_minion_are_restarted_on_other_workers(self):
+        caller = self.home.submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         worker.minion.reborn("i-new")
         self.advance(700)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_workers_that_are_idle_for_long_keep_the_runs_they_get(self):
+    def test_runs_sent_to_a_long_idle_worker_are_not_lost(self):
         for number in range(12):
             self.advance(437)
-            told = self.home.submit(make_spec(f"j{number}", run_ms=300))
+            caller = self.home.submit(make_spec(f"j{number}", run_ms=300))
             self.advance(420)
-            self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+            self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
             self.assertEqual(1, self.world.started(f"j{number}.0.0.0"))
 
     def test_idle_workers_do_not_count_as_silent(self):
@@ -396,7 +403,7 @@
             usable = [view.is_usable for view in self.home.dispatcher.fleet.views]
             self.assertEqual([True] * 3, usable)
 
-    def test_a_worker_taken_off_the_list_serves_on_while_it_is_heard(self):
+    def test_a_worker_missing_from_the_store_is_used_while_it_reports(self):
         for worker in self.world.workers:
             self.home.unlist_member(WORKER_PREFIX + worker.address)
         self.advance(5_000)
@@ -405,7 +412,7 @@
         self.advance(5_000)
         self.assertEqual(2, len(self.home.dispatcher.fleet.of_service("fitting")))
 
-    def test_a_worker_is_known_by_its_report_alone(self):
+    def test_a_worker_becomes_known_by_its_report_alone(self):
         late = Worker(self.world, "w9")
         self.world.workers.append(late)
         self.clock.advance(50)
@@ -414,8 +421,8 @@
         self.assertEqual(4, len(self.home.dispatcher.fleet.of_service("fitting")))
 
 
-class ShrunkRoomTest(DispatchCase):
-    """Workers whose room shrinks while jobs wait."""
+class ShrunkCapacityTest(DispatchCase):
+    """Workers whose capacity shrinks while jobs wait."""
 
     workers = 2
 
@@ -425,19 +432,19 @@
             worker.minion.life = life._replace(room=Room(cpu, 10_000), sequence=life.sequence + 1)
             worker.executor.take_life(worker.minion.life)
 
-    def test_a_job_that_fits_nowhere_any_more_is_refused_at_once(self):
+    def test_a_queued_job_that_no_longer_fits_on_any_worker_is_refused_at_once(self):
         for name in ("a", "b"):
             self.home.submit(make_spec(name, cpu=8_000, run_ms=900))
-        waits = self.home.submit(make_spec("c", cpu=8_000, run_ms=900), wait_ms=9_000.0)
+        waiting = self.home.submit(make_spec("c", cpu=8_000, run_ms=900), wait_ms=9_000.0)
         self.advance(20)
         self.shrink(7_000)
         self.advance(100)
-        self.assertEqual(JobOutcome.REFUSED, waits.outcome)
-        self.assertEqual("no_capacity", waits.result.code)
-        self.assertGreater(waits.result.retry_after_ms, 0)
+        self.assertEqual(JobOutcome.REFUSED, waiting.outcome)
+        self.assertEqual("no_capacity", waiting.result.code)
+        self.assertGreater(waiting.result.retry_after_ms, 0)
         self.assertEqual(0, self.world.started("c.0.0.0"))
 
-    def test_a_job_that_has_begun_is_told_as_unfinished_and_its_runs_are_stopped(self):
+    def test_a_started_job_ends_unfinished_and_its_runs_are_stopped(self):
         job = self.home.submit(make_spec("a", count=3, cpu=8_000, run_ms=900), wait_ms=9_000.0)
         self.advance(50)
         self.shrink(7_000)
@@ -445,27 +452,28 @@
         self.assertEqual(JobOutcome.UNFINISHED, job.outcome)
         self.assertEqual([set(), set()], [worker.minion.running for worker in self.world.workers])
 
-    def test_a_job_that_fits_one_worker_waits_for_it(self):
+    def test_a_job_that_fits_only_one_worker_waits_for_it(self):
         for name in ("a", "b"):
             self.home.submit(make_spec(name, cpu=8_000, run_ms=300))
-        waits = self.home.submit(make_spec("c", cpu=8_000, run_ms=300), wait_ms=9_000.0)
+        waiting = self.home.submit(make_spec("c", cpu=8_000, run_ms=300), wait_ms=9_000.0)
         self.advance(20)
         life = self.world.workers[0].minion.life
-        small = life._replace(room=Room(7_000, 10_000), sequence=life.sequence + 1)
-        self.world.workers[0].executor.take_life(small)
+        shrunk = life._replace(room=Room(7_000, 10_000), sequence=life.sequence + 1)
+        self.world.workers[0].executor.take_life(shrunk)
         self.advance(900)
-        self.assertEqual(JobOutcome.SUCCEEDED, waits.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, waiting.outcome)
 
 
 class CrashingTaskTest(DispatchCase):
-    """A task that crashes each minion which starts it, and its neighbours."""
+    """A task that crashes every minion that starts it, and the tasks running beside it."""
 
     workers = 6
 
     def crashes(self):
+        """Return the task that caused each minion crash."""
         return [task for worker in self.world.workers for task in worker.minion.crashed_by]
 
-    def test_it_is_given_up_after_two_minions(self):
+    def test_its_job_fails_after_two_minion_crashes(self):
         bad = self.home.submit(make_spec("bad", run_ms=400, how="crash"), wait_ms=9_000.0)
         self.advance(1_500)
         self.assertEqual(JobOutcome.FAILED, bad.outcome)
@@ -473,7 +481,7 @@
         self.assertLess(bad.at_ms - self.world.clock.now(), 0)
         self.assertEqual(["bad.0.0.0"] * 2, self.crashes())
 
-    def test_its_neighbours_are_served(self):
+    def test_tasks_beside_it_are_completed(self):
         bad = self.home.submit(make_spec("bad", cpu=1_000, run_ms=400, how="crash"))
         others = [self.home.submit(make_spec(f"j{n}", 4, cpu=1_000, run_ms=200)) for n in range(8)]
         self.advance(2_500)
@@ -481,7 +489,7 @@
         self.assertEqual(["bad.0.0.0"] * 2, self.crashes())
         self.assertEqual([JobOutcome.SUCCEEDED] * 8, [other.outcome for other in others])
 
-    def test_a_caller_who_sends_it_again_costs_one_minion_more(self):
+    def test_resubmitting_it_costs_one_more_minion_crash(self):
         self.home.submit(make_spec("bad", run_ms=400, how="crash"), wait_ms=9_000.0)
         self.advance(1_500)
         again = self.home.submit(make_spec("bad", run_ms=400, how="crash"), wait_ms=9_000.0)
@@ -489,7 +497,7 @@
         self.assertEqual(JobOutcome.FAILED, again.outcome)
         self.assertEqual(["bad.0.0.0"] * 3, self.crashes())
 
-    def test_minions_that_lose_power_together_blame_nobody(self):
+    def test_a_power_loss_of_several_minions_blames_no_task(self):
         job = self.home.submit(make_spec("j", 6, run_ms=400), wait_ms=9_000.0)
         self.advance(50)
         for worker in self.world.workers[:3]:
@@ -500,7 +508,7 @@
         self.advance(3_000)
         self.assertNotEqual(JobOutcome.FAILED, job.outcome)
 
-    def test_minions_that_are_only_silent_blame_nobody(self):
+    def test_a_silent_minion_blames_no_task(self):
         job = self.home.submit(make_spec("j", run_ms=3_000), wait_ms=9_000.0)
         for _ in range(2):
             self.advance(100)
--- a/tests/test_job_admission.py
+++ b/tests/test_job_admission.py
@@ -1,4 +1,4 @@
-"""Tests of what is decided when a job arrives."""
+"""Tests of admission control and of the averages of queued work."""
 
 import unittest
 
@@ -17,7 +17,11 @@
 
 
 def make_worker(name, cpu, used=0):
-    """Return a usable worker of some room."""
+    """Return a usable worker.
+
+    :param cpu: total CPU in thousandths of a core
+    :param used: CPU in use
+    """
     view = WorkerView(f"tcp://{name}", NOW)
     room = Room(cpu, 10_000)
     view.state = WorkerState(name, QUEUE.service, accepts=True, room=room, used=Room(used))
@@ -27,7 +31,7 @@
 
 
 def make_job(name, queue=QUEUE, wait_ms=5_000.0, **fields):
-    """Return a job that has just arrived."""
+    """Return a job that arrives at :data:`NOW`."""
     spec = make_spec(name, **fields)
     job = DispatchJob(spec, queue, make_steps(spec, 1.0))
     objective = measure_objective(job.steps, queue, 1_000_000)
@@ -35,45 +39,50 @@
     return job
 
 
-def judge(job, workers, others=(), arriving=(0.0,) * LEVELS, **known):
-    """Return why a job is refused.
+def judge(job, workers, others=(), arriving=(0.0,) * LEVELS, **backlog_fields):
+    """Return a refusal, or None if the job is accepted.
 
-    :param arriving: work that arrives, by level
+    :param others: jobs that are queued already
+    :param arriving: arrival rates of work, by priority level
+    :param backlog_fields: further fields of the :class:`Backlog`
     """
     policy = ExpectedUse()
     queued = job_admission.sum_work(others, policy, NOW)
     queued = queued._replace(arriving=arriving, usual=arriving)
-    backlog = Backlog(list(others), list(others), workers, False, queued, **known)
+    backlog = Backlog(list(others), list(others), workers, False, queued, **backlog_fields)
     return job_admission.judge(job, backlog, policy, NOW)
 
 
 def make_waiting(work, run_ms=400):
-    """Return jobs of the most urgent level that wait, with some work together."""
+    """Return queued jobs of the most urgent level.
+
+    :param work: total work of the jobs in thousandths of a core times ms
+    """
     tasks = round(work / (5_000 * run_ms))
     return [make_job(f"w{number}", cpu=5_000, run_ms=run_ms) for number in range(tasks)]
 
 
-class JudgeTest(unittest.TestCase):
-    """Refusals on arrival."""
+class AdmissionTest(unittest.TestCase):
+    """Acceptance and refusal of arriving jobs."""
 
-    def test_a_job_is_taken_where_room_is_free(self):
+    def test_a_job_is_accepted_if_a_worker_has_free_capacity(self):
         self.assertIsNone(judge(make_job("j"), [make_worker("w", 10_000)]))
 
-    def test_workers_that_are_far_too_small_lower_no_prediction(self):
+    def test_workers_too_small_for_a_task_do_not_reduce_the_usable_capacity(self):
         small = [make_worker(f"s{number}", 500) for number in range(20)]
         self.assertIsNone(judge(make_job("j"), [make_worker("w", 10_000, 7_000), *small]))
 
-    def test_a_job_without_tasks_is_judged_like_others(self):
+    def test_a_job_without_tasks_is_accepted(self):
         self.assertIsNone(judge(make_job("j", count=0), [make_worker("w", 10_000)]))
 
-    def test_free_room_counts_in_whole_tasks(self):
-        # Each has 3,000 free and none the 4,000 of a task.
+    def test_free_capacity_counts_in_whole_tasks(self):
+        # Each worker has 3,000 free, and a task needs 4,000.
         workers = [make_worker(f"w{number}", 10_000, 7_000) for number in range(4)]
         job = make_job("j", count=3)
         judge(job, workers)
         self.assertGreater(job.predicted_wait_ms, 30.0)
 
-    def test_less_urgent_work_that_waits_refuses_no_job(self):
+    def test_queued_less_urgent_work_causes_no_refusal(self):
         worker = make_worker("w", 100_000, 100_000)
         low = QUEUE._replace(priority=2)
         large = [make_job(f"l{n}", low, count=20, cpu=5_000, run_ms=1_000) for n in range(20)]
@@ -84,14 +93,14 @@
         again = make_job("t", QUEUE._replace(priority=1), count=2, cpu=5_000, run_ms=400)
         self.assertEqual("overload", judge(again, [worker], same).code)
 
-    def test_a_job_is_taken_late_while_its_caller_waits_and_refused_at_once_after(self):
+    def test_a_job_is_accepted_late_within_its_callers_timeout_and_refused_beyond_it(self):
         worker = make_worker("w", 10_000, 10_000)
         rows = [(0.0, True), (3_000_000.0, True), (12_000_000.0, False)]
-        for work, is_taken in rows:
+        for work, is_accepted in rows:
             with self.subTest(work=work):
                 job = make_job("j", cpu=5_000, run_ms=400)
                 refusal = judge(job, [worker], make_waiting(work))
-                self.assertEqual(is_taken, refusal is None)
+                self.assertEqual(is_accepted, refusal is None)
 
     def test_more_urgent_arrivals_lengthen_the_wait(self):
         worker = make_worker("w", 10_000, 10_000)
@@ -102,7 +111,7 @@
             waits.append(job.predicted_wait_ms)
         self.assertGreater(waits[1], 1.5 * waits[0])
 
-    def test_workers_that_are_about_to_be_back_count(self):
+    def test_workers_expected_back_soon_count(self):
         worker = make_worker("w", 10_000, 10_000)
         waits = []
         for unseen in (0, 9):
@@ -112,7 +121,7 @@
             waits.append(job.predicted_wait_ms)
         self.assertLess(waits[1], waits[0] / 5)
 
-    def test_a_time_to_return_is_always_a_number(self):
+    def test_the_retry_delay_is_always_finite(self):
         for tasks in (0, 10**6):
             job = make_job("j", count=4_000)
             worker = make_worker("w", 4_000, 4_000)
@@ -122,14 +131,14 @@
 
 
 class QueuedWorkTest(unittest.TestCase):
-    """Averages by level."""
+    """Priority levels and averages of arrival rates."""
 
-    def test_levels_of_priorities(self):
+    def test_priority_levels(self):
         rows = {-1: 0, 0: 0, 1: 1, 3: 3, 4: 3, 99: 3}
         for priority, level in rows.items():
             self.assertEqual(level, level_of(priority), priority)
 
-    def test_a_steady_rate_is_found_soon_and_a_burst_fades(self):
+    def test_the_average_follows_a_steady_rate_and_decays_without_arrivals(self):
         meter = ArrivalMeter(0.0, USUAL_MS)
         for now in range(0, 6_000, 20):
             meter.note(1, 400.0, float(now))
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -10,8 +10,8 @@
 from geraniumspool.rooms import Room
 
 
-class Fake(NamedTuple):
-    """A worker as the choice sees it."""
+class FakeWorker(NamedTuple):
+    """A candidate worker with fixed properties."""
 
     name: str = "w"
     free: Room = Room(10_000, 1_000)
@@ -24,54 +24,55 @@
 
 
 def choose(workers, step=None, expected_ms=100.0, within_ms=1_000.0, taken=None):
-    """Return the place chosen for a task of 4,000."""
+    """Return the place chosen for a task, which needs 4 cores unless ``step`` is given."""
     step = step or StepSpec(1, Room(4_000, 10))
     request = PlaceRequest(step, expected_ms, within_ms, "north", taken or {})
     return packing.choose(workers, request)
 
 
 class ChoiceTest(unittest.TestCase):
-    """Which worker a task goes to."""
+    """Choice of the worker for a task."""
 
-    def test_workers_that_may_not_run_it_are_passed_over(self):
+    def test_workers_that_cannot_run_the_task_are_skipped(self):
         step = StepSpec(1, Room(4_000, 10), label="a", per_worker=2)
-        full = Fake()
+        full = FakeWorker()
         rows = [
-            ("not usable", Fake(is_usable=False), {}),
-            ("too small", Fake(room=Room(3_000, 1_000)), {}),
-            ("too little memory", Fake(room=Room(10_000, 5)), {}),
-            ("without the label", Fake(labels=("b",)), {}),
-            ("too slow", Fake(pace=11.0), {}),
-            ("enough of the step", full, {id(full): 2}),
+            ("not usable", FakeWorker(is_usable=False), {}),
+            ("too small", FakeWorker(room=Room(3_000, 1_000)), {}),
+            ("too little memory", FakeWorker(room=Room(10_000, 5)), {}),
+            ("without the label", FakeWorker(labels=("b",)), {}),
+            ("too slow", FakeWorker(pace=11.0), {}),
+            ("at the limit of tasks of the step", full, {id(full): 2}),
         ]
         for name, worker, taken in rows:
             with self.subTest(name):
                 self.assertIsNone(choose([worker], step, taken=taken))
 
-    def test_a_slow_worker_gets_nothing_while_another_has_room(self):
+    def test_a_slow_worker_gets_no_task_while_another_has_free_capacity(self):
         chosen = Counter(
-            choose([Fake("slow", pace=6.0), Fake("usual")]).worker.name for _ in range(50)
+            choose([FakeWorker("slow", pace=6.0), FakeWorker("usual")]).worker.name
+            for _ in range(50)
         )
         self.assertEqual({"usual": 50}, chosen)
 
     def test_equal_workers_share_tasks(self):
-        chosen = Counter(choose([Fake("a"), Fake("b")]).worker.name for _ in range(400))
+        chosen = Counter(choose([FakeWorker("a"), FakeWorker("b")]).worker.name for _ in range(400))
         self.assertGreater(min(chosen.values()), 120)
 
     def test_an_emptier_worker_goes_before_a_slightly_faster_one(self):
-        fast = Fake("fast", pace=0.8, free=Room(4_500, 1_000))
-        empty = Fake("empty", pace=1.0)
+        fast = FakeWorker("fast", pace=0.8, free=Room(4_500, 1_000))
+        empty = FakeWorker("empty", pace=1.0)
         self.assertEqual("empty", choose([fast, empty]).worker.name)
 
     def test_a_task_goes_to_the_rack_of_its_data(self):
         step = StepSpec(1, Room(4_000, 10), rack="r2")
-        near = Fake("near", rack="r2")
-        self.assertEqual("near", choose([Fake("far"), near], step).worker.name)
+        near = FakeWorker("near", rack="r2")
+        self.assertEqual("near", choose([FakeWorker("far"), near], step).worker.name)
 
-    def test_nothing_is_ordered_ahead_of_room(self):
-        busy = Fake("busy", free=Room(3_500, 1_000))
+    def test_no_task_is_sent_to_a_worker_before_capacity_is_free(self):
+        busy = FakeWorker("busy", free=Room(3_500, 1_000))
         self.assertIsNone(choose([busy]))
-        self.assertEqual("free", choose([busy, Fake("free")]).worker.name)
-        queued = Fake("queued", free=Room(2_500, 1_000))
+        self.assertEqual("free", choose([busy, FakeWorker("free")]).worker.name)
+        queued = FakeWorker("queued", free=Room(2_500, 1_000))
         self.assertIsNone(choose([queued]))
         self.assertIsNone(choose([queued, busy]))
