--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -1,4 +1,4 @@
-"""Random faults on dispatchers, executors and minions in memory, by seed."""
+"""Random faults in simulated dispatchers, executors and minions, reproducible by seed."""
 
 import random
 import unittest
@@ -14,61 +14,69 @@
 from tests.dispatch_world import DispatchWorld, Home, Worker, make_spec
 from tests.storm_callers import EarlyCallers
 
-# The last four had tasks run twice: an owner that woke from a freeze started tasks of an entry
-# that had given it up, or an entry forwarded anew what its owner was still stopping.
+# The last four guard against tasks that run twice: a dispatcher that resumed from a pause started
+# tasks of a forwarded job although the caller's dispatcher had given it up, or the caller's
+# dispatcher forwarded a job again whose runs were still being stopped.
 SEEDS = (*range(1, 25), 99, 121, 174, 190)
-# Minions came back under their names: runs given to them were told as lost while at work, and
-# ran twice at a time or took more room than there was.
+# Guard against faults of minions that restart under the same instance name: their runs were
+# reported as lost while still running, so that they ran twice at the same time or exceeded the
+# minion's capacity.
 RESTART_SEEDS = (33, 38, 63, 79, 93, 101, 108, 133, 141, 150, 153, 158, 161, 167, 172)
 ROUGH_SEEDS = (*range(1, 11), 44)
-# The last seven have tasks start where only executors can know that they must not.
+# In the last seven, only executors can know that a task must not start in a domain.
 EVACUATION_SEEDS = (*range(1, 5), 13, 14, 17, 21, 23, 29, 36)
 LEAVING_SEEDS = (*range(1, 11),)
-# The last ones had tasks run twice, or left jobs unserved, by claims that did not hold.
+# The last ones guard against tasks that run twice, or jobs that are never served, because of
+# claims that were not exclusive.
 EARLY_SEEDS = (*range(1, 13), 56, 212, 218, 287, 335)
 DOMAINS = ("north", "south")
-# A minion that leaves runs on for a while after it has said so, and another takes its place.
+# A stopping minion keeps running for one of these times after it has deregistered. A new one
+# replaces it after a further gap.
 RUN_ON_MS = (5, 60, 250, 800)
-EMPTY_PLACE_MS = 300
-# Short, so that a storm has evacuations that must be in force.
+REPLACEMENT_GAP_MS = 300
+# Time within which an evacuation must take effect: short, so that it passes during a storm.
 EVACUATION_MS = 1_500.0
 STEPS = 500
-# Share of the steps in which something is done: cuts last for two seconds in the mean.
-ACT_SHARE = 0.12
+# Share of the steps with an action. It makes network partitions last two seconds on average.
+ACTION_SHARE = 0.12
 STEP_MS = 10
-# A caller that got no answer sends its job again after this, to any dispatcher.
+# Delay after which a caller without a result resubmits its job to any dispatcher.
 RESEND_MS = 1_300
 RUNS_MS = (60, 300, 1_200)
+# Shares of lost calls to a minion.
 LOSSES = (0.0, 0.0, 0.1, 0.3)
+# Time without faults at the end of a storm, in which all jobs must end.
 REST_MS = 8_000
-# A caller that waits at a frozen dispatcher has its answer after it thaws.
+# Durations of a dispatcher's pause, after which its waiting callers get their results.
 FROZEN_MS = (300, 900, 2_500)
-# A task crashes three minions, and may be started three times more.
+# A task may crash three minions before its job is failed, and three more after a restart.
 MOST_CRASHES = 6
-ROOMS_CPU = (3_000, 5_000, 10_000)
-# Minions report this often.
-BEAT_MS = 500
-# Storms of early callers: steps finer than a stop takes, and as long in all.
+MINION_CPUS = (3_000, 5_000, 10_000)
+# Interval of minion reports.
+REPORT_MS = 500
+# Storms with callers that resubmit at once: steps are shorter than stopping a run takes, and
+# the total time is the same.
 EARLY_STEP_MS = 5
 EARLY_STEPS = 1_000
 EARLY_REST_MS = 10_000
 STOPS_MS = (5.0, 20.0, 50.0)
-# What becomes of messages between dispatchers: share that is lost, share that comes twice, and
-# how late they are at most, which has later ones overtake them.
+# Faults of messages between dispatchers: share of lost and of duplicated ones, and maximum extra
+# delay, by which later messages overtake earlier ones.
 MESSAGE_LOSSES = (0.0, 0.1, 0.3)
 MESSAGE_DOUBLES = (0.0, 0.0, 0.2)
 MESSAGE_DELAYS_MS = (0.0, 20.0, 150.0, 400.0)
-# A process that thaws may run its timers before it reads what has arrived.
+# A resumed process may run its timers for this long before it reads the messages received during
+# the pause.
 READS_LATE_MS = 60
-# A dispatcher that was killed is replaced within this.
+# Times after which a killed dispatcher is replaced.
 DOWN_MS = (0, 0, 100, 700)
 
 
 class OrderedWaiters(dict):
-    """Wakes those that wait for one event in the order in which they began to.
+    """Replacement of the set of an event's waiters that wakes them in the order of arrival.
 
-    The set that eventlet uses wakes them by their addresses in memory, so a storm in which two
-    callers wait for one job would not repeat.
+    The set that eventlet uses wakes them in the order of their memory addresses, so that a storm
+    in which two callers wait for one job wouldn't be reproducible.
     """
 
     def add(self, waiter):
@@ -79,14 +87,22 @@
 
 
 class Storm:
-    """Acts drawn from one seed, and what must hold after each step.
-
-    :ivar keeps_names: whether every other minion that crashes comes back under its name
-    :ivar is_rough: whether tasks crash their minions, and rooms shrink and grow
-    :ivar leaves: whether minions leave, and run on for a while after they have said so
-    :ivar evacuates: whether operators evacuate domains, and processes lose the store
-    :ivar returns_early: whether callers hang up and are back at once, and messages between
-        dispatchers go astray
+    """A sequence of faults and submissions drawn from a seed, with checks after each step.
+
+    :ivar keeps_names: whether half of the crashed minions restart under their instance name
+    :ivar is_rough: whether tasks crash their minions, and minions' capacity changes
+    :ivar leaves: whether minions deregister and keep running for a while afterwards
+    :ivar evacuates: whether operators evacuate failure domains, and processes lose the store
+    :ivar returns_early: whether callers disconnect and resubmit at once, and messages between
+        dispatchers are lost, duplicated and delayed
+    :ivar actions: pairs of time and description of what was done, to show on a failure
+    :ivar violations: descriptions of failed checks
+    :ivar jobs: specification, dispatcher and caller of each job by id; None for jobs that
+        :class:`EarlyCallers` handles
+    :ivar resubmissions: pairs of due time and specification of jobs to resubmit
+    :ivar thaws: pairs of due time and dispatcher to resume
+    :ivar minion_starts: pairs of due time and minion to start anew
+    :ivar replacements: pairs of due time and index of the dispatcher to replace
     """
 
     def __init__(
@@ -105,9 +121,9 @@
         self.leaves = leaves
         self.step_ms = EARLY_STEP_MS if returns_early else STEP_MS
         self.draw = random.Random(seed)
-        # Placement draws from these, so that a storm repeats.
+        # Placement uses the global generator, which is seeded to make a storm reproducible.
         random.seed(seed)
-        # Every other storm has one dispatcher place on all workers.
+        # In storms with odd seeds one dispatcher owns all workers.
         self.world = DispatchWorld(
             workers=4,
             homes=3,
@@ -118,18 +134,18 @@
         self.evacuated_ms = {}
         self.cut_ms = {}
         self.starts = {}
-        self.acts = []
+        self.actions = []
         self.violations = []
         self.jobs = {}
         self.crashing = set()
-        self.sent_again = set()
-        self.returns = []
+        self.resubmitted = set()
+        self.resubmissions = []
         self.thaws = []
-        self.arrivals = []
+        self.minion_starts = []
         self.steps = 0
         self.callers = EarlyCallers(self)
         self.replacements = []
-        # Apart from the acts, which then do not depend on how many messages there are.
+        # A generator of its own, so that actions don't depend on the number of messages.
         self.message_draw = random.Random(f"{seed} messages")
         self.message_faults = (0.0, 0.0, 0.0)
         if returns_early:
@@ -138,12 +154,12 @@
                 worker.minion.stop_ms = self.draw.choice(STOPS_MS)
 
     def run(self):
-        """Play the whole storm."""
+        """Run the whole storm."""
         with mock.patch.object(event, "set", OrderedWaiters, create=True):
             self.play()
 
     def play(self):
-        acts = (self.submit,) * 10 + (
+        actions = (self.submit,) * 10 + (
             self.lose_calls,
             self.part,
             self.heal,
@@ -155,17 +171,20 @@
             self.mute_minion,
         )
         if self.is_rough:
-            acts += (self.submit_crashing, self.resize_minion)
+            actions += (self.submit_crashing, self.resize_minion)
         if self.leaves:
-            acts += (self.leave_minion,) * 2
+            actions += (self.leave_minion,) * 2
         if self.evacuates:
-            acts += (self.evacuate, self.cut_off)
+            actions += (self.evacuate, self.cut_off)
         if self.returns_early:
-            acts += (self.callers.hang_up,) * 6 + (self.submit_twice,) * 3
-            acts += (self.trouble_messages,) * 2 + (self.kill_all_homes, self.change_stops)
+            actions += (self.callers.hang_up,) * 6 + (self.submit_twice,) * 3
+            actions += (self.change_message_faults,) * 2 + (
+                self.kill_all_homes,
+                self.change_stop_time,
+            )
         for _ in range(EARLY_STEPS if self.returns_early else STEPS):
-            if self.draw.random() < ACT_SHARE:
-                self.draw.choice(acts)()
+            if self.draw.random() < ACTION_SHARE:
+                self.draw.choice(actions)()
             self.step()
         self.calm()
         for _ in range((EARLY_REST_MS if self.returns_early else REST_MS) // self.step_ms):
@@ -180,55 +199,55 @@
     def step(self):
         self.world.clock.advance(self.step_ms)
         self.steps += 1
-        if self.steps % (BEAT_MS // self.step_ms) == 0:
+        if self.steps % (REPORT_MS // self.step_ms) == 0:
             for worker in self.world.workers:
                 if not worker.minion.is_down:
                     eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
         now = self.world.clock.now()
-        for due, spec in [entry for entry in self.returns if entry[0] <= now]:
-            self.returns.remove((due, spec))
-            self.sent_again.add(spec.job_id)
-            self.hand_in(spec)
-        for due, home in [entry for entry in self.thaws if entry[0] <= now]:
-            self.thaws.remove((due, home))
+        for due_ms, spec in [entry for entry in self.resubmissions if entry[0] <= now]:
+            self.resubmissions.remove((due_ms, spec))
+            self.resubmitted.add(spec.job_id)
+            self.submit_anywhere(spec)
+        for due_ms, home in [entry for entry in self.thaws if entry[0] <= now]:
+            self.thaws.remove((due_ms, home))
             self.thaw_home(home)
-        for due, minion in [entry for entry in self.arrivals if entry[0] <= now]:
-            self.arrivals.remove((due, minion))
+        for due_ms, minion in [entry for entry in self.minion_starts if entry[0] <= now]:
+            self.minion_starts.remove((due_ms, minion))
             minion.reborn(f"{minion.life.instance}+")
         if self.returns_early:
             self.replace_homes(now)
             self.callers.step()
-        twice = self.world.running_twice()
-        if twice:
-            self.violations.append(f"{now}: twice {sorted(twice)}")
+        duplicates = self.world.running_twice()
+        if duplicates:
+            self.violations.append(f"{now}: tasks run twice: {sorted(duplicates)}")
         for worker in self.world.workers:
             if worker.minion.crowded:
-                self.violations.append(f"{now}: {worker.name} over its room")
+                self.violations.append(f"{now}: {worker.name} exceeds its capacity")
         self.check_evacuations(now)
 
     def submit(self):
         name = f"j{len(self.jobs)}"
         count = self.draw.randint(1, 4)
         spec = make_spec(name, count, 3_000, self.draw.choice(RUNS_MS), declared_ms=300)
-        self.hand_in(spec)
+        self.submit_anywhere(spec)
 
     def submit_twice(self):
         name = f"j{len(self.jobs)}"
         self.jobs[name] = None
         spec = make_spec(name, 2, 3_000, self.draw.choice(RUNS_MS), declared_ms=300)
         self.callers.hand_in_twice(spec)
-        self.note(f"{name} sent to two dispatchers")
+        self.note(f"{name} submitted to two dispatchers")
 
     def submit_crashing(self):
         spec = make_spec(f"j{len(self.jobs)}", 2, 3_000, 300, "crash")
         self.crashing.add(spec.job_id)
-        self.hand_in(spec)
+        self.submit_anywhere(spec)
 
     def resize_minion(self):
-        worker = self.pick()
-        worker.minion.resize(Room(self.draw.choice(ROOMS_CPU), 10_000))
+        worker = self.pick_worker()
+        worker.minion.resize(Room(self.draw.choice(MINION_CPUS), 10_000))
         eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
-        self.note(f"{worker.name} has room {worker.minion.life.room.cpu}")
+        self.note(f"{worker.name} resized to CPU {worker.minion.life.room.cpu}")
 
     def evacuate(self):
         if self.evacuated_ms and self.draw.random() < 0.5:
@@ -240,18 +259,23 @@
         self.note(f"evacuated {domains}")
 
     def cut_off(self):
-        parts = [*self.world.homes, *self.world.workers]
-        # Executors alone keep the rule while no dispatcher knows, for as long as it lasts.
+        processes = [*self.world.homes, *self.world.workers]
+        # Mostly keep dispatchers cut off for longer: while none of them knows the evacuated
+        # domains, only executors enforce the evacuation.
         if any(home.is_cut_off for home in self.world.homes) and self.draw.random() < 0.7:
             return
         homes = self.world.homes
-        chosen = self.draw.choice((homes, homes, self.draw.sample(parts, 3), []))
-        for part in parts:
-            part.is_cut_off = part in chosen
-        self.note(f"without the store {[part.address for part in parts if part.is_cut_off]}")
+        chosen = self.draw.choice((homes, homes, self.draw.sample(processes, 3), []))
+        for process in processes:
+            process.is_cut_off = process in chosen
+        self.note(f"store cut off from {[each.address for each in processes if each.is_cut_off]}")
 
     def check_evacuations(self, now):
-        """Nothing starts in a domain once its executors have had time to learn of it."""
+        """Check that no task starts in a domain after its evacuation must be in effect.
+
+        The time limit counts from the evacuation, or from the end of the last period in which
+        the executor was cut off from the store, whichever is later.
+        """
         for worker in self.world.workers:
             if worker.is_cut_off:
                 self.cut_ms[worker.name] = now
@@ -261,9 +285,11 @@
                 self.evacuated_ms.get(worker.domain, now), self.cut_ms.get(worker.name, 0.0)
             )
             if started > before and now - since > EVACUATION_MS:
-                self.violations.append(f"{now}: {worker.name} started in {worker.domain}")
+                self.violations.append(
+                    f"{now}: {worker.name} started a task in {worker.domain}, which is evacuated"
+                )
 
-    def hand_in(self, spec):
+    def submit_anywhere(self, spec):
         if self.returns_early:
             self.jobs[spec.job_id] = None
             self.callers.hand_in(spec)
@@ -272,30 +298,30 @@
         caller = home.submit(spec, wait_ms=5_000.0)
         self.jobs[spec.job_id] = (spec, home, caller)
 
-    def pick(self):
+    def pick_worker(self):
         return self.draw.choice(self.world.workers)
 
     def fail(self, _timer, exc_info):
-        """Take the error that ended a green task."""
+        """Record the error that ended a green thread."""
         self.violations.append(f"{self.world.clock.now()}: {exc_info[1]!r}")
 
     def note(self, text):
-        self.acts.append((self.world.clock.now(), text))
+        self.actions.append((self.world.clock.now(), text))
 
     def lose_calls(self):
-        worker = self.pick()
+        worker = self.pick_worker()
         worker.minion.loss = self.draw.choice(LOSSES)
-        self.note(f"{worker.name} loses {worker.minion.loss}")
+        self.note(f"{worker.name} loses a share of {worker.minion.loss} of the minion's calls")
 
     def part(self):
-        one = self.draw.choice(self.world.homes)
-        others = [home for home in self.world.homes if home is not one]
-        other = self.draw.choice([self.pick(), self.draw.choice(others)])
-        pair = self.draw.sample([one.address, other.address], 2)
+        home = self.draw.choice(self.world.homes)
+        other_homes = [other for other in self.world.homes if other is not home]
+        peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_homes)])
+        pair = self.draw.sample([home.address, peer.address], 2)
         self.world.network.cut.add(tuple(pair))
         if self.draw.random() < 0.5:
             self.world.network.cut.add(tuple(reversed(pair)))
-        self.note(f"cut {pair}")
+        self.note(f"network cut {pair}")
 
     def heal(self):
         self.world.network.heal()
@@ -303,17 +329,17 @@
             worker.minion.silent = worker.minion.mute = False
 
     def silence_minion(self):
-        worker = self.pick()
+        worker = self.pick_worker()
         worker.minion.silent = True
         self.note(f"{worker.name} silent")
 
     def mute_minion(self):
-        worker = self.pick()
+        worker = self.pick_worker()
         worker.minion.mute = True
         self.note(f"{worker.name} mute")
 
     def crash_minion(self):
-        worker = self.pick()
+        worker = self.pick_worker()
         if self.keeps_names and self.draw.random() < 0.5:
             worker.minion.restart()
         else:
@@ -321,36 +347,36 @@
         self.note(f"{worker.name} crashes, now {worker.minion.life.instance}")
 
     def leave_minion(self):
-        worker = self.pick()
+        worker = self.pick_worker()
         minion = worker.minion
-        if any(minion is other for _, other in self.arrivals):
+        if any(minion is leaving for _, leaving in self.minion_starts):
             return
         run_on_ms = self.draw.choice(RUN_ON_MS)
         minion.leave(run_on_ms)
         life = minion.life
         if self.draw.random() < 0.5:
-            # Its last report gets lost as often as not.
+            # The last report is lost in half of the cases.
             eventlet.spawn_n(worker.executor.take_life, life)
         if self.draw.random() < 0.5:
             minion.refuses = True
         worker.executor.lose_life(life.instance, life.started_unix_ms)
-        self.arrivals.append((self.world.clock.now() + run_on_ms + EMPTY_PLACE_MS, minion))
-        self.note(f"{worker.name} leaves and runs on for {run_on_ms}")
+        self.minion_starts.append((self.world.clock.now() + run_on_ms + REPLACEMENT_GAP_MS, minion))
+        self.note(f"{worker.name} deregisters and keeps running for {run_on_ms} ms")
 
     def replace_executor(self):
-        worker = self.pick()
+        worker = self.pick_worker()
         worker.kill()
-        place = self.world.workers.index(worker)
-        number = worker.messenger.me.incarnation + 1
-        self.world.workers[place] = Worker(
+        index = self.world.workers.index(worker)
+        incarnation = worker.messenger.me.incarnation + 1
+        self.world.workers[index] = Worker(
             self.world,
             worker.name,
-            number,
+            incarnation,
             worker.minion,
-            fence=number * 100_000,
+            fence=incarnation * 100_000,
             domain=worker.domain,
         )
-        self.note(f"{worker.name} replaced")
+        self.note(f"executor of {worker.name} replaced")
 
     def is_frozen(self, home):
         return any(frozen is home for _, frozen in self.thaws)
@@ -362,7 +388,7 @@
         self.world.network.freeze(home.address)
         home.freeze()
         self.thaws.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), home))
-        self.note(f"{home.address} frozen")
+        self.note(f"{home.address} paused")
         if self.returns_early:
             self.callers.desert(home)
 
@@ -372,95 +398,96 @@
         if not self.returns_early:
             network.thaw(home.address)
             return
-        self.note(f"{home.address} thaws")
+        self.note(f"{home.address} resumes")
         delay_ms = self.draw.choice((0, READS_LATE_MS))
         self.world.clock.after(delay_ms, lambda: network.thaw(home.address))
         self.callers.thaw(home)
 
     def kill_home(self):
-        place = self.draw.randrange(len(self.world.homes))
-        old = self.world.homes[place]
+        index = self.draw.randrange(len(self.world.homes))
+        old = self.world.homes[index]
         if self.is_frozen(old) or not self.is_up(old):
             return
         old.kill()
         if self.returns_early:
-            self.replacements.append((self.world.clock.now() + self.draw.choice(DOWN_MS), place))
+            self.replacements.append((self.world.clock.now() + self.draw.choice(DOWN_MS), index))
             self.note(f"{old.address} killed")
             self.callers.lose(old)
             return
-        self.replace_home(place)
-        due = self.world.clock.now() + RESEND_MS
+        self.replace_home(index)
+        due_ms = self.world.clock.now() + RESEND_MS
         for spec, home, caller in self.jobs.values():
             if home is old and caller.result is None:
-                self.returns.append((due, spec))
+                self.resubmissions.append((due_ms, spec))
         self.note(f"{old.address} replaced")
 
     def kill_all_homes(self):
-        """Have all dispatchers die at once, frozen ones as well."""
-        due = self.world.clock.now() + self.draw.choice(DOWN_MS)
+        """Kill all dispatchers at once, including paused ones."""
+        due_ms = self.world.clock.now() + self.draw.choice(DOWN_MS)
         self.thaws.clear()
-        for place, home in enumerate(self.world.homes):
+        for index, home in enumerate(self.world.homes):
             self.world.network.frozen.pop(home.address, None)
             if self.is_up(home):
                 home.kill()
-                self.replacements.append((due, place))
+                self.replacements.append((due_ms, index))
         self.note("all dispatchers killed")
         for home in self.world.homes:
             self.callers.lose(home)
 
     def replace_homes(self, now):
-        for due, place in [entry for entry in self.replacements if entry[0] <= now]:
-            self.replacements.remove((due, place))
-            self.replace_home(place)
-            self.note(f"{self.world.homes[place].address} replaced")
+        for due_ms, index in [entry for entry in self.replacements if entry[0] <= now]:
+            self.replacements.remove((due_ms, index))
+            self.replace_home(index)
+            self.note(f"{self.world.homes[index].address} replaced")
 
-    def replace_home(self, place):
-        old = self.world.homes[place]
+    def replace_home(self, index):
+        old = self.world.homes[index]
         name = old.messenger.me.address.removeprefix("tcp://")
-        self.world.homes[place] = Home(
+        self.world.homes[index] = Home(
             self.world,
             name,
-            len(self.acts) + 2,
+            len(self.actions) + 2,
             domain=old.record.domain,
             is_cut_off=old.is_cut_off,
         )
 
     def is_up(self, home):
-        """Return whether a dispatcher lives, though it may be frozen."""
-        down = {place for _, place in self.replacements}
+        """Return whether a dispatcher process exists; it may be paused."""
+        down = {index for _, index in self.replacements}
         return any(
-            other is home for place, other in enumerate(self.world.homes) if place not in down
+            other is home for index, other in enumerate(self.world.homes) if index not in down
         )
 
-    def change_stops(self):
-        worker = self.pick()
+    def change_stop_time(self):
+        worker = self.pick_worker()
         worker.minion.stop_ms = self.draw.choice(STOPS_MS)
-        self.note(f"{worker.name} stops runs in {worker.minion.stop_ms}")
+        self.note(f"{worker.name} takes {worker.minion.stop_ms} ms to stop a run")
 
-    def trouble_messages(self):
+    def change_message_faults(self):
         self.message_faults = tuple(
             self.draw.choice(each) for each in (MESSAGE_LOSSES, MESSAGE_DOUBLES, MESSAGE_DELAYS_MS)
         )
-        self.note(f"messages lost, doubled, late {self.message_faults}")
+        self.note(f"messages lost, duplicated, delayed: {self.message_faults}")
 
     def draw_delays(self, sender, receiver):
-        """Return when copies of a message arrive; those of workers are in order."""
+        """Return the delay of each copy of a message; only dispatchers' messages are disturbed."""
         delay_ms = self.world.network.delay_ms
         homes = {home.address for home in self.world.homes}
         if not {sender, receiver} <= homes:
             return (delay_ms,)
-        loss, doubles, late_ms = self.message_faults
-        if self.message_draw.random() < loss:
+        loss_share, duplicate_share, extra_ms = self.message_faults
+        if self.message_draw.random() < loss_share:
             return ()
-        copies = 2 if self.message_draw.random() < doubles else 1
-        return [delay_ms + self.message_draw.uniform(0, late_ms) for _ in range(copies)]
+        copies = 2 if self.message_draw.random() < duplicate_share else 1
+        return [delay_ms + self.message_draw.uniform(0, extra_ms) for _ in range(copies)]
 
     def calm(self):
+        """End all faults."""
         self.heal()
         if self.returns_early:
             self.calm_early()
-        for part in (*self.world.homes, *self.world.workers):
-            part.is_cut_off = False
+        for process in (*self.world.homes, *self.world.workers):
+            process.is_cut_off = False
         self.world.evacuate()
         self.evacuated_ms = {}
         for worker in self.world.workers:
@@ -473,27 +500,28 @@
         for _, home in self.thaws:
             self.thaw_home(home)
         self.thaws.clear()
-        self.note("calm")
+        self.note("end of faults")
         self.callers.calm()
 
     def check_answers(self):
         for name, (spec, _home, caller) in self.jobs.items():
             if caller.result is None:
-                self.violations.append(f"{name} was never answered")
+                self.violations.append(f"{name}: caller got no result")
             elif caller.outcome is JobOutcome.SUCCEEDED:
                 self.check_success(name, spec)
-            elif caller.outcome is JobOutcome.REFUSED and name not in self.sent_again:
+            elif caller.outcome is JobOutcome.REFUSED and name not in self.resubmitted:
                 self.check_refusal(name, spec)
 
     def check_refusal(self, name, spec):
         for index in range(spec.steps[0].count):
             if self.world.started(f"{name}.0.0.{index}"):
-                self.violations.append(f"{name}: refused, and task {index} has started")
+                self.violations.append(f"{name}: refused, but task {index} was started")
 
     def check_crashes(self):
-        """No task may be started more than three times after three minions it has crashed.
+        """Check that no task crashed more minions than allowed.
 
-        Each life of a dispatcher that places it counts anew.
+        A dispatcher fails the job after at most three crashes. A restarted dispatcher starts
+        counting anew.
         """
         for name in self.crashing:
             task = f"{name}.0.0.0"
@@ -504,23 +532,23 @@
     def check_success(self, name, spec):
         for index in range(spec.steps[0].count):
             if not self.world.started(f"{name}.0.0.{index}"):
-                self.violations.append(f"{name}: task {index} never started")
+                self.violations.append(f"{name}: succeeded, but task {index} was never started")
 
 
 class StormTest(unittest.TestCase):
-    """What must hold whatever goes wrong."""
+    """Invariants under random faults, with callers that resubmit after a delay."""
 
     def check(self, storm):
         with mock.patch.object(hubs.get_hub(), "squelch_timer_exception", storm.fail):
             storm.run()
-        self.assertEqual([], storm.violations, storm.acts)
+        self.assertEqual([], storm.violations, storm.actions)
 
     def test_storms(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.check(Storm(seed))
 
-    def test_storms_with_tasks_that_crash_minions_and_rooms_that_shrink(self):
+    def test_storms_with_tasks_that_crash_minions_and_changing_capacity(self):
         for seed in ROUGH_SEEDS:
             with self.subTest(seed=seed):
                 self.check(Storm(seed, keeps_names=True, is_rough=True))
@@ -530,7 +558,7 @@
             with self.subTest(seed=seed):
                 self.check(Storm(seed, keeps_names=True, is_rough=True, evacuates=True))
 
-    def test_storms_with_minions_that_run_on_after_they_have_left(self):
+    def test_storms_with_minions_that_keep_running_after_deregistration(self):
         for seed in LEAVING_SEEDS:
             with self.subTest(seed=seed):
                 self.check(Storm(seed, keeps_names=True, is_rough=True, leaves=True))
@@ -542,21 +570,21 @@
 
 
 class EarlyStormTest(unittest.TestCase):
-    """What must hold where callers are back at once."""
+    """Invariants under random faults, with callers that resubmit at once."""
 
-    def test_storms_with_callers_that_are_back_at_once(self):
+    def test_storms_with_callers_that_resubmit_at_once(self):
         for seed in EARLY_SEEDS:
             with self.subTest(seed=seed):
                 storm = Storm(seed, keeps_names=True, returns_early=True)
                 with mock.patch.object(hubs.get_hub(), "squelch_timer_exception", storm.fail):
                     storm.run()
-                self.assertEqual([], storm.violations, storm.acts)
+                self.assertEqual([], storm.violations, storm.actions)
 
 
 class CallLossTest(unittest.TestCase):
-    """The minion in memory loses calls in each way."""
+    """Lost calls of the simulated minion."""
 
-    def test_lost_calls_repeat_by_seed(self):
+    def test_lost_calls_are_reproducible_by_seed(self):
         minions = [MemoryMinion(ManualClock(), seed=7) for _ in range(2)]
         for minion in minions:
             minion.loss = 0.5
