--- a/geraniumspool/dispatcher.py
+++ b/geraniumspool/dispatcher.py
@@ -203,13 +203,13 @@
         self._claims.ask(job)
         return job
 
-    def _on_claim_granted(self, job: DispatchJob, rank: int) -> None:
+    def _on_claim_granted(self, job: DispatchJob, fence_rank: int) -> None:
         """Schedule a job after its claim was granted.
 
-        :param rank: rank of the fence that the job was claimed by, 0 if arbiters granted it
+        :param fence_rank: rank of the fence that the job was claimed by, 0 if arbiters granted it
         """
         job.is_claimed = True
-        job.fence_rank = rank
+        job.fence_rank = fence_rank
         self.schedule()
 
     def _on_claim_uncertain(self, job: DispatchJob) -> None:
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -357,11 +357,11 @@
         """Send the queued runs, in one message to each worker."""
         outbox, self._outbox = self._outbox, {}
         now = self._clock.now()
-        news = self._evacuations.tell()
+        evacuations = self._evacuations.tell()
         for peer, orders in outbox.items():
             view = self._views[peer.address]
             view.note_sent(now)
-            self._send(peer, StartRuns(view.echo_ms, tuple(orders), news))
+            self._send(peer, StartRuns(view.echo_ms, tuple(orders), evacuations))
 
     def stop(self, runs: Iterable[tuple[WorkerView, int]]) -> None:
         """Ask workers to stop runs, in one message to each worker.
@@ -464,8 +464,8 @@
         listed_before = now - LISTED_AFTER_MS
         numbers = [run.number for run in view.runs.values() if run.sent_ms < listed_before]
         upto = max(numbers, default=0)
-        news = self._evacuations.tell()
-        message = RenewRuns(view.echo_ms, tuple(numbers), upto, view.is_listed, news)
+        evacuations = self._evacuations.tell()
+        message = RenewRuns(view.echo_ms, tuple(numbers), upto, view.is_listed, evacuations)
         self._send(view.peer, message)
 
     def _reset_if_due(self, view: WorkerView, now: float) -> None:
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -259,16 +259,18 @@
         self.note(f"evacuated {domains}")
 
     def cut_off(self):
-        processes = [*self.world.homes, *self.world.workers]
+        members = [*self.world.homes, *self.world.workers]
         # Mostly keep dispatchers cut off for longer: while none of them knows the evacuated
         # domains, only executors enforce the evacuation.
         if any(home.is_cut_off for home in self.world.homes) and self.draw.random() < 0.7:
             return
         homes = self.world.homes
-        chosen = self.draw.choice((homes, homes, self.draw.sample(processes, 3), []))
-        for process in processes:
-            process.is_cut_off = process in chosen
-        self.note(f"store cut off from {[each.address for each in processes if each.is_cut_off]}")
+        chosen = self.draw.choice((homes, homes, self.draw.sample(members, 3), []))
+        for member in members:
+            member.is_cut_off = member in chosen
+        self.note(
+            f"store cut off from {[member.address for member in members if member.is_cut_off]}"
+        )
 
     def check_evacuations(self, now):
         """Check that no task starts in a domain after its evacuation must be in effect.
@@ -486,8 +488,8 @@
         self.heal()
         if self.returns_early:
             self.calm_early()
-        for process in (*self.world.homes, *self.world.workers):
-            process.is_cut_off = False
+        for member in (*self.world.homes, *self.world.workers):
+            member.is_cut_off = False
         self.world.evacuate()
         self.evacuated_ms = {}
         for worker in self.world.workers:
