--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -39,8 +39,8 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Time between reporting not ready and refusing jobs on shutdown. A load balancer that checks
-# readiness once a second stops sending callers after two failed checks.
+# Minimum time on shutdown between reporting not ready and closing the listener. A load balancer
+# that checks readiness once a second stops sending callers after two failed checks.
 NOTICE_MS = 2_600.0
 # Part of the grace period that is reserved for sending the last results.
 ANSWER_MS = 700.0
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -210,7 +210,10 @@
         return self._views.values()
 
     def of_service(self, service: str) -> list[WorkerView]:
-        """Return the owned workers that last reported a service and are not evacuated."""
+        """Return the owned workers of a service that are not evacuated, silent ones included.
+
+        The service is the one in a worker's last report.
+        """
         return [
             view
             for view in self._views.values()
@@ -331,7 +334,7 @@
     def find_silence(self, address: str) -> float | None:
         """Return the clock time in ms of a silent worker's last report.
 
-        Return None if the worker is not silent, unknown, or has never reported.
+        Return None if the worker is unknown, has never reported, or isn't silent.
         """
         view = self._views.get(address)
         if view is None or not view.is_silent or not view.heard_ms:
--- a/geraniumspool/urgency.py
+++ b/geraniumspool/urgency.py
@@ -95,6 +95,8 @@
     latest_start_ms: float
 
 
+# Lateness of a job: whether it can still meet its latency objective, and if not, whether its
+# result will still be useful.
 IN_TIME = 0
 LATE = 1
 # The result is no longer useful by the latency objective. A started job is still finished and
