--- a/geraniumspool/claim_messages.py
+++ b/geraniumspool/claim_messages.py
@@ -1,8 +1,9 @@
-"""Messages by which dispatchers claim jobs, so that no two run the same one at a time.
+"""Messages to claim jobs, so that no two dispatchers run the same job at the same time.
 
-A dispatcher asks a few others, the arbiters of a job, before it starts any of its tasks.
-Where they cannot tell, it has every executor shut the other dispatchers out of the job.
-Times are in milliseconds.
+Before a dispatcher starts a job's first task, a quorum of the job's arbiters, a few dispatchers
+chosen by its id, must grant its claim. If the arbiters cannot decide, it asks every executor for
+a fence instead: the executor then runs the job for this dispatcher only. Times are in
+milliseconds.
 """
 
 from typing import NamedTuple
@@ -11,10 +12,9 @@
 class Claim(NamedTuple):
     """A dispatcher's claim on a job.
 
-    :param number: rising within the dispatcher's life
-    :param left_ms: time after which no run of the job is at work, whatever happens
-    :param rank: of the fence by which all executors have shut out every other dispatcher,
-        0 where they were not asked to
+    :param number: identifies the claim; increases within the dispatcher's incarnation
+    :param left_ms: time from now within which every run of the job will have ended in any case
+    :param rank: rank of the fence that all executors have set for this claim, 0 without a fence
     """
 
     number: int
@@ -24,10 +24,10 @@
 
 
 class ClaimJobs(NamedTuple):
-    """Dispatcher to arbiter: claims on jobs, and releases of others.
+    """Dispatcher to arbiter: new or repeated claims, and releases of earlier ones.
 
-    :param released: numbers of claims that are over
-    :param oldest: no claim with a lower number is open
+    :param released: numbers of released claims
+    :param oldest: all claims with lower numbers are released, even if a release got lost
     """
 
     claims: tuple[Claim, ...]
@@ -36,12 +36,12 @@
 
 
 class OpenClaims(NamedTuple):
-    """Dispatcher to a new arbiter: these are all the claims that I hold.
+    """Dispatcher to a new arbiter: the complete list of the claims it has made there.
 
-    :param upto: highest number that the list is complete for
-    :param age_ms: how long ago the dispatcher's process started
-    :param is_settled: whether it is itself sure of what it grants
-    :param clean: addresses of dispatchers whose last life ended with nothing at work
+    :param upto: the list is complete up to this number; later claims may be missing
+    :param age_ms: time since the dispatcher's process started
+    :param is_settled: whether the dispatcher, as an arbiter, knows all earlier claims itself
+    :param clean: addresses of dispatchers whose last incarnation exited with no run left
     """
 
     claims: tuple[Claim, ...]
@@ -54,9 +54,11 @@
 class ClaimVerdict(NamedTuple):
     """An arbiter's answer to one claim.
 
-    :param holder: address of the dispatcher that holds the job, empty where it is granted
-    :param holder_life: incarnation of that dispatcher
-    :param is_sure: whether the arbiter knows of every claim made before
+    :param number: number of the claim
+    :param holder: address of the other dispatcher that holds the job, empty if the claim is granted
+    :param holder_life: incarnation of that dispatcher, 0 if the claim is granted
+    :param is_sure: whether the arbiter knows every earlier claim on the job; a grant by one that
+        may not doesn't count towards the quorum
     """
 
     number: int
@@ -68,7 +70,7 @@
 class ClaimVerdicts(NamedTuple):
     """Arbiter to dispatcher: answers to claims.
 
-    :param is_settled: whether the arbiter needs no more lists of all claims
+    :param is_settled: whether the arbiter knows all earlier claims, and needs no ``OpenClaims``
     """
 
     verdicts: tuple[ClaimVerdict, ...]
@@ -76,13 +78,16 @@
 
 
 class EndClaims(NamedTuple):
-    """Dispatcher to arbiter: my process ends, and nothing is at work for it."""
+    """Dispatcher to arbiter: the process is about to exit, and no run is left."""
 
 
 class FenceJobs(NamedTuple):
-    """Dispatcher to executor: run these jobs for me alone, and tell once no other does.
+    """Dispatcher to executor: set fences, and answer once no other dispatcher's runs are left.
 
-    :param rank: a fence gives way to one of higher rank
+    A fence on a job makes the executor run the job for one dispatcher only.
+
+    :param rank: a fence replaces another dispatcher's fence on the same job only if its rank is
+        higher, or equal and its dispatcher's address is not lower
     """
 
     job_ids: tuple[str, ...]
@@ -90,10 +95,11 @@
 
 
 class JobsFenced(NamedTuple):
-    """Executor to dispatcher: nothing of these jobs runs or will run here but on your order.
+    """Executor to dispatcher: these jobs run here for this dispatcher only.
 
-    :param rank: of the fences asked for
-    :param highest: highest rank among fences that did not give way, 0 where all did
+    :param job_ids: fenced jobs; empty if the runs of other dispatchers are still being stopped
+    :param rank: rank of the requested fences
+    :param highest: highest rank of the existing fences that were kept, 0 if all were replaced
     """
 
     job_ids: tuple[str, ...]
--- a/geraniumspool/claim_table.py
+++ b/geraniumspool/claim_table.py
@@ -1,10 +1,10 @@
-"""The claims on jobs that one dispatcher has granted as an arbiter.
+"""Claims on jobs that one dispatcher has granted as an arbiter.
 
-A job is granted to one dispatcher at a time, until that one releases it, or all its runs
-must be over. An arbiter whose process has just started has lost the grants of its life
-before: it takes claims, but is not sure of them until it has been told all that are open
-and knows that the runs of dispatchers that ended before are over: by time, or since others
-have seen them end with nothing at work.
+A job is granted to one dispatcher at a time, until that one releases it or all its runs must
+have ended. The grants are kept in memory only. A restarted arbiter answers claims, but marks its
+answers as not sure until it is settled: until all dispatchers have sent it their open claims, and
+all runs of their former incarnations have ended, either since enough time has passed or since the
+other dispatchers have seen them exit with no run left.
 """
 
 import logging
@@ -19,33 +19,34 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Two of three arbiters decide, so that one may fail without a wait.
+# Two of three arbiters are a majority, so claims are granted without delay if one fails.
 ARBITERS = 3
-# Claims that are over by time are looked for this often.
+# Interval at which expired grants are removed.
 SWEEP_MS = 1_000.0
 
 
 def choose_arbiters(job_id: str, members: Mapping[str, str]) -> list[str]:
     """Return the addresses of a job's arbiters, by rendezvous hashing.
 
-    They are in different failure domains as far as there are as many, so that the loss of one
+    They are in different failure domains if there are enough, so that the loss of one domain
     leaves a quorum.
 
     :param members: failure domains of all dispatchers by address
+    :returns: ``ARBITERS`` addresses, or all if there are fewer dispatchers
     """
     ranked = sorted(members, key=lambda address: crc32(f"{job_id}|{address}".encode()))
     chosen: list[str] = []
-    spare: list[str] = []
+    same_domain: list[str] = []
     domains: set[str] = set()
     for address in ranked:
         if members[address] in domains:
-            spare.append(address)
+            same_domain.append(address)
             continue
         domains.add(members[address])
         chosen.append(address)
         if len(chosen) == ARBITERS:
             return chosen
-    return (chosen + spare)[:ARBITERS]
+    return (chosen + same_domain)[:ARBITERS]
 
 
 class _Grant:
@@ -58,13 +59,14 @@
         self.until_ms = until_ms
 
 
-class _Member:
-    """What an arbiter knows of another dispatcher.
+class _Dispatcher:
+    """What an arbiter knows of another dispatcher's current incarnation.
 
-    :ivar is_synced: whether its open claims are known
-    :ivar is_settled: whether it is sure of what it grants
-    :ivar started_ms: when its process started, by the own clock
-    :ivar clean: addresses of dispatchers that it has seen end with nothing at work
+    :ivar peer: its address and incarnation
+    :ivar is_synced: whether it has sent its open claims
+    :ivar is_settled: whether it is settled as an arbiter itself
+    :ivar started_ms: when its process started, by the clock of this process; infinite if unknown
+    :ivar clean: addresses of dispatchers whose last incarnation it has seen exit with no run left
     """
 
     def __init__(self, peer: Peer):
@@ -76,191 +78,208 @@
 
 
 class ClaimTable:
-    """Grants of one arbiter.
+    """Grants of one arbiter, by job.
 
-    :ivar me: its address
+    :ivar me: address of this dispatcher
     """
 
     def __init__(self, clock: Clock, me: str, started_ms: float):
-        """Know no claim.
+        """Start without any grant.
 
-        :param started_ms: when this process started
+        :param started_ms: when this process started, in milliseconds
         """
         self._clock = clock
         self.me = me
         self._started_ms = started_ms
         self._grants: dict[str, _Grant] = {}
-        self._open: dict[Peer, dict[int, str]] = {}
-        self._lives: dict[str, _Member] = {}
-        # Lives that ended with nothing at work, the last one of each address.
-        self._clean: dict[str, Peer] = {}
+        self._open_claims: dict[Peer, dict[int, str]] = {}
+        self._dispatchers: dict[str, _Dispatcher] = {}
+        # The last incarnation of each address that has exited with no run left.
+        self._clean_exits: dict[str, Peer] = {}
         self._is_settled = False
-        self._swept_ms = clock.now()
-        # Members that were in force, with the time from which on.
-        self._eras: list[tuple[float, Mapping[str, str]]] = []
+        self._last_removal_ms = clock.now()
+        # Former and current members, each with the time since when they were in force.
+        self._membership_history: list[tuple[float, Mapping[str, str]]] = []
 
     def __len__(self) -> int:
-        """Return the number of claims that are open."""
+        """Return the number of granted jobs."""
         return len(self._grants)
 
     def take_members(self, members: Mapping[str, str]) -> None:
-        """Take which dispatchers there are, this one included, and their failure domains."""
+        """Set the dispatchers that jobs' arbiters are chosen from.
+
+        :param members: failure domains of all dispatchers by address, this one included
+        """
         now = self._clock.now()
-        if not self._eras:
-            # Grants of the life before were made by these members as far as anyone knows.
-            self._eras.append((-math.inf, members))
-        elif self._eras[-1][1] != members:
-            self._eras.append((now, members))
+        if not self._membership_history:
+            # Assume that these members also granted the claims of the former incarnation.
+            self._membership_history.append((-math.inf, members))
+        elif self._membership_history[-1][1] != members:
+            self._membership_history.append((now, members))
 
     def forget_members(self) -> None:
-        """Forget the members of long ago."""
+        """Forget former members whose grants have all expired."""
         now = self._clock.now()
-        while len(self._eras) > 1 and self._eras[1][0] <= now - RUNS_OVER_MS:
-            del self._eras[0]
+        while (
+            len(self._membership_history) > 1
+            and self._membership_history[1][0] <= now - RUNS_OVER_MS
+        ):
+            del self._membership_history[0]
 
     @property
     def is_settled(self) -> bool:
-        """Whether every claim that was made before is known, or over."""
+        """Whether every claim made before this process started is known or has expired."""
         if not self._is_settled:
-            self._is_settled = self._has_settled(self._clock.now())
+            self._is_settled = self._check_settled(self._clock.now())
         return self._is_settled
 
     @property
     def clean(self) -> tuple[str, ...]:
-        """Return the dispatchers whose last life has ended with nothing at work."""
-        return tuple(self._clean)
+        """Return the addresses of dispatchers whose last incarnation exited with no run left."""
+        return tuple(self._clean_exits)
 
     def end_cleanly(self, peer: Peer) -> None:
-        """Take that a dispatcher is about to end, and that nothing is at work for it."""
+        """Note that a dispatcher exits with no run left, and release its claims."""
         self.take_life(peer)
-        self._clean[peer.address] = peer
-        for number in list(self._open.get(peer, ())):
+        self._clean_exits[peer.address] = peer
+        for number in list(self._open_claims.get(peer, ())):
             self.release(peer, number)
 
     def is_synced(self, peer: Peer) -> bool:
-        """Return whether all open claims of this life of a dispatcher are known."""
-        member = self._lives.get(peer.address)
+        """Return whether this incarnation of a dispatcher has sent all its open claims."""
+        member = self._dispatchers.get(peer.address)
         return member is not None and member.peer == peer and member.is_synced
 
     def take_life(self, peer: Peer) -> Peer | None:
-        """Take that this life of a dispatcher is there, and any other at its address over.
+        """Note a dispatcher's incarnation; any other one at its address counts as ended.
 
-        A late message of the life before may bring that one back for a moment.
+        A late message of a former incarnation may make that one current again for a short time.
 
-        :returns: the life that is taken for over, which tells its claims once more if it is not
+        :returns: the incarnation that counts as ended, None if there is no such change; if it is
+            still running, it must send its open claims again
         """
-        member = self._lives.get(peer.address)
+        member = self._dispatchers.get(peer.address)
         if member is not None and member.peer == peer:
             return None
-        self._lives[peer.address] = _Member(peer)
+        self._dispatchers[peer.address] = _Dispatcher(peer)
         if member is None:
             return None
-        self._end_life(member.peer)
-        if self._clean.get(peer.address) != member.peer:
-            self._clean.pop(peer.address, None)
+        self._limit_grants(member.peer)
+        if self._clean_exits.get(peer.address) != member.peer:
+            self._clean_exits.pop(peer.address, None)
         return member.peer
 
     def take(self, sender: Peer, message: ClaimJobs) -> list[ClaimVerdict]:
-        """Take claims and releases of a dispatcher, and return the answers to the claims."""
+        """Apply a dispatcher's claims and releases; return the answers to the claims."""
         self.take_life(sender)
         for number in message.released:
             self.release(sender, number)
-        for number in [n for n in self._open.get(sender, ()) if n < message.oldest]:
+        for number in [n for n in self._open_claims.get(sender, ()) if n < message.oldest]:
             self.release(sender, number)
         return [self.decide(sender, claim) for claim in message.claims]
 
     def take_all(self, sender: Peer, message: OpenClaims) -> list[ClaimVerdict]:
-        """Take all claims that a dispatcher holds, and return the answers."""
+        """Apply the complete list of a dispatcher's claims; return the answers to them.
+
+        Grants up to ``message.upto`` that are not listed are released.
+        """
         self.take_life(sender)
-        member = self._lives[sender.address]
+        member = self._dispatchers[sender.address]
         member.is_synced = True
         member.is_settled = message.is_settled
         member.started_ms = self._clock.now() - message.age_ms
         member.clean = frozenset(message.clean)
         listed = {claim.number for claim in message.claims}
-        for number in list(self._open.get(sender, ())):
+        for number in list(self._open_claims.get(sender, ())):
             if number <= message.upto and number not in listed:
                 self.release(sender, number)
         return [self.decide(sender, claim) for claim in message.claims]
 
     def decide(self, claimant: Peer, claim: Claim) -> ClaimVerdict:
-        """Grant a claim, or tell who holds the job."""
+        """Grant a claim, or answer with the dispatcher that holds the job."""
         now = self._clock.now()
-        self._sweep(now)
+        self._remove_expired(now)
         grant = self._grants.get(claim.job_id)
         is_held = grant is not None and grant.holder != claimant and now < grant.until_ms
         if is_held and claim.rank <= grant.rank:
             holder = grant.holder
             return ClaimVerdict(claim.number, holder.address, holder.incarnation)
         if grant is not None and grant.holder == claimant and grant.number > claim.number:
-            # A late message: the claim was repeated under a new number meanwhile.
+            # A late message: the dispatcher has meanwhile repeated the claim with a new number.
             return ClaimVerdict(claim.number, is_sure=self._is_sure(claim.job_id, now))
         if grant is not None:
             self.release(grant.holder, grant.number)
         until_ms = now + claim.left_ms * (1 + CLOCK_DRIFT) + RUNS_OVER_MS
         self._grants[claim.job_id] = _Grant(claimant, claim, until_ms)
-        self._open.setdefault(claimant, {})[claim.number] = claim.job_id
+        self._open_claims.setdefault(claimant, {})[claim.number] = claim.job_id
         return ClaimVerdict(claim.number, is_sure=self._is_sure(claim.job_id, now))
 
     def release(self, holder: Peer, number: int) -> None:
-        """Take that a claim is over."""
-        job_id = self._open.get(holder, {}).pop(number, None)
+        """Remove the grant of a released or expired claim; does nothing if there is none."""
+        job_id = self._open_claims.get(holder, {}).pop(number, None)
         if job_id is not None:
             del self._grants[job_id]
 
     def _is_sure(self, job_id: str, now: float) -> bool:
-        """Return whether every claim on a job that others may rely on is known here."""
+        """Return whether every earlier claim on a job is known here.
+
+        Grants by the job's former arbiters may still hold after a change of the members, so this
+        dispatcher must have been an arbiter under all members that are still kept.
+        """
         return self.is_settled and all(
-            self.me in choose_arbiters(job_id, members) for _, members in self._eras
+            self.me in choose_arbiters(job_id, members) for _, members in self._membership_history
         )
 
-    def _find_start(self, address: str) -> float:
-        """Return when a dispatcher's process started, infinite while its claims are not known."""
+    def _find_start_ms(self, address: str) -> float:
+        """Return when a dispatcher's process started; infinite until it has sent its claims."""
         if address == self.me:
             return self._started_ms
-        member = self._lives.get(address)
+        member = self._dispatchers.get(address)
         return member.started_ms if member is not None and member.is_synced else math.inf
 
-    def _has_settled(self, now: float) -> bool:
-        if not self._eras:
+    def _check_settled(self, now: float) -> bool:
+        if not self._membership_history:
             return False
-        members = self._eras[-1][1]
-        if not all(self._is_known(address, now) for address in members):
+        members = self._membership_history[-1][1]
+        if not all(self._is_accounted_for(address, now) for address in members):
             return False
         fields = (("members", len(members)), ("age_ms", round(now - self._started_ms)))
-        _LOG.info("arbiter settled", extra={"fields": fields})
+        _LOG.info("arbiter knows all earlier claims", extra={"fields": fields})
         return True
 
-    def _is_known(self, address: str, now: float) -> bool:
-        """Return whether a dispatcher's claims are known, and those of its life before over."""
-        started_ms = self._find_start(address)
+    def _is_accounted_for(self, address: str, now: float) -> bool:
+        """Return whether a dispatcher's claims are known, and its former incarnation's expired."""
+        started_ms = self._find_start_ms(address)
         if math.isinf(started_ms):
             return False
-        return now - started_ms >= RUNS_OVER_MS or self._ended_cleanly(address)
+        return now - started_ms >= RUNS_OVER_MS or self._has_exited_cleanly(address)
 
-    def _ended_cleanly(self, address: str) -> bool:
-        """Return whether all who would know say that an earlier life ended with nothing at work."""
+    def _has_exited_cleanly(self, address: str) -> bool:
+        """Return whether a dispatcher's former incarnation exited with no run left.
+
+        All other dispatchers that are settled must say so.
+        """
         witnesses = [
             member
-            for member in self._lives.values()
+            for member in self._dispatchers.values()
             if member.is_synced and member.is_settled and member.peer.address != address
         ]
         return bool(witnesses) and all(address in member.clean for member in witnesses)
 
-    def _end_life(self, life: Peer) -> None:
-        """Let the claims of a process that has ended run out with its runs."""
+    def _limit_grants(self, ended: Peer) -> None:
+        """Limit the grants of an ended incarnation to the time until its runs have ended."""
         until_ms = self._clock.now() + RUNS_OVER_MS
-        job_ids = self._open.get(life, {}).values()
+        job_ids = self._open_claims.get(ended, {}).values()
         for job_id in job_ids:
             grant = self._grants[job_id]
             grant.until_ms = min(grant.until_ms, until_ms)
-        fields = (("peer", life.address), ("jobs", len(job_ids)))
-        _LOG.info("claims of an ended dispatcher run out", extra={"fields": fields})
+        fields = (("peer", ended.address), ("jobs", len(job_ids)))
+        _LOG.info("claims of ended dispatcher expire", extra={"fields": fields})
 
-    def _sweep(self, now: float) -> None:
-        """Forget claims that are over by time."""
-        if now - self._swept_ms < SWEEP_MS:
+    def _remove_expired(self, now: float) -> None:
+        """Remove expired grants, at most once per ``SWEEP_MS``."""
+        if now - self._last_removal_ms < SWEEP_MS:
             return
-        self._swept_ms = now
+        self._last_removal_ms = now
         for grant in [grant for grant in self._grants.values() if grant.until_ms <= now]:
             self.release(grant.holder, grant.number)
--- a/geraniumspool/dispatcher_peers.py
+++ b/geraniumspool/dispatcher_peers.py
@@ -1,4 +1,9 @@
-"""The other dispatchers as one sees them, and the division of the workers among all."""
+"""The other dispatchers as this one sees them, and the division of the workers among all.
+
+Every worker is owned by one dispatcher, the only one that places tasks on it. All dispatchers
+work out the owners from the members that they see, without messages for it; those that see the
+same members get the same owners.
+"""
 
 import logging
 import math
@@ -13,34 +18,44 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Three reports fit in: a dispatcher that is silent for this long gets no jobs, and its
-# workers go to the others.
+# A dispatcher that is silent for this long counts as dead: it is sent no jobs, and its workers go
+# to the others. Reports to the same domain arrive every 100 ms, so several may be lost.
 PEER_SILENT_MS = 500.0
-# One whose connections are closed, as when its process has ended, is taken for lost sooner:
-# nng connects again after a tenth of a second where only the connection was reset.
+# Limit for a dispatcher that has closed the connection, as when its process has exited. If only
+# the connection was reset, nng reconnects after 100 ms.
 CLOSED_SILENT_MS = 200.0
-# Those that are in another domain or have no workers report less often.
+# Limit for dispatchers in another domain or without workers, which report less often.
 IDLE_SILENT_MS = 1_000.0
 
 
 class PeerView:
     """Another dispatcher.
 
-    :ivar peer: its address and life
-    :ivar echo_ms: its clock in its last report
-    :ivar heard_ms: when that report arrived
-    :ivar known_ms: when it was listed, or last changed its life
-    :ivar told_ms: when it was last sent a report
-    :ivar is_closed: whether the connection to it was closed by its end
-    :ivar loads: its workers by service, as it last told
-    :ivar unlisted: addresses of workers that only it knows, as it last told
-    :ivar sent_work: work forwarded to it since then, by service
+    All times but ``echo_ms`` are readings of this process's clock in milliseconds.
+
+    :ivar peer: its address and incarnation
+    :ivar record: what it registered in the store
+    :ivar echo_ms: highest reading of its own clock in its reports, sent back to it so that it can
+        tell how old a message is; 0 before the first report of this incarnation
+    :ivar heard_ms: when its last report arrived
+    :ivar known_ms: when it was added, or replaced by another incarnation
+    :ivar told_ms: when a report was last sent to it
+    :ivar reset_ms: when the connection to it was last reopened
+    :ivar is_leaving: whether it is about to exit
+    :ivar is_closed: whether it has closed the connection
+    :ivar was_alive: what ``is_alive`` returned when it was last checked
+    :ivar loads: load of its workers by service, from its last report
+    :ivar unlisted: addresses of the workers that it uses and does not find in the store, from its
+        last report
+    :ivar sent_work: work forwarded to it since that report by service, in thousandths of a core
+        times milliseconds
     """
 
     def __init__(self, address: str, record: DispatcherRecord, domain: str, now: float):
-        """Know what the store lists of it.
+        """Start with what the store contains, as nothing was heard of it yet.
 
         :param domain: failure domain of this process
+        :param now: current time in milliseconds
         """
         self._domain = domain
         self.peer = Peer(address, ANY_INCARNATION)
@@ -59,21 +74,21 @@
 
     @property
     def domain(self) -> str:
-        """Return its failure domain."""
+        """Return the failure domain that it registered."""
         return self.record.domain
 
     @property
     def is_near(self) -> bool:
-        """Whether it is in the failure domain of this process."""
+        """Whether it is in the same failure domain as this process."""
         return self.record.domain == self._domain
 
     @property
     def is_heard(self) -> bool:
-        """Whether this life of it has reported."""
+        """Whether its current incarnation has sent a report."""
         return self.echo_ms > 0
 
     def silent_ms(self, now: float) -> float:
-        """Return for how long nothing was heard of it."""
+        """Return for how many milliseconds it has been silent."""
         return now - max(self.heard_ms, self.known_ms)
 
     def takes_jobs(self, now: float) -> bool:
@@ -81,18 +96,18 @@
         return not self.is_leaving and self.is_reachable(now)
 
     def is_reachable(self, now: float) -> bool:
-        """Return whether this life of it is there and hears, as far as known."""
+        """Return whether its current incarnation has reported, is connected and not silent."""
         return self.is_heard and not self.is_closed and self.is_alive(now)
 
     def is_alive(self, now: float) -> bool:
-        """Return whether it is there as far as known."""
+        """Return whether it has not been silent for too long."""
         silent_ms = self.silent_ms(now)
         if self.is_closed:
             return silent_ms <= CLOSED_SILENT_MS
         return silent_ms <= (PEER_SILENT_MS if self.loads and self.is_near else IDLE_SILENT_MS)
 
     def take(self, report: DispatcherReport, now: float) -> None:
-        """Take what it says of itself."""
+        """Store the contents of its report."""
         self.echo_ms = max(self.echo_ms, report.now_ms)
         self.heard_ms = now
         self.is_leaving = report.is_leaving
@@ -101,7 +116,7 @@
         self.sent_work.clear()
 
     def replace(self, peer: Peer, now: float) -> None:
-        """Take another life of it."""
+        """Replace it by another incarnation, of which nothing is known but its address."""
         self.peer = peer
         self.echo_ms = 0.0
         self.known_ms = now
@@ -111,13 +126,14 @@
 
 
 class DispatcherPeers:
-    """All other dispatchers, and who owns which worker.
-
-    :ivar is_leaving: whether this process is about to end
-    :ivar owned: addresses of the workers that this process places on
-    :ivar directory: members that the store lists
-    :ivar executors: addresses of all executors that a dispatcher may use
-    :ivar is_broken: tells whether the connection to a peer was closed by the other end
+    """All other dispatchers, and the workers that this one owns.
+
+    :ivar views: the other dispatchers by address
+    :ivar is_leaving: whether this process is about to exit, and owns no workers any more
+    :ivar owned: addresses of the workers that this process owns
+    :ivar directory: dispatchers and workers registered in the store
+    :ivar executors: addresses of all executors that some dispatcher may use
+    :ivar is_broken: returns whether a dispatcher has closed the connection to this one
     """
 
     def __init__(
@@ -128,10 +144,12 @@
         evacuations: Evacuations,
         group_workers: float = GROUP_WORKERS,
     ):
-        """Know nobody else.
+        """Start without any other dispatcher.
 
-        :param evacuations: failure domains whose workers are of no use for now
-        :param group_workers: about how many workers a dispatcher places on
+        :param me: address and incarnation of this process
+        :param record: what this process registered in the store
+        :param evacuations: evacuated failure domains, whose workers must not be used for now
+        :param group_workers: about how many workers one dispatcher owns
         """
         self._group_workers = group_workers
         self._clock = clock
@@ -141,16 +159,16 @@
         self.directory = Directory()
         self.is_leaving = False
         self.views: dict[str, PeerView] = {}
-        self.is_broken: Callable[[Peer], bool] = _trust_link
+        self.is_broken: Callable[[Peer], bool] = _assume_connected
         self._sites: dict[str, Site] = {}
         self._sites_version = 0
-        # Members and workers that the groups in force were worked out from.
-        self._alike: tuple = ()
+        # Input of the last division of the workers.
+        self._division_input: tuple = ()
         self.owned: set[str] = set()
         self.executors: set[str] = set()
 
     def find(self, sender: Peer) -> PeerView:
-        """Return the view of who has sent a message, a new one where need be."""
+        """Return the view of a message's sender, and add or replace it where necessary."""
         view = self.views.get(sender.address)
         now = self._clock.now()
         if view is None:
@@ -168,7 +186,10 @@
         return (view for view in self.views.values() if view.loads and view.takes_jobs(now))
 
     def refresh(self) -> bool:
-        """Take up what has changed of the members; return whether the own group may have."""
+        """Apply changes of the members; return whether the owned workers may have changed.
+
+        Dispatchers that are neither registered nor alive are removed.
+        """
         now = self._clock.now()
         self.directory.forget(now)
         listed = self.directory.dispatchers
@@ -181,12 +202,12 @@
             if address not in listed and not view.is_alive(now):
                 del self.views[address]
             elif view.was_alive != view.is_alive(now):
-                self._note_change(view, now)
-        self._note_executors(now)
-        return self._divide(now)
+                self._log_change(view, now)
+        self._update_executors(now)
+        return self._divide_workers(now)
 
-    def _note_executors(self, now: float) -> None:
-        """Count an executor that the store lists no more until nobody uses it."""
+    def _update_executors(self, now: float) -> None:
+        """Update the executors; keep one that is not registered while a dispatcher may use it."""
         listed = self.directory.workers.keys()
         views = self.views.values()
         used = {address for view in views for address in view.unlisted}
@@ -198,14 +219,14 @@
         view = self.views[address] = PeerView(address, record, self._record.domain, now)
         return view
 
-    def _note_change(self, view: PeerView, now: float) -> None:
+    def _log_change(self, view: PeerView, now: float) -> None:
         view.was_alive = not view.was_alive
-        text = "peer heard again" if view.was_alive else "peer silent"
+        message = "peer reachable again" if view.was_alive else "peer silent"
         fields = (("peer", view.peer.address), ("silent_ms", round(view.silent_ms(now))))
-        _LOG.warning(text, extra={"fields": fields})
+        _LOG.warning(message, extra={"fields": fields})
 
-    def _list_sites(self) -> dict[str, Site]:
-        """Return where the workers are; the same object until the members change."""
+    def _find_sites(self) -> dict[str, Site]:
+        """Return the locations of the workers; the same object until the members change."""
         if self._sites_version != self.directory.version:
             self._sites_version = self.directory.version
             self._sites = {
@@ -214,7 +235,7 @@
             }
         return self._sites
 
-    def _divide(self, now: float) -> bool:
+    def _divide_workers(self, now: float) -> bool:
         members = [
             Owner(address, view.record.domain, view.record.capacity)
             for address, view in self.views.items()
@@ -222,35 +243,37 @@
         ]
         if not self.is_leaving:
             members.append(Owner(self._me.address, self._record.domain, self._record.capacity))
-        workers = self._list_sites()
-        alike = (sorted(members), workers, self._evacuations.domains)
-        if alike == self._alike:
+        workers = self._find_sites()
+        division_input = (sorted(members), workers, self._evacuations.domains)
+        if division_input == self._division_input:
             return False
-        self._alike = alike
-        groups: dict[str, str] = {}
+        self._division_input = division_input
+        owners_by_worker: dict[str, str] = {}
         for service in {site.service for site in workers.values()}:
-            groups |= self._divide_service(members, service)
-        owned = {address for address, owner in groups.items() if owner == self._me.address}
+            owners_by_worker |= self._divide_service(members, service)
+        owned = {
+            address for address, owner in owners_by_worker.items() if owner == self._me.address
+        }
         fields = (("members", len(members)), ("workers", len(workers)), ("owned", len(owned)))
         _LOG.info("workers divided", extra={"fields": fields})
         self.owned = owned
         return True
 
     def _divide_service(self, members: list[Owner], service: str) -> dict[str, str]:
-        """Return the owners of a service's workers.
+        """Return the owners of a service's workers by address.
 
-        Those that are evacuated are divided by themselves, so that all dispatchers have their
-        part of the rest, and none is left with workers that it may not use.
+        Evacuated workers are divided separately: every dispatcher so gets its share of the usable
+        ones, and none owns evacuated workers alone.
         """
         usable: dict[str, Site] = {}
         evacuated: dict[str, Site] = {}
-        for address, site in self._list_sites().items():
+        for address, site in self._find_sites().items():
             if site.service == service:
-                part = evacuated if self._evacuations.covers(site.domain) else usable
-                part[address] = site
+                group = evacuated if self._evacuations.covers(site.domain) else usable
+                group[address] = site
         owners = divide(members, usable, self._group_workers)
         return owners | divide(members, evacuated, self._group_workers)
 
 
-def _trust_link(_peer: Peer) -> bool:
+def _assume_connected(_peer: Peer) -> bool:
     return False
--- a/geraniumspool/fence_requests.py
+++ b/geraniumspool/fence_requests.py
@@ -1,4 +1,8 @@
-"""Asking executors to run some jobs for this dispatcher alone, until all have agreed."""
+"""Requests to executors for fences on jobs, repeated until all have answered.
+
+A fence makes an executor run a job for one dispatcher only. Once every executor has set a fence
+for this dispatcher, no other dispatcher can run the job.
+"""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -8,17 +12,17 @@
 from geraniumspool.open_claim import OpenClaim
 from geraniumspool.run_leases import RUNS_OVER_MS
 
-# Executors may be about to come up, and are asked again after this.
+# Interval at which requests are repeated, as executors may be starting.
 ASK_AGAIN_MS = 50.0
-# One that was not asked again within this is not known to be silent.
+# An executor's silence counts only while it is asked at least this often.
 QUESTION_MS = 300.0
 
 
-class _Question:
-    """One that an executor has not answered yet.
+class _UnansweredRequest:
+    """Requests to one executor since its last answer.
 
-    :ivar first_ms: when it was asked first
-    :ivar last_ms: when it was asked last
+    :ivar first_ms: when the first one was sent
+    :ivar last_ms: when the last one was sent
     """
 
     def __init__(self, now: float):
@@ -27,12 +31,13 @@
 
 
 class FenceRequests:
-    """What executors were asked and have answered.
+    """Requests for fences, and which executors have not answered them.
 
-    :ivar rank: of the fences that are asked for now
-    :ivar is_closed: tells whether the connection to an executor was closed by its end
-    :ivar find_silence: returns since when an executor is silent that was heard before, None
-        where that is not known
+    :ivar rank: rank of the fences that are requested now; starts with the wall clock's time, so
+        that a restarted dispatcher requests higher ranks than before
+    :ivar is_closed: returns whether an executor has closed the connection to this process
+    :ivar find_silence: returns since when an executor has been silent, by this process's clock in
+        milliseconds, None if that is not known
     """
 
     def __init__(
@@ -41,22 +46,27 @@
         send: Callable[[Peer, Message], bool],
         find_workers: Callable[[], Collection[str]],
     ):
-        """Have asked nobody.
+        """Start without any request.
 
+        :param send: queues a message to an executor; returns whether it was queued
         :param find_workers: returns the addresses of all executors
         """
         self._clock = clock
         self._send = send
         self._find_workers = find_workers
         self.rank = round(clock.wall())
-        self.is_closed: Callable[[str], bool] = _know_none_closed
-        self.find_silence: Callable[[str], float | None] = _know_nothing
-        self._unanswered: dict[str, _Question] = {}
+        self.is_closed: Callable[[str], bool] = _assume_open
+        self.find_silence: Callable[[str], float | None] = _find_no_silence
+        self._unanswered: dict[str, _UnansweredRequest] = {}
 
     def ask(self, claims: Iterable[OpenClaim]) -> list[OpenClaim]:
-        """Ask about the claims for which it is time; return those that all have agreed to."""
+        """Request fences for the claims that are due, in one message to each executor.
+
+        :param claims: claims that arbiters cannot decide
+        :returns: claims whose fence is complete, as ``is_complete`` says
+        """
         now = self._clock.now()
-        due: dict[str, list[str]] = {}
+        job_ids_by_executor: dict[str, list[str]] = {}
         fenced = []
         for claim in claims:
             if now - claim.fence_asked_ms < ASK_AGAIN_MS:
@@ -67,60 +77,66 @@
                 claim.fenced.clear()
             for address in self._find_workers():
                 if address not in claim.fenced:
-                    due.setdefault(address, []).append(claim.job_id)
+                    job_ids_by_executor.setdefault(address, []).append(claim.job_id)
             if self.is_complete(claim):
                 fenced.append(claim)
-        for address, job_ids in due.items():
-            self._note_asked(address, now)
+        for address, job_ids in job_ids_by_executor.items():
+            self._record_request(address, now)
             self._send(Peer(address, ANY_INCARNATION), FenceJobs(tuple(job_ids), self.rank))
         return fenced
 
     def ask_one(self, address: str, claims: Iterable[OpenClaim]) -> None:
-        """Ask an executor that has just come up: the others may have answered."""
+        """Request fences from an executor that has just started, and may be the last one missing.
+
+        :param claims: claims that arbiters cannot decide
+        """
         job_ids = tuple(claim.job_id for claim in claims if claim.fence_rank == self.rank)
         if job_ids:
             self._send(Peer(address, ANY_INCARNATION), FenceJobs(job_ids, self.rank))
 
     def take_answer(self, sender: Peer, message: JobsFenced) -> None:
-        """Take that an executor is there, and which rank its fences give way to."""
+        """Note that an executor has answered, and raise the rank above that of fences it kept."""
         if message.highest >= self.rank:
             self.rank = message.highest + 1
         self._unanswered.pop(sender.address, None)
 
     def is_complete(self, claim: OpenClaim) -> bool:
-        """Return whether no executor runs a job for another dispatcher.
+        """Return whether no executor can run the claimed job for another dispatcher.
 
-        One that is silent for as long as leases last runs nothing any more if its process has
-        ended, or if most arbiters are there and none knows of a holder, who would renew them.
+        An executor that is silent for as long as leases last needs no fence in two cases: its
+        process has exited; or a quorum of arbiters has answered and none knows another holder, so
+        nobody has renewed the leases of its runs.
         """
         now = self._clock.now()
         workers = self._find_workers()
-        answering = claim.granted | claim.unsure
-        may_pass_over = claim.holder is None and len(answering) >= claim.quorum
+        answered = claim.granted | claim.unsure
+        may_skip_silent = claim.holder is None and len(answered) >= claim.quorum
         return bool(workers) and all(
             address in claim.fenced
             or now - self._silent_since(address, now) >= RUNS_OVER_MS
-            and (may_pass_over or self.is_closed(address))
+            and (may_skip_silent or self.is_closed(address))
             for address in workers
         )
 
     def _silent_since(self, address: str, now: float) -> float:
-        question = self._unanswered.get(address)
-        if question is None or now - question.last_ms > QUESTION_MS:
+        request = self._unanswered.get(address)
+        if request is None or now - request.last_ms > QUESTION_MS:
             return now
-        known_ms = self.find_silence(address)
-        return question.first_ms if known_ms is None else min(question.first_ms, known_ms)
+        silent_since_ms = self.find_silence(address)
+        return (
+            request.first_ms if silent_since_ms is None else min(request.first_ms, silent_since_ms)
+        )
 
-    def _note_asked(self, address: str, now: float) -> None:
-        question = self._unanswered.get(address)
-        if question is None or now - question.last_ms > QUESTION_MS:
-            question = self._unanswered[address] = _Question(now)
-        question.last_ms = now
+    def _record_request(self, address: str, now: float) -> None:
+        request = self._unanswered.get(address)
+        if request is None or now - request.last_ms > QUESTION_MS:
+            request = self._unanswered[address] = _UnansweredRequest(now)
+        request.last_ms = now
 
 
-def _know_nothing(_address: str) -> None:
+def _find_no_silence(_address: str) -> None:
     pass
 
 
-def _know_none_closed(_address: str) -> bool:
+def _assume_open(_address: str) -> bool:
     return False
--- a/geraniumspool/forwarded_jobs.py
+++ b/geraniumspool/forwarded_jobs.py
@@ -1,4 +1,9 @@
-"""Jobs of other dispatchers' callers that this one places, under its entries' leases."""
+"""Jobs that other dispatchers forward to this one, each dispatcher's under a lease.
+
+The dispatcher that received a caller's request is the job's entry dispatcher. It numbers the
+jobs that it forwards, and renews its lease here by echoing this process's clock in its messages.
+When the lease expires, its jobs are ended here, as it may have given them to another dispatcher.
+"""
 
 import logging
 from collections.abc import Callable
@@ -15,71 +20,79 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Answers are told again while the entry may have missed them.
+# Results, and numbers of lost jobs, kept for each entry dispatcher: a result is sent again for as
+# long as the entry dispatcher still lists the job, as the answer may have been lost.
 KEPT_ENDS = 512
+# An entry dispatcher without jobs here that is silent for this long is forgotten.
 FORGET_ENTRY_MS = 30_000.0
-# The entry was given up for a while, and its job with it; or never got its message through.
+# The entry dispatcher's lease had expired, and its jobs were ended.
 LEASE_OVER = "lease_over"
+# The message with the job never arrived.
 NOT_RECEIVED = "not_received"
 
 
 class Entry:
-    """A dispatcher that has forwarded jobs here.
+    """An entry dispatcher that has forwarded jobs here.
+
+    All times are readings of this process's clock in milliseconds.
 
-    :ivar lease_until_ms: time up to which its jobs may go on
-    :ivar jobs: those at work here, by its number
-    :ivar ends: how the last ones ended
-    :ivar lost: numbers that it was told never arrived, or has dropped before they did
+    :ivar peer: its address and incarnation
+    :ivar lease_until_ms: time up to which its jobs may run
+    :ivar heard_ms: when it was last heard
+    :ivar jobs: its unfinished jobs by their numbers
+    :ivar ends: results of its last jobs by their numbers
+    :ivar lost: numbers of jobs that are not accepted any more: it was told that their messages
+        had not arrived, or has dropped them before they arrived
     """
 
     def __init__(self, peer: Peer):
-        """Know a dispatcher that holds no lease yet."""
+        """Start with no lease and no jobs."""
         self.peer = peer
         self.lease_until_ms = 0.0
         self.heard_ms = 0.0
         self.jobs: dict[int, DispatchJob] = {}
         self.ends: dict[int, JobResult] = {}
         self.lost: dict[int, None] = {}
-        self._forgotten_upto = 0
+        self._highest_forgotten = 0
 
     def knows(self, number: int) -> bool:
-        """Return whether a job is at work, has ended, or counts as lost."""
-        if number <= self._forgotten_upto:
+        """Return whether a job is unfinished, has ended, counts as lost, or may be forgotten."""
+        if number <= self._highest_forgotten:
             return True
         return number in self.jobs or number in self.ends or number in self.lost
 
     def keep_end(self, number: int, result: JobResult) -> None:
-        """Remember how a job ended."""
+        """Store a job's result, and forget the oldest beyond ``KEPT_ENDS``."""
         self.ends[number] = result
-        self._forget_first(self.ends)
+        self._forget_oldest(self.ends)
 
     def keep_lost(self, number: int) -> None:
-        """Remember that a job must not be taken any more."""
+        """Store that a job must not be accepted any more, unless it has ended already."""
         if number not in self.ends:
             self.lost[number] = None
-            self._forget_first(self.lost)
+            self._forget_oldest(self.lost)
 
     def find_end(self, number: int) -> JobResult:
-        """Return how a job ended that is not at work here."""
-        known = self.ends.get(number)
-        if known is not None:
-            return known
-        if number <= self._forgotten_upto:
-            # It may have run, long ago.
+        """Return the result of a job that is not among the unfinished ones."""
+        result = self.ends.get(number)
+        if result is not None:
+            return result
+        if number <= self._highest_forgotten:
+            # Its result is no longer stored, so it may have run.
             return JobResult(JobOutcome.UNFINISHED, LEASE_OVER)
-        # Its message was lost, and counts as such should it come after all.
+        # Its message was lost. Should it arrive later, it is ignored.
         self.keep_lost(number)
         return JobResult(JobOutcome.REFUSED, NOT_RECEIVED)
 
-    def _forget_first(self, kept: dict) -> None:
+    def _forget_oldest(self, kept: dict) -> None:
         while len(kept) > KEPT_ENDS:
-            first = next(iter(kept))
-            del kept[first]
-            self._forgotten_upto = max(self._forgotten_upto, first)
+            oldest = next(iter(kept))
+            del kept[oldest]
+            self._highest_forgotten = max(self._highest_forgotten, oldest)
 
 
 class ForwardedJobs:
-    """All jobs of other dispatchers' callers."""
+    """The jobs of all entry dispatchers that forward to this one."""
 
     def __init__(
         self,
@@ -88,9 +101,10 @@
         counters: Counters,
         dispatcher: Dispatcher,
     ):
-        """Connect the parts.
+        """Connect the components.
 
-        :param send: queues a message to a dispatcher
+        :param send: queues a message to a dispatcher; returns whether it was queued
+        :param dispatcher: dispatcher of this process, which places the jobs
         """
         self._clock = clock
         self._send = send
@@ -99,19 +113,22 @@
         self._entries: dict[Peer, Entry] = {}
 
     def list_served(self) -> set[Peer]:
-        """Return the dispatchers of which jobs are at work here."""
+        """Return the entry dispatchers with unfinished jobs here."""
         return {entry.peer for entry in self._entries.values() if entry.jobs}
 
     def take(self, sender: Peer, message: ForwardJob) -> None:
-        """Take a job of another dispatcher's caller."""
-        entry = self._renew(sender, message.echo_ms)
+        """Accept a forwarded job, or refuse it if its entry dispatcher holds no lease.
+
+        A message whose number is known is a repetition, and ignored.
+        """
+        entry = self._renew_lease(sender, message.echo_ms)
         number = message.number
         if entry.knows(number):
             return
         if entry.lease_until_ms <= self._clock.now():
             self._answer(entry, number, JobResult(JobOutcome.REFUSED, LEASE_OVER))
             return
-        taken = self._dispatcher.submit(
+        submitted = self._dispatcher.submit(
             message.spec,
             message.queue,
             message.wait_ms,
@@ -119,47 +136,56 @@
             message.age_ms,
             lambda: entry.lease_until_ms,
         )
-        if isinstance(taken, JobResult):
-            self._answer(entry, number, taken._replace(inputs=()))
+        if isinstance(submitted, JobResult):
+            self._answer(entry, number, submitted._replace(inputs=()))
             return
-        entry.jobs[number] = taken
-        eventlet.spawn_n(self._await, entry, number, taken)
+        entry.jobs[number] = submitted
+        eventlet.spawn_n(self._await_result, entry, number, submitted)
 
     def take_drop(self, sender: Peer, message: DropJobs) -> None:
-        """Take that nobody waits for some jobs any more."""
+        """Drop jobs for which no caller waits at their entry dispatcher any more."""
         entry = self._entries.get(sender)
         if entry is None:
             return
         for number in message.numbers:
-            self._leave(entry, number)
+            self._drop_job(entry, number)
 
     def settle(self, sender: Peer, report: DispatcherReport) -> None:
-        """Renew an entry's lease, and settle what both know of its jobs."""
-        entry = self._renew(sender, report.echo_ms)
+        """Renew an entry dispatcher's lease, and reconcile its list of forwarded jobs with ours.
+
+        A job that it does not list any more is dropped; the result of a listed job that is not
+        among the unfinished ones is sent again.
+        """
+        entry = self._renew_lease(sender, report.echo_ms)
         wanted = set(report.numbers)
         for number in list(entry.jobs):
             if number <= report.upto and number not in wanted:
-                self._leave(entry, number)
+                self._drop_job(entry, number)
         for number in wanted - entry.jobs.keys():
             self._send(entry.peer, ForwardedEnd(number, entry.find_end(number)))
 
     def end_leases(self, now: float) -> None:
-        """Give up the jobs of entries that are silent: their callers ask anew elsewhere."""
+        """End the jobs of entry dispatchers whose leases have expired.
+
+        Their callers send the jobs again to other dispatchers.
+
+        :param now: current time in milliseconds
+        """
         for entry in list(self._entries.values()):
             if entry.lease_until_ms <= now and entry.jobs:
-                self._give_up(entry)
+                self._end_jobs(entry)
             if now - entry.heard_ms > FORGET_ENTRY_MS and not entry.jobs:
                 del self._entries[entry.peer]
 
-    def _give_up(self, entry: Entry) -> None:
+    def _end_jobs(self, entry: Entry) -> None:
         fields = (("entry", entry.peer.address), ("jobs", len(entry.jobs)))
-        _LOG.warning("entry silent", extra={"fields": fields})
+        _LOG.warning("lease of entry dispatcher expired", extra={"fields": fields})
         self._counters.add("entry_leases_ended")
         for number in list(entry.jobs):
-            self._leave(entry, number)
+            self._drop_job(entry, number)
 
-    def _leave(self, entry: Entry, number: int) -> None:
-        """Count a caller off, once: others may wait for the same job."""
+    def _drop_job(self, entry: Entry, number: int) -> None:
+        """Remove the entry dispatcher's waiter from a job; others may wait for the same job."""
         job = entry.jobs.pop(number, None)
         if job is None:
             entry.keep_lost(number)
@@ -167,19 +193,19 @@
         self._answer(entry, number, JobResult(JobOutcome.GONE, "caller_gone"))
         self._dispatcher.leave_job(job)
 
-    def _renew(self, sender: Peer, echo_ms: float) -> Entry:
+    def _renew_lease(self, sender: Peer, echo_ms: float) -> Entry:
         entry = self._entries.get(sender)
         if entry is None:
             entry = self._entries[sender] = Entry(sender)
         now = self._clock.now()
         entry.heard_ms = now
         if echo_ms <= now:
-            # A clock ahead of the own one is that of an earlier process here.
-            until = echo_ms + DISPATCHER_LEASE_MS
-            entry.lease_until_ms = max(entry.lease_until_ms, until)
+            # An echo ahead of this process's clock was read by an earlier incarnation.
+            until_ms = echo_ms + DISPATCHER_LEASE_MS
+            entry.lease_until_ms = max(entry.lease_until_ms, until_ms)
         return entry
 
-    def _await(self, entry: Entry, number: int, job: DispatchJob) -> None:
+    def _await_result(self, entry: Entry, number: int, job: DispatchJob) -> None:
         result = self._dispatcher.wait(job)
         if entry.jobs.pop(number, None) is not None:
             self._answer(entry, number, result._replace(inputs=()))
--- a/geraniumspool/job_claims.py
+++ b/geraniumspool/job_claims.py
@@ -1,10 +1,10 @@
 """Claims of one dispatcher on the jobs that it runs.
 
-Before a job's first task starts, most of its arbiters must have granted the job to this
-dispatcher; the claim is released once the ends of all its runs are known. A caller may so
-send a job again at any time and to any dispatcher: its tasks never run twice at a time.
-Where arbiters are away or new, or the holder of a job does not answer, every executor is
-asked to shut other dispatchers out instead.
+Before a job's first task starts, a majority of its arbiters must have granted the claim to this
+dispatcher. The claim is released once all runs of the job are known to have ended. A caller may
+therefore send a job again at any time and to any dispatcher, and no task runs twice at the same
+time. If too few arbiters can answer, or the holder of a job is unreachable, every executor is
+asked for a fence instead: it then runs the job for this dispatcher only.
 """
 
 import logging
@@ -32,45 +32,56 @@
 
 _LOG = logging.getLogger(__name__)
 
-# The other arbiters are asked as well where the first have not answered after this.
+# If the arbiters that were asked first have not granted a claim after this, the others are asked
+# as well.
 HEDGE_MS = 50.0
-# Questions are repeated after this: an arbiter that was not sure may be so by now.
+# An arbiter that has not granted a claim is asked again after this: one that did not know every
+# earlier claim may know them by then.
 REPEAT_MS = 100.0
-# An arbiter that is there and has not answered after this is not waited for.
+# A reachable arbiter that has not answered after this is no longer waited for.
 UNANSWERED_MS = 500.0
-# Releases wait this long for company; who wants the job meanwhile is sent to its holder.
+# Releases are batched for up to this time. A dispatcher that claims the job in between is
+# referred to its holder.
 RELEASE_MS = 100.0
-# After a pause of this length executors have ended the runs of this process.
+# If this process was stopped for this long, its leases have expired and executors have stopped
+# its runs.
 PAUSE_MS = 600.0
-# A job that another dispatcher is about to give up is waited for so long.
+# If two dispatchers claim a job at the same time and each has some grants, the one with the higher
+# address gives up at once; the other one waits this long for it.
 YIELD_MS = 90.0
 
 
 class ClaimPeer(Protocol):
-    """Another dispatcher as far as claims go."""
+    """What claims need to know of another dispatcher.
+
+    :ivar peer: its address and incarnation
+    :ivar is_near: whether it is in the failure domain of this process
+    :ivar domain: its failure domain
+    """
 
     peer: Peer
     is_near: bool
     domain: str
 
     def is_reachable(self, now: float) -> bool:
-        """Return whether this life of it is there and hears, as far as known."""
+        """Return whether its current incarnation has reported, is connected and not silent."""
 
 
-class _Outgoing:
+class _QueuedParts:
     def __init__(self):
         self.claims: list[Claim] = []
         self.released: list[int] = []
 
 
 class JobClaims:
-    """All claims of one dispatcher, and those that it grants as an arbiter.
+    """All claims of one dispatcher, and the claims that it grants as an arbiter.
 
-    :ivar table: what this dispatcher has granted
-    :ivar fences: what executors were asked
+    :ivar table: claims that this dispatcher has granted as an arbiter
+    :ivar fences: requests to executors for fences
     :ivar on_granted: called with a job that may run now, and the rank of its fence, 0 for none
-    :ivar on_doubt: called with a job that may not run until it is granted again
-    :ivar on_held: called with a job that another dispatcher runs, and that one's address
+    :ivar on_doubt: called with a job of which nothing may start until it is granted again
+    :ivar on_held: called with a job that another dispatcher holds, and that dispatcher's address,
+        empty if it is not known
     """
 
     def __init__(
@@ -84,12 +95,14 @@
         find_workers: Callable[[], Collection[str]],
         started_ms: float | None = None,
     ):
-        """Hold no claim.
+        """Start without any claim.
 
+        :param send: queues a message to a dispatcher or an executor; returns whether it was queued
+        :param me: address and incarnation of this process
         :param domain: failure domain of this process
         :param find_peers: returns the other dispatchers
         :param find_workers: returns the addresses of all executors
-        :param started_ms: when this process started, now where it is not given
+        :param started_ms: when this process started, in milliseconds; None for now
         """
         self._clock = clock
         self._send = send
@@ -102,62 +115,71 @@
         self.fences = FenceRequests(clock, send, find_workers)
         self.on_granted: Callable[[Claimant, int], None] = _ignore_grant
         self.on_held: Callable[[Claimant, str], None] = _ignore_held
-        self.on_doubt: Callable[[Claimant], None] = _ignore
+        self.on_doubt: Callable[[Claimant], None] = _ignore_doubt
         self._peers: dict[str, ClaimPeer] = {}
-        self._members: dict[str, str] = {}
+        self._domains: dict[str, str] = {}
         self._open: dict[str, OpenClaim] = {}
         self._by_number: dict[int, OpenClaim] = {}
         self._undecided: dict[int, OpenClaim] = {}
         self._next_number = 1
-        self._settled: set[Peer] = set()
-        self._outbox: dict[Peer, _Outgoing] = {}
-        self._is_flushing = False
-        self._is_fencing = False
-        self._released_ms = clock.now()
-        self._ran_ms = clock.now()
+        self._settled_arbiters: set[Peer] = set()
+        self._outbox: dict[Peer, _QueuedParts] = {}
+        self._is_flush_due = False
+        self._is_fence_due = False
+        self._flushed_ms = clock.now()
+        self._checked_ms = clock.now()
 
     def take_members(self) -> None:
-        """Take up which dispatchers there are, and tell new ones all that is claimed."""
+        """Update the list of dispatchers, and send all open claims to those that need them."""
         self._peers = {view.peer.address: view for view in self._find_peers()}
-        before = self._members
-        self._members = {address: view.domain for address, view in self._peers.items()}
-        self._members[self._me.address] = self._domain
-        if self._members != before:
-            self.table.take_members(self._members)
-            self._choose_anew()
+        previous = self._domains
+        self._domains = {address: view.domain for address, view in self._peers.items()}
+        self._domains[self._me.address] = self._domain
+        if self._domains != previous:
+            self.table.take_members(self._domains)
+            self._reassign_arbiters()
         self.table.forget_members()
         for view in self._peers.values():
             if view.peer.incarnation != ANY_INCARNATION:
-                self._take_life(view.peer)
-                if view.peer not in self._settled:
-                    self._send_open(view.peer)
+                self._note_incarnation(view.peer)
+                if view.peer not in self._settled_arbiters:
+                    self._send_open_claims(view.peer)
 
-    def _choose_anew(self) -> None:
-        """Let the arbiters of open claims follow the members; new ones are asked as well."""
+    def _reassign_arbiters(self) -> None:
+        """Choose the arbiters of open claims again after a change of the members.
+
+        New arbiters of a granted claim are asked as well, so that they know of it.
+        """
         now = self._clock.now()
         for claim in self._open.values():
             claim.arbiters = self._choose_arbiters(claim.job_id)
             if claim.is_granted:
-                self._ask_all(claim, now)
+                self._ask_all_due(claim, now)
 
     def ask(self, owner: Claimant) -> None:
-        """Claim a job; one of the callbacks tells what has become of it."""
-        known = self._open.get(owner.claim_id)
-        if known is not None:
-            known.successor = owner
+        """Claim a job; ``on_granted`` or ``on_held`` is called with the outcome.
+
+        If the same job is claimed already, this one becomes the claim's successor.
+        """
+        existing = self._open.get(owner.claim_id)
+        if existing is not None:
+            existing.successor = owner
             return
         arbiters = self._choose_arbiters(owner.claim_id)
         claim = self._open[owner.claim_id] = OpenClaim(owner, arbiters, self._clock.now())
-        self._number(claim)
-        self._ask_some(claim)
-        self._decide(claim)
+        self._assign_number(claim)
+        self._ask_quorum(claim)
+        self._grant_on_quorum(claim)
         if not claim.is_granted and self._is_undecidable(claim, claim.began_ms):
-            self._ask_executors_soon()
+            self._request_fences_soon()
 
     def release(self, owner: Claimant, may_return: bool = True) -> None:
-        """Take that nothing of a job runs any more, or that it does not want to run.
+        """Release a job's claim, as none of its runs is left or it does not need to run.
+
+        A successor takes over the claim, and has it granted again.
 
-        :param may_return: whether it is likely to be wanted elsewhere now
+        :param may_return: whether other dispatchers may claim the job soon, so that the release is
+            sent at once
         """
         claim = self._open.get(owner.claim_id)
         if claim is None:
@@ -168,50 +190,51 @@
             return
         if claim.successor is not None:
             claim.owner, claim.successor = claim.successor, None
-            # Arbiters have to know that it may last longer.
-            self._ask_again(claim)
+            # The successor may run for longer than the arbiters were told.
+            self._request_again(claim)
             return
-        self._close(claim)
+        self._release_claim(claim)
         if may_return:
             self._flush_soon()
 
     def contest(self, owner: Claimant) -> None:
-        """Take that an executor has shut this dispatcher out of a job that it may run.
+        """Handle that an executor refuses a granted job because of another dispatcher's fence.
 
-        Either another one has claimed it meanwhile, and this one gives it up, or it held the job
-        before: then arbiters grant it again.
+        Either another dispatcher holds the job by now, and the claim is given up; or the fence is
+        an old one, and the arbiters grant the claim again.
         """
         claim = self._open.get(owner.claim_id)
         if claim is None or claim.owner is not owner or not claim.is_granted:
             return
         claim.is_contested = True
         self.fences.rank += 1
-        self._ask_again(claim)
+        self._request_again(claim)
 
     def take_claims(self, sender: Peer, message: ClaimJobs) -> None:
-        """Answer another dispatcher's claims as their arbiter."""
-        self._take_life(sender)
-        self._yield_fenced(sender, message.claims)
+        """Answer another dispatcher's claims as an arbiter."""
+        self._note_incarnation(sender)
+        self._yield_to_fences(sender, message.claims)
         self._answer(sender, self.table.take(sender, message))
 
     def take_open(self, sender: Peer, message: OpenClaims) -> None:
-        """Take all that another dispatcher has claimed."""
-        self._take_life(sender)
-        self._yield_fenced(sender, message.claims)
+        """Handle the complete list of another dispatcher's claims."""
+        self._note_incarnation(sender)
+        self._yield_to_fences(sender, message.claims)
         self._answer(sender, self.table.take_all(sender, message))
 
-    def _take_life(self, peer: Peer) -> None:
+    def _note_incarnation(self, peer: Peer) -> None:
         former = self.table.take_life(peer)
         if former is not None:
-            # It may be the living one, if this was a late message.
+            # If this was a late message, the former incarnation is the current one. This answer
+            # makes it send its open claims again.
             self._send(former, ClaimVerdicts((), False))
 
-    def _yield_fenced(self, sender: Peer, claims: Iterable[Claim]) -> None:
-        """Give up the jobs that executors have shut this process out of for another."""
-        for theirs in claims:
-            claim = self._open.get(theirs.job_id)
-            if claim is not None and claim.is_granted and theirs.rank > claim.rank:
-                self._lose(claim, sender.address)
+    def _yield_to_fences(self, sender: Peer, claims: Iterable[Claim]) -> None:
+        """Give up granted claims on jobs that executors have fenced for another dispatcher."""
+        for foreign in claims:
+            claim = self._open.get(foreign.job_id)
+            if claim is not None and claim.is_granted and foreign.rank > claim.rank:
+                self._give_up(claim, sender.address)
 
     def _answer(self, sender: Peer, verdicts: list[ClaimVerdict]) -> None:
         is_settled = self.table.is_settled and self.table.is_synced(sender)
@@ -219,39 +242,39 @@
             self._send(sender, ClaimVerdicts(tuple(verdicts), is_settled))
 
     def take_end(self, sender: Peer, _message: EndClaims) -> None:
-        """Take that another dispatcher ends with nothing at work."""
-        self._take_life(sender)
+        """Handle that another dispatcher exits with no run left."""
+        self._note_incarnation(sender)
         self.table.end_cleanly(sender)
 
     def leave(self) -> None:
-        """Tell the others that this process ends, if nothing can be at work for it.
+        """Tell the other dispatchers that this process exits, if none of its runs can be left.
 
-        Nothing may be claimed after this.
+        No job may be claimed after this call.
         """
         age_ms = self._clock.now() - self._started_ms
         if self._open or not (self.table.is_settled or age_ms >= RUNS_OVER_MS):
-            _LOG.info("claims left open", extra={"fields": (("jobs", len(self._open)),)})
+            _LOG.info("claims open at exit", extra={"fields": (("jobs", len(self._open)),)})
             return
         for view in self._peers.values():
             self._send(view.peer, EndClaims())
 
     def take_verdicts(self, sender: Peer, message: ClaimVerdicts) -> None:
-        """Take an arbiter's answers."""
+        """Handle an arbiter's answers to claims."""
         if message.is_settled:
-            self._settled.add(sender)
+            self._settled_arbiters.add(sender)
         else:
-            self._settled.discard(sender)
+            self._settled_arbiters.discard(sender)
         now = self._clock.now()
         for verdict in message.verdicts:
             claim = self._by_number.get(verdict.number)
             if claim is not None:
-                self._take_verdict(claim, sender.address, verdict)
-                self._decide(claim)
+                self._apply_verdict(claim, sender.address, verdict)
+                self._grant_on_quorum(claim)
                 if claim.number in self._undecided and self._is_undecidable(claim, now):
-                    self._ask_executors_soon()
+                    self._request_fences_soon()
 
     def take_fenced(self, sender: Peer, message: JobsFenced) -> None:
-        """Take that an executor runs some jobs for this dispatcher alone."""
+        """Handle an executor's answer to a request for fences."""
         self.fences.take_answer(sender, message)
         for job_id in message.job_ids:
             claim = self._open.get(job_id)
@@ -259,127 +282,136 @@
                 continue
             claim.fenced.add(sender.address)
             if self.fences.is_complete(claim):
-                self._finish_fence(claim)
+                self._grant_by_fence(claim)
 
     def take_worker(self, address: str) -> None:
-        """Take that an executor has just come up: it may be the last one to be asked."""
+        """Request fences from an executor that has just started.
+
+        It may be the last one whose fence is missing.
+        """
         self.fences.ask_one(address, self._list_undecidable())
 
     def check_pause(self) -> None:
-        """Have all claims granted anew if this process was stopped for a while."""
+        """Have all claims granted again if this process was stopped for ``PAUSE_MS`` or more."""
         now = self._clock.now()
-        pause_ms, self._ran_ms = now - self._ran_ms, now
+        pause_ms, self._checked_ms = now - self._checked_ms, now
         if pause_ms >= PAUSE_MS:
             self.ask_anew("paused")
 
     def ask_anew(self, reason: str) -> None:
-        """Have all jobs granted again before more of them is ordered.
+        """Have all granted claims granted again before further tasks of their jobs start.
 
-        Others may have taken this process for ended, or an executor has forgotten its fences.
+        Other dispatchers may have taken this process for dead, or an executor has restarted and
+        lost its fences.
+
+        :param reason: for the log
         """
         granted = [claim for claim in self._by_number.values() if claim.is_granted]
         if not granted:
             return
         fields = (("reason", reason), ("jobs", len(granted)))
-        _LOG.info("claims asked for anew", extra={"fields": fields})
+        _LOG.info("claims requested again", extra={"fields": fields})
         for claim in granted:
             self.on_doubt(claim.owner)
-            self._ask_again(claim)
+            self._request_again(claim)
 
-    def _number(self, claim: OpenClaim) -> None:
-        """Give a claim a number of its own: answers to an earlier one do not count."""
+    def _assign_number(self, claim: OpenClaim) -> None:
+        """Give a claim a new number, so that answers to earlier requests do not count."""
         claim.number = self._next_number
         self._next_number += 1
         self._by_number[claim.number] = claim
         self._undecided[claim.number] = claim
 
-    def _ask_again(self, claim: OpenClaim) -> None:
+    def _request_again(self, claim: OpenClaim) -> None:
         now = self._clock.now()
         del self._by_number[claim.number]
         self._undecided.pop(claim.number, None)
         claim.ask_anew(now)
-        self._number(claim)
-        self._ask_all(claim, now)
-        self._decide(claim)
+        self._assign_number(claim)
+        self._ask_all_due(claim, now)
+        self._grant_on_quorum(claim)
 
     def check(self) -> None:
-        """Ask again where no answer has come, and executors where arbiters can't decide."""
+        """Repeat unanswered requests, and request fences where arbiters cannot decide.
+
+        Called periodically.
+        """
         self.check_pause()
         now = self._clock.now()
-        if now - self._released_ms >= RELEASE_MS:
-            self._released_ms = now
+        if now - self._flushed_ms >= RELEASE_MS:
+            self._flushed_ms = now
             self._flush()
         for claim in list(self._undecided.values()):
             if self._undecided.get(claim.number) is claim:
-                self._check(claim, now)
-        self._ask_executors()
+                self._check_claim(claim, now)
+        self._request_fences()
 
-    def _check(self, claim: OpenClaim, now: float) -> None:
+    def _check_claim(self, claim: OpenClaim, now: float) -> None:
         is_unanswered = now - claim.began_ms > UNANSWERED_MS and not claim.has_quorum
         if claim.is_contested and (claim.holder is not None or is_unanswered):
-            self._lose(claim, claim.holder.address if claim.holder else "")
+            self._give_up(claim, claim.holder.address if claim.holder else "")
             return
         if claim.holder is not None:
             self._check_holder(claim, now)
         if claim.number in self._undecided and now - claim.began_ms >= HEDGE_MS:
-            self._ask_all(claim, now)
-            self._decide(claim)
+            self._ask_all_due(claim, now)
+            self._grant_on_quorum(claim)
 
     def _check_holder(self, claim: OpenClaim, now: float) -> None:
-        """Hand a job over to who holds it, unless that one is about to give it up."""
+        """Hand a job over to its reachable holder, unless that one may be about to give it up."""
         holder = claim.holder
-        if not self._is_alive(holder, now):
+        if not self._is_reachable(holder, now):
             return
         if holder.address < self._me.address or now - claim.held_since_ms > YIELD_MS:
             owner = claim.owner
-            self._close(claim)
+            self._release_claim(claim)
             self._flush_soon()
             self._counters.add("job_claims", outcome="held")
             self.on_held(owner, holder.address)
 
-    def _is_alive(self, holder: Peer, now: float) -> bool:
+    def _is_reachable(self, holder: Peer, now: float) -> bool:
         view = self._peers.get(holder.address)
         return view is not None and view.peer == holder and view.is_reachable(now)
 
-    def _ask_some(self, claim: OpenClaim) -> None:
-        """Ask as many arbiters as must grant a claim, those that are there and near first.
+    def _ask_quorum(self, claim: OpenClaim) -> None:
+        """Ask just enough arbiters for a quorum: reachable ones first, then those in this domain.
 
-        Those that were not sure of late don't count.
+        Arbiters that did not know every earlier claim at their last answer are asked on top.
         """
         now = self._clock.now()
         missing = claim.quorum
         if self._me.address in claim.arbiters:
-            self._ask(claim, self._me.address, now)
+            self._ask_arbiter(claim, self._me.address, now)
             missing -= self._me.address in claim.granted
         others = [self._peers[name] for name in claim.arbiters if name != self._me.address]
         others.sort(key=lambda view: (not view.is_reachable(now), not view.is_near))
         for view in others:
             if missing > 0:
-                self._ask(claim, view.peer.address, now)
-                missing -= view.peer in self._settled
+                self._ask_arbiter(claim, view.peer.address, now)
+                missing -= view.peer in self._settled_arbiters
 
-    def _ask_all(self, claim: OpenClaim, now: float) -> None:
+    def _ask_all_due(self, claim: OpenClaim, now: float) -> None:
         for address in claim.arbiters:
             is_due = now - claim.asked.get(address, -math.inf) >= REPEAT_MS
             if address not in claim.granted and is_due:
-                self._ask(claim, address, now)
+                self._ask_arbiter(claim, address, now)
 
-    def _ask(self, claim: OpenClaim, address: str, now: float) -> None:
+    def _ask_arbiter(self, claim: OpenClaim, address: str, now: float) -> None:
         claim.asked[address] = now
         left_ms = claim.owner.claim_left_ms(now)
         message = Claim(claim.number, claim.job_id, left_ms, claim.rank)
         if address == self._me.address:
-            self._take_verdict(claim, address, self.table.decide(self._me, message))
+            self._apply_verdict(claim, address, self.table.decide(self._me, message))
         elif address in self._peers:
-            self._outgoing(self._peers[address].peer).claims.append(message)
+            self._queue_for(self._peers[address].peer).claims.append(message)
             self._flush_soon()
 
-    def _take_verdict(self, claim: OpenClaim, address: str, verdict: ClaimVerdict) -> None:
+    def _apply_verdict(self, claim: OpenClaim, address: str, verdict: ClaimVerdict) -> None:
         if claim.is_fenced and verdict.holder:
-            # An answer to what was asked before executors shut that holder out.
+            # An answer to a request from before executors fenced the holder off.
             return
         if claim.is_granted and verdict.holder:
-            self._lose(claim, verdict.holder)
+            self._give_up(claim, verdict.holder)
             return
         if not verdict.holder:
             claim.held_by.pop(address, None)
@@ -393,8 +425,8 @@
             _LOG.info("job held elsewhere", extra={"fields": fields})
         claim.held_by[address] = holder
 
-    def _lose(self, claim: OpenClaim, holder: str) -> None:
-        """Give up a job that was granted to another while this process was out of touch."""
+    def _give_up(self, claim: OpenClaim, holder: str) -> None:
+        """Give up a granted claim, as the job was granted to another dispatcher meanwhile."""
         fields = (("job", claim.job_id), ("holder", holder))
         _LOG.warning("claim lost", extra={"fields": fields})
         self._counters.add("job_claims", outcome="lost")
@@ -403,7 +435,7 @@
         self._undecided.pop(claim.number, None)
         self.on_held(claim.owner, holder)
 
-    def _decide(self, claim: OpenClaim) -> None:
+    def _grant_on_quorum(self, claim: OpenClaim) -> None:
         is_open = claim.number in self._undecided and not claim.is_contested
         if is_open and claim.has_quorum:
             self._grant(claim, "arbiters")
@@ -417,10 +449,10 @@
         self._counters.observe("claim_ms", took_ms, how=how)
         if took_ms > HEDGE_MS:
             fields = (("job", claim.job_id), ("how", how), ("took_ms", round(took_ms, 1)))
-            _LOG.info("job claimed late", extra={"fields": fields})
+            _LOG.info("claim granted late", extra={"fields": fields})
         self.on_granted(claim.owner, claim.rank)
 
-    def _close(self, claim: OpenClaim) -> None:
+    def _release_claim(self, claim: OpenClaim) -> None:
         del self._open[claim.job_id]
         del self._by_number[claim.number]
         self._undecided.pop(claim.number, None)
@@ -428,32 +460,32 @@
             if address == self._me.address:
                 self.table.release(self._me, claim.number)
             elif address in self._peers:
-                self._outgoing(self._peers[address].peer).released.append(claim.number)
+                self._queue_for(self._peers[address].peer).released.append(claim.number)
 
     def _choose_arbiters(self, job_id: str) -> list[str]:
-        return choose_arbiters(job_id, self._members)
+        return choose_arbiters(job_id, self._domains)
 
-    def _outgoing(self, peer: Peer) -> _Outgoing:
-        return self._outbox.setdefault(peer, _Outgoing())
+    def _queue_for(self, peer: Peer) -> _QueuedParts:
+        return self._outbox.setdefault(peer, _QueuedParts())
 
     def _flush_soon(self) -> None:
-        if not self._is_flushing:
-            self._is_flushing = True
+        if not self._is_flush_due:
+            self._is_flush_due = True
             eventlet.spawn_n(self._flush)
 
     def _flush(self) -> None:
-        """Send what arose together, one message to each arbiter."""
-        self._is_flushing = False
+        """Send the queued claims and releases, in one message to each arbiter."""
+        self._is_flush_due = False
         outbox, self._outbox = self._outbox, {}
         for peer, parts in outbox.items():
-            message = ClaimJobs(tuple(parts.claims), tuple(parts.released), self._oldest())
+            message = ClaimJobs(tuple(parts.claims), tuple(parts.released), self._find_oldest())
             self._send(peer, message)
 
-    def _oldest(self) -> int:
+    def _find_oldest(self) -> int:
         return next(iter(self._by_number), self._next_number)
 
-    def _send_open(self, peer: Peer) -> None:
-        """Tell a new arbiter all that is claimed."""
+    def _send_open_claims(self, peer: Peer) -> None:
+        """Send a new arbiter the complete list of the claims that it decides on."""
         now = self._clock.now()
         claims = tuple(
             Claim(claim.number, claim.job_id, claim.owner.claim_left_ms(now), claim.rank)
@@ -465,48 +497,52 @@
         message = OpenClaims(claims, upto, age_ms, self.table.is_settled, self.table.clean)
         self._send(peer, message)
 
-    def _ask_executors_soon(self) -> None:
-        if not self._is_fencing:
-            self._is_fencing = True
-            eventlet.spawn_n(self._ask_executors)
+    def _request_fences_soon(self) -> None:
+        if not self._is_fence_due:
+            self._is_fence_due = True
+            eventlet.spawn_n(self._request_fences)
 
-    def _ask_executors(self) -> None:
-        """Have executors shut other dispatchers out of the jobs that arbiters can't grant."""
-        self._is_fencing = False
+    def _request_fences(self) -> None:
+        """Request fences on the jobs whose arbiters cannot decide."""
+        self._is_fence_due = False
         for claim in self.fences.ask(self._list_undecidable()):
-            self._finish_fence(claim)
+            self._grant_by_fence(claim)
 
     def _list_undecidable(self) -> list[OpenClaim]:
         now = self._clock.now()
         return [claim for claim in self._undecided.values() if self._is_undecidable(claim, now)]
 
     def _is_undecidable(self, claim: OpenClaim, now: float) -> bool:
-        """Return whether the arbiters that may still answer are too few to grant a claim."""
+        """Return whether the arbiters cannot decide a claim, so that it needs a fence.
+
+        They cannot if too few of them may still grant it, or if its holder is unreachable. A
+        contested claim needs a fence once a quorum has granted it again.
+        """
         if claim.is_contested:
             return claim.has_quorum
         if claim.holder is not None:
-            return not self._is_alive(claim.holder, now)
-        is_waiting = now - claim.began_ms < UNANSWERED_MS
-        hopeful = [
+            return not self._is_reachable(claim.holder, now)
+        is_early = now - claim.began_ms < UNANSWERED_MS
+        may_still_grant = [
             address
             for address in set(claim.arbiters) - claim.granted - claim.unsure
-            if is_waiting and address in self._peers and self._peers[address].is_reachable(now)
+            if is_early and address in self._peers and self._peers[address].is_reachable(now)
         ]
         granted = claim.granted.intersection(claim.arbiters)
-        return len(granted) + len(hopeful) < claim.quorum
+        return len(granted) + len(may_still_grant) < claim.quorum
 
-    def _finish_fence(self, claim: OpenClaim) -> None:
-        """Run a job that no other dispatcher can run any more."""
+    def _grant_by_fence(self, claim: OpenClaim) -> None:
+        """Grant a claim, as every executor has fenced the job for this dispatcher."""
         claim.is_fenced = True
         claim.is_contested = False
         claim.asked.clear()
         now = self._clock.now()
         for address in claim.arbiters:
-            self._ask(claim, address, now)
+            self._ask_arbiter(claim, address, now)
         self._grant(claim, "fence")
 
 
-def _ignore(_owner: Claimant) -> None:
+def _ignore_doubt(_owner: Claimant) -> None:
     pass
 
 
--- a/geraniumspool/job_fences.py
+++ b/geraniumspool/job_fences.py
@@ -1,8 +1,8 @@
-"""Jobs that an executor runs for one dispatcher alone.
+"""Fences of an executor: jobs that it runs for one dispatcher only.
 
-A dispatcher that cannot learn from others whether a job is at work asks every executor to
-shut all other dispatchers out of it. Nothing that these order is started any more, and what
-runs for them is stopped; the answer is given once it is over.
+A dispatcher that cannot learn from the arbiters whether a job is running elsewhere requests a
+fence on it from every executor. The executor then refuses to run the job for other dispatchers,
+stops the runs that they have started, and answers once these have ended.
 """
 
 import logging
@@ -19,10 +19,12 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Longer than callers wait; by then nobody runs a job of before.
+# Lifetime of a fence, longer than callers wait: after it, no dispatcher still runs the job as it
+# was when the fence was set.
 FENCE_MS = 60_000.0
+# Beyond this the oldest fences are dropped early.
 MOST_FENCES = 20_000
-# Runs that are being stopped are looked at this often.
+# Interval at which runs that are being stopped are checked.
 ANSWER_PAUSE_MS = 5.0
 
 
@@ -36,7 +38,7 @@
 
 
 class JobFences:
-    """Fences of one executor."""
+    """All fences of one executor."""
 
     def __init__(
         self,
@@ -46,25 +48,29 @@
         stops: RunStops,
         is_past_gone: Callable[[], bool],
     ):
-        """Have no fence.
+        """Start without any fence.
 
-        :param send: queues a message to a dispatcher
-        :param is_past_gone: tells whether nothing runs any more that an earlier process here
-            has started, and that is not in the table
+        :param send: queues a message to a dispatcher; returns whether it was queued
+        :param table: runs of this process
+        :param stops: stops runs
+        :param is_past_gone: returns whether all runs have ended that earlier processes of this
+            executor started; these are not in the table
         """
         self._clock = clock
         self._send = send
         self._table = table
         self._stops = stops
-        self._is_past_gone = is_past_gone
+        self._have_earlier_runs_ended = is_past_gone
         self._fences: dict[str, _Fence] = {}
         self._unanswered: dict[Peer, FenceJobs] = {}
 
     def shuts_out(self, dispatcher: Peer, task: str, rank: int) -> bool:
-        """Return whether a dispatcher may not run a task here.
+        """Return whether a dispatcher must not run a task here.
 
-        :param rank: of the fence that it relies on, which an earlier process here may have
-            had; 0 for none
+        A dispatcher that relies on a fence which this process does not have is refused as well:
+        an earlier process of this executor may have set it, or it has expired.
+
+        :param rank: rank of the fence that the dispatcher's claim relies on, 0 for none
         """
         fence = self._fences.get(job_of(task))
         if fence is None or self._clock.now() >= fence.until_ms:
@@ -72,62 +78,64 @@
         return fence.holder != dispatcher or fence.rank < rank
 
     def take(self, dispatcher: Peer, message: FenceJobs) -> None:
-        """Shut others out of some jobs, and tell once nothing of these runs for others."""
+        """Set the requested fences, stop other dispatchers' runs, and answer once these ended."""
         now = self._clock.now()
-        highest = 0
-        taken = []
+        highest_kept = 0
+        fenced = []
         for job_id in message.job_ids:
             fence = self._fences.get(job_id)
             if fence is not None and _outranks(fence, dispatcher, message.rank):
-                highest = max(highest, fence.rank)
+                highest_kept = max(highest_kept, fence.rank)
                 continue
             self._fences.pop(job_id, None)
             self._fences[job_id] = _Fence(dispatcher, message.rank, now + FENCE_MS)
-            taken.append(job_id)
-        self._forget(now)
-        is_waiting = bool(self._unanswered)
-        message = message._replace(job_ids=tuple(taken))
-        over = self._take_over(dispatcher, message)
-        # It is answered in any case, so that this executor does not count as silent.
-        self._send(dispatcher, JobsFenced(over, message.rank, highest))
-        if self._unanswered and not is_waiting:
-            eventlet.spawn_n(self._answer_all)
-
-    def _answer_all(self) -> None:
-        """Answer each dispatcher as soon as it can be."""
+            fenced.append(job_id)
+        self._drop_expired(now)
+        is_polling = bool(self._unanswered)
+        message = message._replace(job_ids=tuple(fenced))
+        ready = self._collect_ready(dispatcher, message)
+        # Answers even if no job is ready, so that this executor does not count as silent.
+        self._send(dispatcher, JobsFenced(ready, message.rank, highest_kept))
+        if self._unanswered and not is_polling:
+            eventlet.spawn_n(self._poll_unanswered)
+
+    def _poll_unanswered(self) -> None:
+        """Answer each dispatcher as soon as other dispatchers' runs of its jobs have ended."""
         while self._unanswered:
             self._clock.sleep(ANSWER_PAUSE_MS)
             for dispatcher, message in list(self._unanswered.items()):
-                over = self._take_over(dispatcher, message)
-                if over:
-                    self._send(dispatcher, JobsFenced(over, message.rank))
+                ready = self._collect_ready(dispatcher, message)
+                if ready:
+                    self._send(dispatcher, JobsFenced(ready, message.rank))
 
-    def _take_over(self, dispatcher: Peer, message: FenceJobs) -> tuple[str, ...]:
-        """Return the fenced jobs of which nothing runs for others; the rest is asked for again."""
+    def _collect_ready(self, dispatcher: Peer, message: FenceJobs) -> tuple[str, ...]:
+        """Return the fenced jobs without other dispatchers' runs, and keep the rest for later."""
         self._unanswered.pop(dispatcher, None)
-        wanted = {
+        held = {
             job_id
             for job_id in message.job_ids
             if (fence := self._fences.get(job_id)) is not None and fence.holder == dispatcher
         }
-        at_work = self._stop_others(dispatcher, wanted) if self._is_past_gone() else wanted
-        if at_work:
-            self._unanswered[dispatcher] = message._replace(job_ids=tuple(at_work))
-        return tuple(wanted - at_work)
-
-    def _stop_others(self, dispatcher: Peer, job_ids: set[str]) -> set[str]:
-        """Stop what runs for others; return the jobs of which some still does."""
-        at_work = set()
+        running = (
+            self._stop_foreign_runs(dispatcher, held) if self._have_earlier_runs_ended() else held
+        )
+        if running:
+            self._unanswered[dispatcher] = message._replace(job_ids=tuple(running))
+        return tuple(held - running)
+
+    def _stop_foreign_runs(self, dispatcher: Peer, job_ids: set[str]) -> set[str]:
+        """Stop other dispatchers' runs of some jobs; return the jobs with such runs left."""
+        running = set()
         for run in self._table:
             job_id = job_of(run.key.task)
             if job_id in job_ids and run.home != dispatcher:
                 self._stops.stop(run, FENCED)
                 if self._table.find(run.key) is run:
-                    at_work.add(job_id)
-        return at_work
+                    running.add(job_id)
+        return running
 
-    def _forget(self, now: float) -> None:
-        """Drop fences that are over, and the oldest ones where there are too many."""
+    def _drop_expired(self, now: float) -> None:
+        """Drop expired fences, and the oldest ones beyond ``MOST_FENCES``."""
         for job_id, fence in list(self._fences.items()):
             if fence.until_ms > now and len(self._fences) <= MOST_FENCES:
                 return
--- a/geraniumspool/job_messages.py
+++ b/geraniumspool/job_messages.py
@@ -1,9 +1,9 @@
-"""Messages between dispatchers: jobs that another one places, and what each can take.
+"""Messages between dispatchers: forwarded jobs, and reports of the load that each can take.
 
-A job's caller stays where it is; its entry forwards the job to the dispatcher that owns
-workers with room for it. What is forwarded is held by a lease that counts from the
-owner's clock as its entry sends it back: a message that was held up extends nothing.
-Times are in milliseconds.
+The dispatcher that received a caller's request, the job's entry dispatcher, forwards the job to
+a dispatcher that owns workers with room for it, the owner. An owner runs forwarded jobs only
+under a lease of the entry dispatcher. The lease counts from a reading of the owner's clock that
+the entry dispatcher echoes, so a delayed message doesn't extend it. Times are in milliseconds.
 """
 
 from typing import NamedTuple
@@ -15,13 +15,15 @@
 
 
 class ServiceLoad(NamedTuple):
-    """What an owner's workers of a service have to offer together.
-
-    :param room_cpu: processor room of all usable ones, in thousandths of a core
-    :param free_cpu: what of it is free and not waited for
-    :param run_ms: how long room is taken for, in the mean
-    :param queued: work that waits for them
-    :param racks: racks that they are in
+    """Total capacity and load of an owner's workers of one service.
+
+    :param service: name of the service
+    :param room_cpu: processor room of all usable workers, in thousandths of a core
+    :param free_cpu: part of it that is free and that no queued task will take, in thousandths of a
+        core
+    :param run_ms: mean duration of a run
+    :param queued: work that is queued for these workers
+    :param racks: racks that these workers are in
     """
 
     service: str
@@ -33,13 +35,14 @@
 
 
 class ForwardJob(NamedTuple):
-    """Entry to owner: have this job's tasks run.
-
-    :param number: rising within the entry's life
-    :param queue: as in force at the entry
-    :param age_ms: how long ago the job arrived
-    :param wait_ms: how long its caller waits in all
-    :param echo_ms: the owner's clock as last heard
+    """Entry dispatcher to owner: run this job.
+
+    :param number: identifies the forwarding; increases within the entry dispatcher's incarnation
+    :param queue: settings of the queue, from the configuration of the entry dispatcher
+    :param version: version of that configuration
+    :param age_ms: time since the job arrived at the entry dispatcher
+    :param wait_ms: how long the caller waits for the answer, counted from the job's arrival
+    :param echo_ms: the owner's clock as it last reported it
     """
 
     number: int
@@ -52,29 +55,37 @@
 
 
 class ForwardedEnd(NamedTuple):
-    """Owner to entry: how a forwarded job ended; nothing of it runs any more."""
+    """Owner to entry dispatcher: the result of a forwarded job.
+
+    :param number: number from the ``ForwardJob`` message
+    :param result: how the job ended; outcome ``GONE`` if the entry dispatcher dropped it or its
+        lease expired
+    """
 
     number: int
     result: JobResult
 
 
 class DropJobs(NamedTuple):
-    """Entry to owner: nobody waits for these jobs any more."""
+    """Entry dispatcher to owner: no caller waits for these jobs any more.
+
+    :param numbers: numbers from the ``ForwardJob`` messages
+    """
 
     numbers: tuple[int, ...]
 
 
 class DispatcherReport(NamedTuple):
-    """Any dispatcher to another, regularly.
-
-    :param now_ms: the sender's clock, to be sent back
-    :param echo_ms: the receiver's clock as last heard, 0 where it was not
-    :param is_leaving: whether the sender is about to end
-    :param numbers: jobs forwarded to the receiver and not answered
-    :param upto: highest number among those that the list is complete for
-    :param loads: the sender's own workers, by service
-    :param evacuations: what it knows of evacuated domains
-    :param unlisted: addresses of workers that it uses and does not find in the store
+    """Periodic report of a dispatcher to another; also renews the sender's lease there.
+
+    :param now_ms: the sender's clock, which the receiver echoes
+    :param echo_ms: the receiver's clock as it last reported it, 0 if it has not
+    :param is_leaving: whether the sender is about to exit
+    :param numbers: numbers of the jobs forwarded to the receiver and not answered
+    :param upto: ``numbers`` is complete up to this number; later jobs may be missing
+    :param loads: capacity and load of the sender's workers, one entry for each service
+    :param evacuations: evacuated domains as the sender knows them
+    :param unlisted: addresses of workers that the sender uses and does not find in the store
     """
 
     now_ms: float
--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -1,7 +1,9 @@
-"""Callers' jobs of one dispatcher: placed here, or forwarded to the owner of other workers.
+"""Routes the jobs of a dispatcher's callers to this dispatcher or to the owner of other workers.
 
-The caller stays with its entry, whoever places the tasks. A job is forwarded anew only
-once nothing that its former owner has started can still run.
+The dispatcher that received a caller's request is the job's entry dispatcher, and answers the
+caller whichever dispatcher places the tasks. The owner of a worker is the only dispatcher that
+places tasks on it. If an owner is lost, its jobs are forwarded again only after every run that
+it may have started has ended, so that no task runs twice at the same time.
 """
 
 import logging
@@ -42,25 +44,29 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Entries choose owners by reports of this age; older ones send jobs to groups that have filled
-# meanwhile.
+# Period of reports to dispatchers of the same domain, and to those with jobs at either side.
+# Owners are chosen by these reports; with older ones, jobs go to groups of workers that have
+# filled up since.
 REPORT_MS = 100.0
-# Where neither side has jobs at the other, dispatchers of other domains hear this often, as do
-# all from one without workers: the reports of many dispatchers would otherwise be most of the
-# messages.
+# Period of all other reports: to dispatchers of other domains, and from one without workers.
+# With many dispatchers, reports would otherwise be most of the messages.
 IDLE_REPORT_MS = 300.0
-# An echo of this age leaves too little of the lease: the owner tells its clock at once.
+# A lease counts from the owner's clock as echoed by the entry dispatcher. If the echo in a
+# forwarded job is older than this, little of the lease is left, and the owner reports its clock
+# in the next tick.
 STALE_ECHO_MS = 200.0
 TICK_MS = 50.0
-# A report names jobs only once their messages must have arrived.
+# Reports list a forwarded job only after this time, when its message must have arrived: an owner
+# answers that it never received a listed job which it does not know.
 LISTED_AFTER_MS = 120.0
-# A job that an owner refused may be taken by another, which sees other workers.
+# Dispatchers that a job is offered to: where one refuses it, another one has other workers.
 MAX_TRIES = 2
-# A link to one that is heard but does not hear, or not heard at all, is opened anew.
+# The connection to a dispatcher that is silent for this long is reopened. Each side does so, as
+# a broken connection may still carry messages one way.
 RESET_MS = 900.0
 
-# Refusals that say nothing of other owners.
-_ELSEWHERE = frozenset(
+# Codes of refusals after which another dispatcher may still take the job.
+_RETRIABLE_CODES = frozenset(
     {
         "overload",
         "no_worker",
@@ -72,30 +78,47 @@
         HELD_ELSEWHERE,
     }
 )
-_RETURNED = frozenset({"leaving", "moved", NOT_RECEIVED})
-_MOVED = _RETURNED | {HELD_ELSEWHERE}
-# A job is followed to the dispatcher that runs it this often; then its caller has to return.
+# Codes of jobs that were given back before any task started; the attempt does not count against
+# MAX_TRIES.
+_GIVEN_BACK_CODES = frozenset({"leaving", "moved", NOT_RECEIVED})
+# Codes after which a job that was forwarded before and then placed here is routed again.
+_REROUTED_CODES = _GIVEN_BACK_CODES | {HELD_ELSEWHERE}
+# A job is sent to the dispatcher that holds its claim at most this many times; after that its
+# caller is told to send it again.
 MAX_FOLLOWS = 4
+# Pause before a job is sent to a holder for the second time or later: the previous one was
+# releasing its claim.
 FOLLOW_PAUSE_MS = 60.0
-# Stands for this process among the owners that were tried.
+# Stands for this process in ForwardedJob.tried, which otherwise contains addresses.
 HERE = ""
 
 
 class ForwardedJob:
-    """A caller's job that another dispatcher places.
-
-    :ivar number: of its last message, 0 while it waits for a new owner
-    :ivar owner: who places it; ``owner_peer`` is the life that it was sent to
-    :ivar heard_ms: when that life was last heard, or sent the job
-    :ivar tried: addresses of its owners so far, and ``HERE``
-    :ivar local: the job at the dispatcher here, where that places it after all
-    :ivar may_have_run: whether an earlier owner may have started some of it
-    :ivar held_ms: since when it is held until owners are heard of
-    :ivar follows: how often it went to a dispatcher that held it
+    """A caller's job that is forwarded, or held until there is an owner to forward it to.
+
+    All times are readings of this process's clock in milliseconds.
+
+    :ivar wait_ms: how long its caller waits for an answer, in milliseconds
+    :ivar version: version of the configuration that ``queue`` is from
+    :ivar number: number of the last message that forwarded it, 0 before the first
+    :ivar owner: dispatcher that it was forwarded to, None while this one places or holds it
+    :ivar owner_peer: address and incarnation of that dispatcher when the job was sent
+    :ivar sent_ms: when it was last forwarded
+    :ivar heard_ms: when ``owner_peer`` was last heard, or was sent the job if that is later
+    :ivar tried: addresses of the dispatchers that it was forwarded to, and ``HERE``
+    :ivar local: the job at the dispatcher of this process, if that places it after all
+    :ivar may_have_run: whether a lost owner may have started some of its tasks
+    :ivar held_ms: since when it is held until an owner is known
+    :ivar follows: how often it was sent to the dispatcher that holds its claim
+    :ivar waiters: number of callers that wait for the result
+    :ivar result: how it ended, None before
     """
 
     def __init__(self, spec: JobSpec, queue: Queue, wait_ms: float, version: int, now: float):
-        """Take a job that has just arrived."""
+        """Initialize a job that has just arrived.
+
+        :param now: current time in milliseconds
+        """
         self.spec = spec
         self.queue = queue
         self.wait_ms = wait_ms
@@ -120,9 +143,11 @@
 
 
 class JobRouter:
-    """Hands callers' jobs to the dispatcher here or to the owner of other workers.
+    """Routes callers' jobs to the dispatcher of this process or to the owner of other workers.
 
-    :ivar forwarded: jobs of other dispatchers' callers that are placed here
+    :ivar peers: the other dispatchers, and which workers this one owns
+    :ivar forwarded: jobs that other dispatchers have forwarded to this one
+    :ivar reset_link: called with a dispatcher to reopen the connection to it
     """
 
     def __init__(
@@ -136,65 +161,71 @@
         evacuations: Evacuations,
         claims: JobClaims,
     ):
-        """Connect the parts.
-
-        :param send: queues a message to a dispatcher
-        :param evacuations: what dispatchers tell each other of evacuated domains
-        :param claims: those of the dispatcher here, told which others there are
+        """Connect the components.
+
+        :param send: queues a message to a dispatcher; returns whether it was queued
+        :param domain: failure domain of this process
+        :param dispatcher: dispatcher of this process
+        :param peers: the other dispatchers
+        :param evacuations: evacuated domains, as the dispatchers report them to each other
+        :param claims: claims of this process, which need the current list of dispatchers
         """
         self._clock = clock
         self._send = send
         self._evacuations = evacuations
-        evacuations.on_change = self._take_evacuations
+        evacuations.on_change = self._apply_evacuations
         self._counters = counters
         self._domain = domain
         self._dispatcher = dispatcher
         self.peers = peers
         self._claims = claims
         self.forwarded = ForwardedJobs(clock, send, counters, dispatcher)
-        self.reset_link: Callable[[Peer], None] = _keep_link
+        self.reset_link: Callable[[Peer], None] = _ignore_reset
         self._jobs: dict[str, ForwardedJob] = {}
-        # Those that an owner has been sent and has not answered, by number.
-        self._open: dict[int, ForwardedJob] = {}
+        # Jobs that were sent to an owner and not answered yet, by number.
+        self._unanswered: dict[int, ForwardedJob] = {}
         self._next_number = 1
         self._held: list[ForwardedJob] = []
-        # When an owner was last known; the start counts, as owners are heard soon after.
-        self._owner_known_ms = clock.now()
+        # When an owner was last known. Starts with the current time: owners are heard soon after
+        # a process has started.
+        self._owner_seen_ms = clock.now()
         self._had_loads = False
         dispatcher.find_capacity = self._find_capacity
 
     @property
     def has_workers(self) -> bool:
-        """Whether some worker is usable, here or at another dispatcher."""
+        """Whether any dispatcher has a usable worker, or one in an evacuated domain."""
         fleet = self._dispatcher.fleet
         own = any(view.is_usable for view in fleet.views)
-        # Callers are told that nothing can run now, which needs an entry that is ready.
+        # With evacuated workers only, this process still has to be ready, to tell callers that
+        # their jobs cannot run now.
         return own or fleet.has_evacuated or any(self.peers.owners())
 
     @property
     def is_idle(self) -> bool:
-        """Whether no job is at work, waits, or is awaited from another."""
+        """Whether no job is queued, held, forwarded or running."""
         return not self._jobs and self._dispatcher.is_idle
 
     def submit(
         self, spec: JobSpec, queue: Queue, wait_ms: float, version: int = 0
     ) -> JobResult | RoutedJob:
-        """Take a job, join it to the one at work, or refuse it.
+        """Accept a job, join it to the one with the same id, or refuse it.
 
-        :param wait_ms: how long its caller waits, 0 where it does not say
+        :param wait_ms: how long the caller waits, in milliseconds; 0 if it does not say
         :param version: version of the configuration that the queue is from
+        :returns: the job to wait for, or the refusal
         """
-        known = self._jobs.get(spec.job_id)
-        if known is not None:
-            known.waiters += 1
-            return known
+        existing = self._jobs.get(spec.job_id)
+        if existing is not None:
+            existing.waiters += 1
+            return existing
         if self._dispatcher.knows(spec.job_id) or spec.unsupported:
             return self._dispatcher.submit(spec, queue, wait_ms, version)
-        option = self._choose(spec, queue, set())
+        option = self._choose_owner(spec, queue, set())
         now = self._clock.now()
         if option is not None:
-            self._owner_known_ms = now
-        if self._places_here(option, now):
+            self._owner_seen_ms = now
+        if self._is_placed_locally(option, now):
             return self._dispatcher.submit(spec, queue, wait_ms, version)
         refusal = self._dispatcher.judge_end(spec, queue)
         if refusal is not None:
@@ -206,24 +237,28 @@
         self._forward(job, option)
         return job
 
-    def _places_here(self, option: Option | None, now: float) -> bool:
-        """Return whether a new job is for the dispatcher here, if only to refuse it."""
+    def _is_placed_locally(self, option: Option | None, now: float) -> bool:
+        """Return whether the dispatcher of this process gets a new job, if only to refuse it.
+
+        :param option: the chosen owner, None if none can take the job
+        :param now: current time in milliseconds
+        """
         if option is not None:
             return option.owner is None
         fleet = self._dispatcher.fleet
-        is_gathering = now - self._owner_known_ms < GATHER_MS and not self.peers.is_leaving
+        is_gathering = now - self._owner_seen_ms < GATHER_MS and not self.peers.is_leaving
         return fleet.has_owned or fleet.has_evacuated or not is_gathering
 
     def _hold(self, job: ForwardedJob) -> ForwardedJob:
-        """Keep a job for the moment that owners need to be heard of."""
+        """Keep a job until an owner is known; owners report within a short time."""
         job.held_ms = self._clock.now()
         self._jobs[job.spec.job_id] = job
         self._held.append(job)
-        self._log("job held", job, known=len(self.peers.views))
+        self._log("job held until an owner is known", job, known=len(self.peers.views))
         return job
 
-    def _may_hold(self) -> bool:
-        """Return whether this process goes on for as long as jobs are held."""
+    def _can_hold(self) -> bool:
+        """Return whether this process keeps running for as long as a job may be held."""
         return self._clock.now() + GATHERING_MS < self._dispatcher.ends_ms
 
     def _place_held(self, now: float) -> None:
@@ -231,9 +266,9 @@
         for job in held:
             if job.result is not None:
                 continue
-            option = self._choose(job.spec, job.queue, set())
+            option = self._choose_owner(job.spec, job.queue, set())
             if option is not None and option.owner is None:
-                self._place_here(job)
+                self._place_locally(job)
             elif option is not None:
                 self._forward(job, option)
             elif now - job.held_ms < GATHERING_MS:
@@ -243,39 +278,41 @@
                 self._finish(job, JobResult(JobOutcome.REFUSED, "no_worker", retry_ms))
 
     def wait(self, job: RoutedJob) -> JobResult:
-        """Wait for a job's end and return it; one that is given back goes elsewhere."""
+        """Wait for a job's result; a job that this dispatcher gives back is routed again."""
         if isinstance(job, ForwardedJob):
             job.finished.wait()
             return job.result
         result = self._dispatcher.wait(job)
-        if result.outcome is not JobOutcome.REFUSED or result.code not in _ELSEWHERE:
+        if result.outcome is not JobOutcome.REFUSED or result.code not in _RETRIABLE_CODES:
             return result
         spec, queue = job.spec, job.queue
         if spec.job_id in self._jobs:
             return self.wait(self._jobs[spec.job_id])
         wait_ms = job.timing.limit_ms + ANSWER_MARGIN_MS
-        moved = ForwardedJob(spec, queue, wait_ms, 0, job.timing.arrived_ms)
-        moved.waiters = job.waiters
+        rerouted = ForwardedJob(spec, queue, wait_ms, 0, job.timing.arrived_ms)
+        rerouted.waiters = job.waiters
         if result.holder:
-            self._jobs[spec.job_id] = moved
-            self._follow(moved, result)
-            return self.wait(moved)
-        option = self._choose(spec, queue, set() if result.code in _RETURNED else {HERE})
-        if result.code not in _RETURNED and not (option and _has_room(option, moved)):
+            self._jobs[spec.job_id] = rerouted
+            self._follow_claim(rerouted, result)
+            return self.wait(rerouted)
+        option = self._choose_owner(
+            spec, queue, set() if result.code in _GIVEN_BACK_CODES else {HERE}
+        )
+        if result.code not in _GIVEN_BACK_CODES and not (option and _has_room(option, rerouted)):
             return result
-        if option is None and self._may_hold():
-            # Whoever has the workers now is heard of within a moment.
-            return self.wait(self._hold(moved))
+        if option is None and self._can_hold():
+            # The new owner of the workers reports within a short time.
+            return self.wait(self._hold(rerouted))
         if option is None or option.owner is None:
             return result
-        self._jobs[spec.job_id] = moved
-        self._forward(moved, option)
-        return self.wait(moved)
+        self._jobs[spec.job_id] = rerouted
+        self._forward(rerouted, option)
+        return self.wait(rerouted)
 
     def leave_job(self, job: RoutedJob) -> None:
-        """Take that one caller of a job has gone."""
-        age_ms = self._clock.now() - _arrival(job)
-        self._log("caller gone", job, waiters=job.waiters - 1, age_ms=round(age_ms, 1))
+        """Remove one caller from a job, and end the job if that was the last one."""
+        age_ms = self._clock.now() - _arrived_ms(job)
+        self._log("caller left", job, waiters=job.waiters - 1, age_ms=round(age_ms, 1))
         found = job
         if isinstance(job, DispatchJob):
             found = self._jobs.get(job.spec.job_id)
@@ -287,7 +324,7 @@
             self._drop(found, JobResult(JobOutcome.GONE, "caller_gone"))
 
     def cancel(self, job_id: str) -> bool:
-        """End a job on its caller's word; return whether it was known."""
+        """End a job at its caller's request; return whether it was known."""
         job = self._jobs.get(job_id)
         if job is None:
             return self._dispatcher.cancel(job_id)
@@ -295,48 +332,51 @@
         return True
 
     def count_waiting(self, queue: Queue) -> int:
-        """Return the jobs of a queue here of which no task has been ordered."""
+        """Return how many jobs of a queue wait at this dispatcher without any task started."""
         return self._dispatcher.count_waiting(queue)
 
     def leave(self) -> None:
-        """Own no workers from now on, and give back what has not begun."""
+        """Give up all workers, and give back the jobs that have not started."""
         self.peers.is_leaving = True
-        self._regroup()
+        self._update_groups()
         self._report_to_all()
 
     def abandon(self) -> None:
-        """End every job, as the process is about to end."""
+        """End every job as unfinished, as the process is about to exit."""
         for job in list(self._jobs.values()):
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "process_stops"))
         self._dispatcher.abandon()
 
     def take_members(self) -> None:
-        """Take that the list of members has changed."""
-        self._regroup()
+        """Update the groups of workers after a change of the registered members."""
+        self._update_groups()
 
     def take_forward(self, sender: Peer, message: ForwardJob) -> None:
-        """Take a job of another dispatcher's caller."""
+        """Accept a job that another dispatcher forwards."""
         self.forwarded.take(sender, message)
         if self._clock.now() - message.echo_ms > STALE_ECHO_MS:
-            self._tell_clock(sender)
+            self._report_soon(sender)
 
     def take_end(self, sender: Peer, message: ForwardedEnd) -> None:
-        """Take how a forwarded job ended."""
-        job = self._open.get(message.number)
+        """Handle an owner's answer to a forwarded job.
+
+        :param sender: the owner; answers of earlier owners and incarnations are ignored
+        """
+        job = self._unanswered.get(message.number)
         if job is None or job.owner_peer != sender:
             return
-        del self._open[message.number]
+        del self._unanswered[message.number]
         result = message.result
         if result.outcome is JobOutcome.GONE:
-            # The owner gave it up for want of word from here, and is still stopping its runs.
+            # The lease at the owner expired; the owner may still be stopping the runs.
             self._finish(job, JobResult(JobOutcome.UNFINISHED, LEASE_OVER))
-        elif result.outcome is JobOutcome.REFUSED and result.code in _ELSEWHERE:
+        elif result.outcome is JobOutcome.REFUSED and result.code in _RETRIABLE_CODES:
             self._retry(job, result)
         else:
             self._finish(job, result)
 
     def take_report(self, sender: Peer, report: DispatcherReport) -> None:
-        """Take another dispatcher's load, and settle what both know of its jobs."""
+        """Handle another dispatcher's report: its load, its leases and the jobs it waits for."""
         now = self._clock.now()
         self._evacuations.hear(report.evacuations, report.echo_ms)
         view = self.peers.find(sender)
@@ -344,28 +384,28 @@
         view.take(report, now)
         self.forwarded.settle(sender, report)
         if view.is_leaving != was_leaving or not was_alive:
-            self._regroup()
+            self._update_groups()
         if self._held and report.loads:
             self._place_held(now)
 
     def take_rejection(self, sender: Peer) -> None:
-        """Take that another process answers at a dispatcher's address."""
+        """Note that another incarnation answers at a dispatcher's address."""
         if sender.address in self.peers.views:
             self.peers.find(sender)
 
     def run_ticks(self) -> None:
-        """Report to the others, and keep leases and time limits, for ever."""
+        """Send reports and enforce leases and deadlines, forever."""
         while True:
             self._clock.sleep(TICK_MS)
             now = self._clock.now()
-            self._regroup()
-            self._report(now)
+            self._update_groups()
+            self._send_reports(now)
             self._place_held(now)
             self.forwarded.end_leases(now)
             for job in list(self._jobs.values()):
-                self._check(job, now)
+                self._check_deadline_and_owner(job, now)
 
-    def _choose(self, spec: JobSpec, queue: Queue, tried: set[str]) -> Option | None:
+    def _choose_owner(self, spec: JobSpec, queue: Queue, tried: set[str]) -> Option | None:
         service = queue.service
         options = [
             Option(view, view.record.domain, load, view.sent_work.get(service, 0.0))
@@ -378,20 +418,20 @@
         request = owner_choice.describe_job(spec, queue)
         return owner_choice.choose_option(options, request, self._domain)
 
-    def _follow(self, job: ForwardedJob, result: JobResult) -> None:
-        """Join a job where it is at work."""
+    def _follow_claim(self, job: ForwardedJob, result: JobResult) -> None:
+        """Send a job to the dispatcher that holds its claim, to join the job there."""
         job.follows += 1
         if job.follows > MAX_FOLLOWS:
             self._finish(job, JobResult(JobOutcome.UNFINISHED, HELD_ELSEWHERE))
             return
-        self._log("job followed", job, holder=result.holder, follows=job.follows)
+        self._log("job sent to its holder", job, holder=result.holder, follows=job.follows)
         if job.follows == 1:
-            self._go_after(job, result.holder)
+            self._send_to_holder(job, result.holder)
         else:
-            # It was being given up there.
-            self._clock.after(FOLLOW_PAUSE_MS, lambda: self._go_after(job, result.holder))
+            # The previous holder was releasing its claim.
+            self._clock.after(FOLLOW_PAUSE_MS, lambda: self._send_to_holder(job, result.holder))
 
-    def _go_after(self, job: ForwardedJob, holder: str) -> None:
+    def _send_to_holder(self, job: ForwardedJob, holder: str) -> None:
         if job.result is not None:
             return
         view = self.peers.views.get(holder)
@@ -399,7 +439,7 @@
             load = view.loads.get(job.queue.service, ServiceLoad(job.queue.service, 0.0, 0.0, 0.0))
             self._forward(job, Option(view, view.record.domain, load))
         else:
-            self._place_here(job)
+            self._place_locally(job)
 
     def _forward(self, job: ForwardedJob, option: Option) -> None:
         view = option.owner
@@ -409,7 +449,7 @@
         job.owner, job.owner_peer = view, view.peer
         job.sent_ms = job.heard_ms = now
         job.tried.add(view.peer.address)
-        self._open[job.number] = job
+        self._unanswered[job.number] = job
         service = job.queue.service
         work = sum(step.count * step.need.cpu * option.load.run_ms for step in job.spec.steps)
         view.sent_work[service] = view.sent_work.get(service, 0.0) + work
@@ -434,44 +474,44 @@
         )
 
     def _retry(self, job: ForwardedJob, result: JobResult) -> None:
-        """Try another owner, or give a job's caller the answer."""
+        """Try another owner, or return the result to the callers."""
         now = self._clock.now()
         if result.holder:
-            self._follow(job, result)
+            self._follow_claim(job, result)
             return
         if result.code == NOT_RECEIVED:
             job.tried.discard(job.owner_peer.address)
-        is_short = now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS
-        if len(job.tried) >= MAX_TRIES and result.code not in _RETURNED or is_short:
+        is_too_late = now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS
+        if len(job.tried) >= MAX_TRIES and result.code not in _GIVEN_BACK_CODES or is_too_late:
             self._finish(job, result)
             return
-        option = self._choose(job.spec, job.queue, job.tried)
-        if option is None and result.code in _RETURNED and self._may_hold():
+        option = self._choose_owner(job.spec, job.queue, job.tried)
+        if option is None and result.code in _GIVEN_BACK_CODES and self._can_hold():
             self._hold(job)
         elif option is None or (result.code == "overload" and not _has_room(option, job)):
             self._finish(job, result)
         elif option.owner is None:
-            self._place_here(job)
+            self._place_locally(job)
         else:
             self._forward(job, option)
 
-    def _place_here(self, job: ForwardedJob) -> None:
+    def _place_locally(self, job: ForwardedJob) -> None:
         job.tried.add(HERE)
         job.owner = job.owner_peer = None
         age_ms = self._clock.now() - job.arrived_ms
-        taken = self._dispatcher.submit(job.spec, job.queue, job.wait_ms, job.version, age_ms)
-        if isinstance(taken, JobResult):
-            self._retry(job, taken)
+        submitted = self._dispatcher.submit(job.spec, job.queue, job.wait_ms, job.version, age_ms)
+        if isinstance(submitted, JobResult):
+            self._retry(job, submitted)
             return
-        job.local = taken
-        eventlet.spawn_n(self._await_here, job, taken)
+        job.local = submitted
+        eventlet.spawn_n(self._await_local, job, submitted)
 
-    def _await_here(self, job: ForwardedJob, taken: DispatchJob) -> None:
-        result = self._dispatcher.wait(taken)
+    def _await_local(self, job: ForwardedJob, submitted: DispatchJob) -> None:
+        result = self._dispatcher.wait(submitted)
         job.local = None
         if job.result is not None:
             return
-        if result.outcome is JobOutcome.REFUSED and result.code in _MOVED:
+        if result.outcome is JobOutcome.REFUSED and result.code in _REROUTED_CODES:
             self._retry(job, result)
         else:
             self._finish(job, result)
@@ -483,7 +523,7 @@
             result = JobResult(JobOutcome.UNFINISHED, result.code)
         job.result = result
         self._jobs.pop(job.spec.job_id, None)
-        self._open.pop(job.number, None)
+        self._unanswered.pop(job.number, None)
         took_ms = self._clock.now() - job.arrived_ms
         self._counters.observe("forwarded_ms", took_ms, queue=job.queue.name)
         self._log(
@@ -497,63 +537,66 @@
         job.finished.send()
 
     def _drop(self, job: ForwardedJob, result: JobResult) -> None:
-        """End a job here and at its owner."""
-        if job.owner_peer is not None and job.number in self._open:
+        """End a job here and wherever it is placed."""
+        if job.owner_peer is not None and job.number in self._unanswered:
             self._send(job.owner_peer, DropJobs((job.number,)))
         local = job.local
         self._finish(job, result)
         if local is not None:
             self._dispatcher.leave_job(local)
 
-    def _check(self, job: ForwardedJob, now: float) -> None:
-        """Forward a job anew whose owner is gone, and answer one whose time is up."""
+    def _check_deadline_and_owner(self, job: ForwardedJob, now: float) -> None:
+        """Answer a job whose deadline has passed, and retry one whose owner is lost."""
         if now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS / 2:
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "deadline"))
             return
         view = job.owner
-        if view is None or job.number not in self._open:
+        if view is None or job.number not in self._unanswered:
             return
         is_replaced = view.peer != job.owner_peer
         if not is_replaced:
             job.heard_ms = max(job.heard_ms, view.heard_ms)
             if view.is_alive(now):
                 return
-        over_ms = LOST_MS if is_replaced else DISPATCHER_LEASE_MS + LOST_MS
-        if now - job.heard_ms <= over_ms:
+        lost_after_ms = LOST_MS if is_replaced else DISPATCHER_LEASE_MS + LOST_MS
+        if now - job.heard_ms <= lost_after_ms:
             return
-        del self._open[job.number]
+        del self._unanswered[job.number]
         job.may_have_run = True
-        # Its next life, or itself once it is heard again, may take the job.
+        # The owner may take the job again, restarted or once it is reachable.
         job.tried.discard(job.owner_peer.address)
         self._log("owner lost", job, owner=job.owner_peer.address, replaced=is_replaced)
         self._counters.add("owners_lost")
         self._retry(job, JobResult(JobOutcome.UNFINISHED, "owner_lost"))
 
-    def _report(self, now: float) -> None:
-        """Tell those that are due what the workers here can take, and which jobs are awaited."""
+    def _send_reports(self, now: float) -> None:
+        """Send a report to each dispatcher whose report is due.
+
+        A dispatcher that gains its first workers or loses its last one reports to all at once.
+        """
         loads = self._dispatcher.describe_loads()
-        news = self._evacuations.tell()
+        evacuation_news = self._evacuations.tell()
         unlisted = self._dispatcher.fleet.list_unlisted()
-        is_news = bool(loads) != self._had_loads
+        has_changed_loads = bool(loads) != self._had_loads
         self._had_loads = bool(loads)
-        listed: dict[Peer, list[int]] = {}
-        waited_for = {job.owner_peer for job in self._open.values()}
-        served = self.forwarded.list_served()
-        for number, job in self._open.items():
+        numbers_by_peer: dict[Peer, list[int]] = {}
+        awaited_peers = {job.owner_peer for job in self._unanswered.values()}
+        served_peers = self.forwarded.list_served()
+        for number, job in self._unanswered.items():
             if now - job.sent_ms > LISTED_AFTER_MS:
-                listed.setdefault(job.owner_peer, []).append(number)
+                numbers_by_peer.setdefault(job.owner_peer, []).append(number)
         for view in self.peers.views.values():
-            is_near = bool(loads) and view.is_near
-            is_often = is_near or view.peer in waited_for or view.peer in served
-            pause = REPORT_MS if is_often else IDLE_REPORT_MS
-            if now - view.told_ms < pause and not is_news:
+            is_in_domain = bool(loads) and view.is_near
+            is_frequent = is_in_domain or view.peer in awaited_peers or view.peer in served_peers
+            period_ms = REPORT_MS if is_frequent else IDLE_REPORT_MS
+            if now - view.told_ms < period_ms and not has_changed_loads:
                 continue
             view.told_ms = now
-            numbers = tuple(listed.get(view.peer, ()))
+            numbers = tuple(numbers_by_peer.get(view.peer, ()))
             leaving = self.peers.is_leaving
-            upto = max(numbers, default=0)
+            highest = max(numbers, default=0)
             report = DispatcherReport(
-                now, view.echo_ms, leaving, numbers, upto, loads, news, unlisted
+                now, view.echo_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
             )
             if view.silent_ms(now) > RESET_MS and now - view.reset_ms > RESET_MS:
                 view.reset_ms = now
@@ -561,25 +604,25 @@
             self._send(view.peer, report)
 
     def _report_to_all(self) -> None:
-        """Tell every dispatcher now."""
+        """Send a report to every dispatcher now."""
         for view in self.peers.views.values():
             view.told_ms = -math.inf
-        self._report(self._clock.now())
+        self._send_reports(self._clock.now())
 
-    def _tell_clock(self, peer: Peer) -> None:
-        """Have the next tick report to a dispatcher."""
+    def _report_soon(self, peer: Peer) -> None:
+        """Send a report to a dispatcher in the next tick."""
         view = self.peers.views.get(peer.address)
         if view is not None:
             view.told_ms = -math.inf
 
-    def _take_evacuations(self) -> None:
-        """Place on the workers that may be used now, and tell the others at once."""
-        self._regroup()
+    def _apply_evacuations(self) -> None:
+        """Apply a change of the evacuated domains, and report it to all dispatchers at once."""
+        self._update_groups()
         self._dispatcher.apply_evacuations(self._list_usable)
         self._report_to_all()
 
     def _list_usable(self) -> list[str]:
-        """Return the addresses of workers that the store lists and that are not evacuated."""
+        """Return the addresses of registered workers outside of evacuated domains."""
         workers = self.peers.directory.workers
         return [
             address
@@ -587,12 +630,12 @@
             if not self._evacuations.covers(record.domain)
         ]
 
-    def _regroup(self) -> None:
-        """Place on the workers that are this process's own now."""
+    def _update_groups(self) -> None:
+        """Update which workers this process owns and which other dispatchers there are."""
         directory = self.peers.directory
         has_changed = self.peers.refresh()
         if directory.version:
-            # Until the store was read, this process would decide alone.
+            # Before the store was read, this process would be the only arbiter of its claims.
             self._claims.take_members()
         if has_changed:
             domains = {address: record.domain for address, record in directory.workers.items()}
@@ -600,15 +643,15 @@
             self._dispatcher.return_unowned()
 
     def _find_capacity(self, service: str) -> float:
-        """Return the room of all workers of a service, those of other owners included."""
+        """Return the processor room of a service at other owners, in thousandths of a core."""
         loads = (view.loads.get(service) for view in self.peers.owners())
         return sum(load.room_cpu for load in loads if load)
 
-    def _log(self, text: str, job: RoutedJob, **fields: object) -> None:
-        _LOG.info(text, extra={"fields": (("job", job.spec.job_id), *fields.items())})
+    def _log(self, message: str, job: RoutedJob, **fields: object) -> None:
+        _LOG.info(message, extra={"fields": (("job", job.spec.job_id), *fields.items())})
 
 
-def _arrival(job: RoutedJob) -> float:
+def _arrived_ms(job: RoutedJob) -> float:
     return job.arrived_ms if isinstance(job, ForwardedJob) else job.timing.arrived_ms
 
 
@@ -617,5 +660,5 @@
     return owner_choice.predict_wait(option, request) <= 0
 
 
-def _keep_link(_peer: Peer) -> None:
+def _ignore_reset(_peer: Peer) -> None:
     pass
--- a/geraniumspool/open_claim.py
+++ b/geraniumspool/open_claim.py
@@ -1,4 +1,4 @@
-"""A claim of this dispatcher on a job, from the first question to its release."""
+"""State of this dispatcher's claim on a job, from the first request to the release."""
 
 import math
 from typing import Protocol
@@ -7,9 +7,9 @@
 
 
 class Claimant(Protocol):
-    """A job that wants to run.
+    """A job that needs a granted claim before it may run.
 
-    :ivar claim_id: its id, the same wherever it is sent
+    :ivar claim_id: the job's id, the same at every dispatcher that it is sent to
     """
 
     @property
@@ -17,26 +17,40 @@
         """Return the job's id."""
 
     def claim_left_ms(self, now: float) -> float:
-        """Return the time after which nothing of it runs, whatever happens."""
+        """Return the time within which every run of the job will have ended, in milliseconds."""
 
 
 class OpenClaim:
     """A claim that was not released yet.
 
-    :ivar number: rising with each time that arbiters are asked from the start
+    All times are readings of this process's clock in milliseconds.
+
+    :ivar number: identifies the claim in messages; replaced by a higher one each time that all
+        arbiters have to grant the claim again, so that answers to earlier requests do not count
     :ivar owner: the job that it is for
-    :ivar successor: the same job, sent again while the runs of the owner are being stopped
-    :ivar arbiters: addresses of those that decide on it
-    :ivar granted: addresses of arbiters that have granted it and are sure
-    :ivar unsure: addresses of arbiters that have granted it and may not know of others
-    :ivar asked: when each arbiter was asked last
-    :ivar held_by: who holds the job instead, as each arbiter said last
-    :ivar fenced: addresses of executors that have shut out all others
-    :ivar is_contested: whether an executor has shut this dispatcher out of it
+    :ivar successor: the same job, sent again while the runs of ``owner`` are being stopped
+    :ivar arbiters: addresses of the dispatchers that decide on it
+    :ivar began_ms: when the arbiters were first asked under the current number
+    :ivar is_granted: whether the job may run, by a quorum of arbiters or by a fence
+    :ivar is_fenced: whether it was granted since all executors have set a fence
+    :ivar is_contested: whether an executor has refused runs because of another dispatcher's fence
+    :ivar granted: addresses of arbiters that have granted it and know every earlier claim
+    :ivar unsure: addresses of arbiters that have granted it and may not know an earlier claim
+    :ivar asked: when each arbiter was last asked
+    :ivar held_by: other dispatcher that holds the job, by the arbiter that has last said so
+    :ivar held_since_ms: when an arbiter first named the current holder
+    :ivar fenced: addresses of executors that have set the fence
+    :ivar fence_rank: rank of the fence that executors are or were asked for
+    :ivar fence_asked_ms: when executors were last asked for the fence
     """
 
     def __init__(self, owner: Claimant, arbiters: list[str], now: float):
-        """Have nothing granted yet."""
+        """Start without any grant.
+
+        :param owner: the job that it is for
+        :param arbiters: addresses of the dispatchers that decide on it
+        :param now: current time in milliseconds
+        """
         self.number = 0
         self.owner = owner
         self.arbiters = arbiters
@@ -56,31 +70,34 @@
 
     @property
     def job_id(self) -> str:
-        """Return the id of its job."""
+        """Return the id of the claimed job."""
         return self.owner.claim_id
 
     @property
     def holder(self) -> Peer | None:
-        """Return another dispatcher that holds the job, None where nobody does as far as known."""
+        """Return another dispatcher that holds the job, None if no arbiter has named one."""
         return next(iter(self.held_by.values()), None)
 
     @property
     def rank(self) -> int:
-        """Return the rank of the fence that it was granted by, 0 where arbiters granted it."""
+        """Return the rank of the fence that it was granted by, 0 if it has no such fence."""
         return self.fence_rank if self.is_fenced else 0
 
     @property
     def quorum(self) -> int:
-        """Return how many arbiters have to grant it."""
+        """Return how many arbiters must grant it: a majority."""
         return len(self.arbiters) // 2 + 1
 
     @property
     def has_quorum(self) -> bool:
-        """Whether enough arbiters have granted it."""
+        """Whether a majority of the arbiters have granted it and know every earlier claim."""
         return len(self.granted.intersection(self.arbiters)) >= self.quorum
 
     def ask_anew(self, now: float) -> None:
-        """Take that what arbiters and executors have said does not count any more."""
+        """Discard all answers of arbiters and executors, so that they must be asked again.
+
+        :param now: current time in milliseconds
+        """
         self.is_granted = False
         self.is_fenced = False
         self.began_ms = now
