--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -1,96 +1,96 @@
-"""Callers that send a job again at any time, while what runs for it is still being stopped."""
+"""Tests that no task runs twice if a job is sent again while its runs are being stopped."""
 
 import unittest
 
 from geraniumspool.job_specs import JobOutcome
 from tests.dispatch_world import DispatchWorld, Home, make_spec
 
-# A step finer than the time of a stop.
+# Shorter than it takes to stop a run, so that overlapping runs are seen.
 STEP_MS = 5
 RUN_MS = 300
-# In the middle of the first runs.
-BACK_MS = 40
-END_MS = 3_000
+# The caller sends the job again while its first runs are in progress.
+RESEND_MS = 40
+WAIT_MS = 3_000
 
 
 class EarlyCallerTest(unittest.TestCase):
-    """Three dispatchers with a worker each, and a caller that is back at once."""
+    """Three dispatchers that own a worker each, and a caller that sends its job again at once."""
 
     def setUp(self):
         self.world = DispatchWorld(3, 3, group_workers=1)
         self.addCleanup(self.world.close)
         self.homes = self.world.homes
         self.dead = set()
-        self.twice = set()
+        self.ran_twice = set()
 
     def advance(self, total_ms):
-        """Let time pass, and note the tasks that run twice at a time."""
+        """Let time pass, and collect the tasks that run twice at the same time."""
         for _ in range(int(total_ms // STEP_MS)):
             self.world.clock.advance(STEP_MS)
-            self.twice |= self.world.running_twice()
+            self.ran_twice |= self.world.running_twice()
 
-    def begin(self, home):
-        """Hand a job in and let it run for a while."""
+    def start_job(self, home):
+        """Submit a job and let it run for a while."""
         self.spec = make_spec("j", count=3, cpu=4_000, run_ms=RUN_MS)
-        told = home.submit(self.spec)
-        self.advance(BACK_MS)
+        request = home.submit(self.spec)
+        self.advance(RESEND_MS)
         self.assertEqual(1, self.world.started("j.0.0.0"))
-        return told
+        return request
 
     def hang_up(self, home):
-        told = self.begin(home)
-        home.router.leave_job(told.job)
+        request = self.start_job(home)
+        home.router.leave_job(request.job)
 
-    def kill(self, home):
-        self.begin(home)
+    def kill_dispatcher(self, home):
+        self.start_job(home)
         home.kill()
         self.dead.add(home)
 
-    def replace(self, home):
-        self.kill(home)
-        place = self.homes.index(home)
-        self.homes[place] = Home(self.world, f"h{place}", incarnation=2)
+    def restart_dispatcher(self, home):
+        self.kill_dispatcher(home)
+        index = self.homes.index(home)
+        self.homes[index] = Home(self.world, f"h{index}", incarnation=2)
 
-    def replace_all(self, _home):
-        self.begin(self.homes[0])
+    def restart_all(self, _home):
+        self.start_job(self.homes[0])
         for home in self.homes:
             home.kill()
-        self.homes[:] = [Home(self.world, f"h{place}", incarnation=2) for place in range(3)]
+        self.homes[:] = [Home(self.world, f"h{index}", incarnation=2) for index in range(3)]
 
-    def stay(self, home):
-        self.begin(home)
+    def keep_waiting(self, home):
+        self.start_job(home)
 
-    def give_up(self, home):
-        """Have the caller told that the job is unfinished, which it may repeat at once."""
-        self.begin(home)
+    def abandon_jobs(self, home):
+        """Have the dispatcher report the job as unfinished, so its caller may send it again."""
+        self.start_job(home)
         home.router.abandon()
 
-    def cut(self, home):
-        """Lose all between the entry and the other dispatchers; the caller goes elsewhere."""
-        told = self.begin(home)
+    def partition(self, home):
+        """Lose all messages between a dispatcher and the others; its caller hangs up."""
+        request = self.start_job(home)
         for other in self.homes:
             if other is not home:
                 self.world.network.part(home.address, other.address)
-        home.router.leave_job(told.job)
+        home.router.leave_job(request.job)
 
-    def test_a_caller_that_is_back_at_once_has_no_task_run_twice(self):
-        troubles = (
+    def test_a_job_sent_again_at_once_has_no_task_run_twice(self):
+        faults = (
             self.hang_up,
-            self.kill,
-            self.replace,
-            self.replace_all,
-            self.stay,
-            self.give_up,
-            self.cut,
+            self.kill_dispatcher,
+            self.restart_dispatcher,
+            self.restart_all,
+            self.keep_waiting,
+            self.abandon_jobs,
+            self.partition,
         )
-        for trouble in troubles:
-            for place in (0, 1, 2):
-                with self.subTest(trouble.__name__, place=place):
+        for fault in faults:
+            for index in (0, 1, 2):
+                with self.subTest(fault.__name__, index=index):
                     self.doCleanups()
                     self.setUp()
-                    trouble(self.homes[0])
-                    if self.homes[place] not in self.dead:
-                        told = self.homes[place].submit(self.spec, wait_ms=END_MS)
-                        self.advance(END_MS)
-                        self.assertIn(told.outcome, (JobOutcome.SUCCEEDED, JobOutcome.REFUSED))
-                    self.assertEqual(set(), self.twice)
+                    fault(self.homes[0])
+                    if self.homes[index] not in self.dead:
+                        request = self.homes[index].submit(self.spec, wait_ms=WAIT_MS)
+                        self.advance(WAIT_MS)
+                        self.assertIn(request.outcome, (JobOutcome.SUCCEEDED, JobOutcome.REFUSED))
+                    self.assertEqual(set(), self.ran_twice)
--- a/tests/test_job_claims.py
+++ b/tests/test_job_claims.py
@@ -16,11 +16,11 @@
 ME, ONE, OTHER = (Peer(f"tcp://{name}", 1) for name in "abc")
 WORKERS = ("tcp://w0", "tcp://w1")
 LONG_AGO_MS = 60_000.0
-TICK_MS = 30
+STEP_MS = 30
 
 
-class View(NamedTuple):
-    """Another dispatcher that is there."""
+class ReachablePeer(NamedTuple):
+    """Another dispatcher, which is always reachable."""
 
     peer: Peer
     domain: str = "north"
@@ -30,8 +30,8 @@
         return True
 
 
-class Wanted(NamedTuple):
-    """A job."""
+class Job(NamedTuple):
+    """A job to claim."""
 
     claim_id: str
     life: int = 1
@@ -41,7 +41,7 @@
 
 
 class ClaimsTest(unittest.TestCase):
-    """A dispatcher that asks two others, whose answers are given by hand."""
+    """A dispatcher that claims jobs; the test answers for the two other dispatchers."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -54,7 +54,7 @@
             MemoryCounters(),
             ME,
             "north",
-            lambda: [View(ONE), View(OTHER)],
+            lambda: [ReachablePeer(ONE), ReachablePeer(OTHER)],
             lambda: WORKERS,
             self.clock.now() - LONG_AGO_MS,
         )
@@ -63,66 +63,68 @@
         self.claims.take_members()
         self.sent.clear()
 
-    def tick(self, total_ms=TICK_MS):
-        for _ in range(int(total_ms // TICK_MS)):
-            self.clock.advance(TICK_MS)
+    def advance(self, total_ms=STEP_MS):
+        for _ in range(int(total_ms // STEP_MS)):
+            self.clock.advance(STEP_MS)
             self.claims.check()
             eventlet.sleep(0)
 
-    def asked(self, kind):
+    def find_sent(self, kind):
         return [(peer, message) for peer, message in self.sent if isinstance(message, kind)]
 
-    def number(self):
-        """Return the number of the last claim that was sent."""
-        return max(claim.number for _, message in self.asked(ClaimJobs) for claim in message.claims)
+    def last_claim_number(self):
+        """Return the number of the last claim sent to an arbiter."""
+        return max(
+            claim.number for _, message in self.find_sent(ClaimJobs) for claim in message.claims
+        )
 
-    def grant(self, *peers, number=None, is_sure=True):
-        verdict = ClaimVerdict(number or self.number(), is_sure=is_sure)
+    def answer_grant(self, *peers, number=None, is_sure=True):
+        verdict = ClaimVerdict(number or self.last_claim_number(), is_sure=is_sure)
         for peer in peers:
             self.claims.take_verdicts(peer, ClaimVerdicts((verdict,), is_sure))
 
-    def test_nothing_runs_before_most_arbiters_have_granted_it(self):
-        job = Wanted("j")
+    def test_a_job_is_granted_once_a_majority_of_its_arbiters_have_granted_it(self):
+        job = Job("j")
         self.claims.ask(job)
-        self.tick()
-        self.grant(ONE)
+        self.advance()
+        self.answer_grant(ONE)
         self.assertEqual([], self.granted)
-        self.grant(OTHER)
+        self.answer_grant(OTHER)
         self.assertEqual([(job, 0)], self.granted)
 
-    def test_an_arbiter_that_is_not_sure_does_not_count(self):
-        self.claims.ask(Wanted("j"))
-        self.tick()
-        self.grant(ONE)
-        self.grant(OTHER, is_sure=False)
+    def test_a_grant_of_an_arbiter_that_is_not_sure_does_not_count(self):
+        self.claims.ask(Job("j"))
+        self.advance()
+        self.answer_grant(ONE)
+        self.answer_grant(OTHER, is_sure=False)
         self.assertEqual([], self.granted)
 
-    def test_after_a_pause_what_was_granted_is_asked_for_again(self):
-        job = Wanted("j")
+    def test_granted_claims_are_requested_again_after_a_pause_of_the_process(self):
+        job = Job("j")
         self.claims.ask(job)
-        self.tick()
-        before = self.number()
-        self.grant(ONE, OTHER)
+        self.advance()
+        old_number = self.last_claim_number()
+        self.answer_grant(ONE, OTHER)
         self.clock.advance(PAUSE_MS + 1)
         self.claims.check_pause()
         self.assertEqual([job], self.doubted)
         self.granted.clear()
         eventlet.sleep(0)
-        self.grant(ONE, OTHER, number=before)
+        self.answer_grant(ONE, OTHER, number=old_number)
         self.assertEqual([], self.granted)
-        self.grant(ONE, OTHER)
+        self.answer_grant(ONE, OTHER)
         self.assertEqual([(job, 0)], self.granted)
 
-    def test_a_job_that_it_was_shut_out_of_is_given_up_unless_arbiters_grant_it_again(self):
-        for has_let_go in (True, False):
-            with self.subTest(has_let_go=has_let_go):
+    def test_a_contested_claim_is_given_up_unless_arbiters_grant_it_again(self):
+        for grants_again in (True, False):
+            with self.subTest(grants_again=grants_again):
                 self.setUp()
                 held = []
                 self.claims.on_held = lambda owner, holder, held=held: held.append(owner)
-                job = Wanted("j")
+                job = Job("j")
                 self.claims.ask(job)
-                self.tick()
-                self.grant(ONE, OTHER)
+                self.advance()
+                self.answer_grant(ONE, OTHER)
                 self.claims.contest(job)
                 eventlet.sleep(0)
                 self.sent.clear()
@@ -130,27 +132,27 @@
                 self.clock.advance(HEDGE_MS * 3)
                 self.claims.check()
                 eventlet.sleep(0)
-                if has_let_go:
-                    self.grant(ONE, OTHER)
-                    self.tick(90)
-                    self.assertTrue(self.asked(FenceJobs))
+                if grants_again:
+                    self.answer_grant(ONE, OTHER)
+                    self.advance(90)
+                    self.assertTrue(self.find_sent(FenceJobs))
                 else:
-                    verdict = ClaimVerdict(self.number(), ONE.address, ONE.incarnation)
+                    verdict = ClaimVerdict(self.last_claim_number(), ONE.address, ONE.incarnation)
                     self.claims.take_verdicts(ONE, ClaimVerdicts((verdict,), True))
-                    self.tick()
+                    self.advance()
                     self.assertEqual([job], held)
-                    self.assertFalse(self.asked(FenceJobs))
+                    self.assertFalse(self.find_sent(FenceJobs))
 
 
-class OrderTest(unittest.TestCase):
-    """Orders of jobs that were claimed by a fence."""
+class StartOrderTest(unittest.TestCase):
+    """Orders to executors to start runs of jobs whose claims were granted by a fence."""
 
-    def test_an_order_names_the_fence_that_it_relies_on(self):
+    def test_a_start_order_names_the_rank_of_the_fence_that_it_relies_on(self):
         world = DispatchWorld(2, 2, group_workers=1)
         self.addCleanup(world.close)
         for home in world.homes:
             home.kill()
-        world.homes[:] = [Home(world, f"h{place}", incarnation=2) for place in range(2)]
+        world.homes[:] = [Home(world, f"h{index}", incarnation=2) for index in range(2)]
         world.clock.advance(100)
         world.network.sent.clear()
         world.homes[0].submit(make_spec("j"))
--- a/tests/test_unheard_holder.py
+++ b/tests/test_unheard_holder.py
@@ -1,4 +1,4 @@
-"""A dispatcher that executors hear and other dispatchers do not goes on running its jobs."""
+"""Tests that no task runs twice if a job's holder reaches executors but no other dispatcher."""
 
 import unittest
 
@@ -6,102 +6,102 @@
 from tests.dispatch_world import QUEUE, DispatchWorld, Home, make_spec
 
 STEP_MS = 5
-# Far beyond the time that the jobs take, so that none is refused as late.
+# Much longer than the jobs take, so that none is refused because it would be late.
 PATIENT = QUEUE._replace(objective_ms=3_000.0)
 RUN_MS = 4_000
 WAIT_MS = 8_000.0
-# In the middle of the first runs.
+# The partition begins while the first runs are in progress.
 CUT_MS = 40
-# Longer than a member that has ended counts as a holder of jobs, shorter than its runs.
-BACK_MS = 2_800
-# By then a worker whose key has lapsed is off the list of all dispatchers.
+# Longer than a dead dispatcher counts as the holder of its jobs, shorter than the runs.
+RESEND_MS = 2_800
+# By then all dispatchers have removed a worker whose key in the store has expired.
 UNLISTED_MS = 4_000
 
 
 class UnheardHolderTest(unittest.TestCase):
-    """Three dispatchers with a worker each; the first one has a job at work and is cut off."""
+    """Three dispatchers that own a worker each; the first one, with a running job, is cut off."""
 
     def setUp(self):
         self.world = DispatchWorld(3, 3, group_workers=1)
         self.addCleanup(self.world.close)
         self.holder, *self.others = self.world.homes
         self.spec = make_spec("j", count=4, cpu=3_000, run_ms=RUN_MS)
-        self.twice = set()
+        self.ran_twice = set()
 
     def advance(self, total_ms):
-        """Let time pass, and note the tasks that run twice at a time."""
+        """Let time pass, and collect the tasks that run twice at the same time."""
         for _ in range(int(total_ms // STEP_MS)):
             self.world.clock.advance(STEP_MS)
-            self.twice |= self.world.running_twice()
+            self.ran_twice |= self.world.running_twice()
 
-    def begin(self):
+    def start_job(self):
         self.holder.place(self.spec, PATIENT, WAIT_MS)
         self.advance(CUT_MS)
         self.assertEqual(1, self.world.started("j.0.0.0"))
 
-    def cut(self):
-        """Lose all between the holder and the other dispatchers."""
+    def partition(self):
+        """Lose all messages between the holder and the other dispatchers."""
         for other in self.others:
             self.world.network.part(self.holder.address, other.address)
 
     def lose_messages(self):
-        self.begin()
-        self.cut()
+        self.start_job()
+        self.partition()
 
     def close_connections(self):
-        self.begin()
-        self.cut()
+        self.start_job()
+        self.partition()
         for other in self.others:
             other.peers.is_broken = lambda peer: peer.address == self.holder.address
 
-    def replace_others(self):
-        self.begin()
-        self.cut()
-        for place in (1, 2):
-            self.world.homes[place].kill()
-            self.world.homes[place] = Home(self.world, f"h{place}", incarnation=2)
+    def restart_others(self):
+        self.start_job()
+        self.partition()
+        for index in (1, 2):
+            self.world.homes[index].kill()
+            self.world.homes[index] = Home(self.world, f"h{index}", incarnation=2)
 
     def cut_workers(self):
-        """Have the other dispatchers not hear its workers either, which it hears."""
-        self.begin()
-        self.cut()
+        """Cut the holder's workers off from the other dispatchers, but not from the holder."""
+        self.start_job()
+        self.partition()
         for worker in self.holder.peers.owned:
             for other in self.others:
                 self.world.network.part(worker, other.address)
 
     def unlist_worker(self):
-        """Have a worker's key lapse, which its dispatcher still hears."""
+        """Let a worker's key in the store expire, while the holder still reaches the worker."""
         worker = next(iter(sorted(self.holder.peers.owned)))
         for home in self.world.homes:
             home.unlist_member(WORKER_PREFIX + worker)
         self.advance(UNLISTED_MS)
-        self.begin()
-        self.cut()
+        self.start_job()
+        self.partition()
 
-    def test_its_job_sent_to_another_dispatcher_has_no_task_run_twice(self):
-        troubles = (
+    def test_a_job_sent_to_another_dispatcher_has_no_task_run_twice(self):
+        faults = (
             self.lose_messages,
             self.close_connections,
-            self.replace_others,
+            self.restart_others,
             self.cut_workers,
             self.unlist_worker,
         )
-        for trouble in troubles:
-            for place in (1, 2):
-                with self.subTest(trouble.__name__, place=place):
+        for fault in faults:
+            for index in (1, 2):
+                with self.subTest(fault.__name__, index=index):
                     self.doCleanups()
                     self.setUp()
-                    trouble()
-                    self.advance(BACK_MS)
-                    self.world.homes[place].submit(self.spec, PATIENT, WAIT_MS)
+                    fault()
+                    self.advance(RESEND_MS)
+                    self.world.homes[index].submit(self.spec, PATIENT, WAIT_MS)
                     self.advance(WAIT_MS)
-                    self.assertEqual(set(), self.twice)
+                    self.assertEqual(set(), self.ran_twice)
 
 
 class UnheardExecutorTest(unittest.TestCase):
-    """All dispatchers die, and those that follow do not hear an executor with runs."""
+    """All dispatchers die, and their next incarnations cannot reach an executor with runs."""
 
-    def test_runs_that_are_hard_to_stop_are_outlasted(self):
+    def test_new_runs_wait_for_runs_that_cannot_be_stopped(self):
         for fault in ("none", "stops not heard", "calls not answered", "silent"):
             with self.subTest(fault=fault):
                 world = DispatchWorld(3, 3, group_workers=1)
@@ -109,14 +109,14 @@
                 spec = make_spec("j", count=3, cpu=3_000, run_ms=RUN_MS)
                 world.homes[0].place(spec, PATIENT, WAIT_MS)
                 world.clock.advance(CUT_MS)
-                worker = next(one for one in world.workers if one.minion.running)
+                worker = next(candidate for candidate in world.workers if candidate.minion.running)
                 worker.minion.deaf_to = {"stop"} if fault == "stops not heard" else set()
                 worker.minion.mute = fault == "calls not answered"
                 worker.minion.silent = fault == "silent"
                 for home in world.homes:
                     home.kill()
                     world.network.part(worker.address, home.address)
-                world.homes[:] = [Home(world, f"h{place}", incarnation=2) for place in range(3)]
+                world.homes[:] = [Home(world, f"h{index}", incarnation=2) for index in range(3)]
                 world.clock.advance(CUT_MS)
                 world.homes[1].submit(spec, PATIENT, WAIT_MS)
                 for _ in range(int(WAIT_MS // STEP_MS)):
