--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -59,7 +59,8 @@
 # Reports list a forwarded job only after this time, when its message must have arrived: an owner
 # answers that it never received a listed job which it does not know.
 LISTED_AFTER_MS = 120.0
-# Dispatchers that a job is offered to: where one refuses it, another one has other workers.
+# A job is offered to this many dispatchers: after a refusal, another one with other workers may
+# take it.
 MAX_TRIES = 2
 # The connection to a dispatcher that is silent for this long is reopened. Each side does so, as
 # a broken connection may still carry messages one way.
@@ -78,13 +79,13 @@
         HELD_ELSEWHERE,
     }
 )
-# Codes of jobs that were given back before any task started; the attempt does not count against
-# MAX_TRIES.
+# Codes with which a dispatcher gives back a job that it has not started. Such a job may be tried
+# beyond MAX_TRIES.
 _GIVEN_BACK_CODES = frozenset({"leaving", "moved", NOT_RECEIVED})
 # Codes after which a job that was forwarded before and then placed here is routed again.
 _REROUTED_CODES = _GIVEN_BACK_CODES | {HELD_ELSEWHERE}
-# A job is sent to the dispatcher that holds its claim at most this many times; after that its
-# caller is told to send it again.
+# A job is sent to the dispatcher that holds its claim at most this many times; after that it ends
+# as unfinished, and its caller has to send it again.
 MAX_FOLLOWS = 4
 # Pause before a job is sent to a holder for the second time or later: the previous one was
 # releasing its claim.
@@ -194,7 +195,7 @@
 
     @property
     def has_workers(self) -> bool:
-        """Whether any dispatcher has a usable worker, or one in an evacuated domain."""
+        """Whether a worker is usable here or at another dispatcher, or one here is evacuated."""
         fleet = self._dispatcher.fleet
         own = any(view.is_usable for view in fleet.views)
         # With evacuated workers only, this process still has to be ready, to tell callers that
@@ -376,7 +377,7 @@
             self._finish(job, result)
 
     def take_report(self, sender: Peer, report: DispatcherReport) -> None:
-        """Handle another dispatcher's report: its load, its leases and the jobs it waits for."""
+        """Handle another dispatcher's report of its load and of the jobs that it waits for."""
         now = self._clock.now()
         self._evacuations.hear(report.evacuations, report.echo_ms)
         view = self.peers.find(sender)
