--- a/geraniumspool/claim_table.py
+++ b/geraniumspool/claim_table.py
@@ -50,6 +50,8 @@
 
 
 class _Grant:
+    """A granted claim; ``until_ms`` is when all runs of the job must have ended."""
+
     __slots__ = ("holder", "number", "rank", "until_ms")
 
     def __init__(self, holder: Peer, claim: Claim, until_ms: float):
@@ -59,7 +61,7 @@
         self.until_ms = until_ms
 
 
-class _Dispatcher:
+class _DispatcherState:
     """What an arbiter knows of another dispatcher's current incarnation.
 
     :ivar peer: its address and incarnation
@@ -93,7 +95,7 @@
         self._started_ms = started_ms
         self._grants: dict[str, _Grant] = {}
         self._open_claims: dict[Peer, dict[int, str]] = {}
-        self._dispatchers: dict[str, _Dispatcher] = {}
+        self._dispatchers: dict[str, _DispatcherState] = {}
         # The last incarnation of each address that has exited with no run left.
         self._clean_exits: dict[str, Peer] = {}
         self._is_settled = False
@@ -161,7 +163,7 @@
         member = self._dispatchers.get(peer.address)
         if member is not None and member.peer == peer:
             return None
-        self._dispatchers[peer.address] = _Dispatcher(peer)
+        self._dispatchers[peer.address] = _DispatcherState(peer)
         if member is None:
             return None
         self._limit_grants(member.peer)
--- a/geraniumspool/dispatcher_peers.py
+++ b/geraniumspool/dispatcher_peers.py
@@ -19,7 +19,7 @@
 _LOG = logging.getLogger(__name__)
 
 # A dispatcher that is silent for this long counts as dead: it is sent no jobs, and its workers go
-# to the others. Reports to the same domain arrive every 100 ms, so several may be lost.
+# to the others. At least three reports are due in this time.
 PEER_SILENT_MS = 500.0
 # Limit for a dispatcher that has closed the connection, as when its process has exited. If only
 # the connection was reset, nng reconnects after 100 ms.
--- a/geraniumspool/job_claims.py
+++ b/geraniumspool/job_claims.py
@@ -68,6 +68,8 @@
 
 
 class _QueuedParts:
+    """Claims and released numbers for the next message to one arbiter."""
+
     def __init__(self):
         self.claims: list[Claim] = []
         self.released: list[int] = []
--- a/geraniumspool/job_fences.py
+++ b/geraniumspool/job_fences.py
@@ -29,6 +29,8 @@
 
 
 class _Fence:
+    """A fence on one job: until ``until_ms`` only its holder may run the job here."""
+
     __slots__ = ("holder", "rank", "until_ms")
 
     def __init__(self, holder: Peer, rank: int, until_ms: float):
--- a/tests/test_claim_table.py
+++ b/tests/test_claim_table.py
@@ -11,7 +11,9 @@
 ME = "tcp://a"
 ONE, OTHER = Peer("tcp://b", 1), Peer("tcp://c", 1)
 MEMBERS = {ME: "north", ONE.address: "south", OTHER.address: "east"}
+# Age of a process whose former incarnation has no runs left.
 LONG_AGO_MS = 60_000.0
+# Time within which all runs of a claimed job end.
 LEFT_MS = 1_000.0
 JOB = "j"
 
--- a/tests/test_job_claims.py
+++ b/tests/test_job_claims.py
@@ -15,6 +15,7 @@
 
 ME, ONE, OTHER = (Peer(f"tcp://{name}", 1) for name in "abc")
 WORKERS = ("tcp://w0", "tcp://w1")
+# Age of a process whose former incarnation has no runs left.
 LONG_AGO_MS = 60_000.0
 STEP_MS = 30
 
@@ -34,7 +35,7 @@
     """A job to claim."""
 
     claim_id: str
-    life: int = 1
+    incarnation: int = 1
 
     def claim_left_ms(self, _now):
         return 1_000.0
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -10,6 +10,7 @@
 DOMAIN = "north"
 # Time since all processes started; runs of former incarnations have ended by then.
 UPTIME_MS = 5_000.0
+# Time within which all runs of the claimed job end.
 LEFT_MS = 5_000.0
 NO_OPEN_CLAIMS = OpenClaims((), 0, UPTIME_MS, True, ())
 
