--- a/tests/storm_callers.py
+++ b/tests/storm_callers.py
@@ -25,6 +25,7 @@
 # Jobs whose callers left are sent again this long after the faults ended, when the rest of the
 # load is over.
 RESEND_LEFT_MS = 5_500
+# At most this many of them are sent again.
 MAX_RESENT_LEFT = 2
 TASK_CPU = 3_000
 
