--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -1,8 +1,9 @@
-"""The executor: runs tasks on the minion beside it, within its room and under leases.
+"""Start, stop and supervise the runs that dispatchers order on one minion.
 
-It is the only process that calls its minion. It never takes more room than
-there is, what is being stopped included, and lets nothing go on for a
-dispatcher that has fallen silent: its job may be sent again elsewhere.
+An executor runs beside its minion and is the only process that calls it. Runs never use more
+capacity than the minion has, and a run that is being stopped holds its share until it has ended. An
+executor stops the runs of a dispatcher whose lease has expired, because another dispatcher may
+start the same job elsewhere.
 """
 
 import logging
@@ -41,22 +42,23 @@
 _LOG = logging.getLogger(__name__)
 
 TICK_MS = 40.0
-# Where nothing runs there is nothing to enforce but a link that went silent.
+# Interval while no run is here: only silent links need to be detected then.
 IDLE_TICK_MS = 200.0
-# An order with an older clock than this is answered with a new one.
+# A start message whose echoed clock is older than this is answered with a report at once.
 STALE_ECHO_MS = 150.0
-# A link whose other end does not hear is opened anew after this.
+# A link over which the peer does not receive messages is reset after this time.
 RESET_MS = 900.0
 FORGET_DISPATCHER_MS = 30_000.0
 
 
 class Executor:
-    """Runs what dispatchers order on one minion.
+    """Execute runs on one minion on behalf of dispatchers.
 
-    :ivar reset_link: has the next message to a peer take a new connection
-    :ivar fences: jobs that are run for one dispatcher alone
-    :ivar lives: knows which life of the minion is served; its ``on_life`` hears of each
-    :ivar leaving: whether nothing new is taken, since the process is about to end
+    :ivar reset_link: makes the next message to a peer use a new connection
+    :ivar fences: jobs that only one dispatcher may run here
+    :ivar lives: tracks which incarnation of the minion is served; its ``on_life`` callback is
+        called for each one
+    :ivar leaving: whether new runs are rejected because the process is shutting down
     """
 
     def __init__(
@@ -70,19 +72,20 @@
         guard: EvacuationGuard,
         started_ms: float | None = None,
     ):
-        """Wait for the minion to describe itself.
+        """Initialize without a minion; one is served once it has reported itself.
 
         :param send: queues a message to a dispatcher
-        :param first_fence: fencing token to begin with; it rises where the minion
-            has seen a higher one
-        :param guard: tells whether operators want no task started here
-        :param started_ms: when this process started, now where it is not given
+        :param domain: failure domain of this worker
+        :param first_fence: initial fencing token; it is raised when the minion turns out to have
+            seen a higher one
+        :param guard: decides whether operators allow tasks to start here
+        :param started_ms: when this process started, on the clock's time scale; defaults to now
         """
         self._clock = clock
         self._counters = counters
         self._domain = domain
         self._guard = guard
-        guard.on_change = self._take_guard
+        guard.on_change = self._handle_guard_change
         self._session = MinionSession(control, first_fence)
         self._table = RunTable()
         self._reporter = WorkerReporter(clock, send, self._table, self.state)
@@ -92,145 +95,155 @@
         self._watch = MinionWatch(clock, *parts, self.lives)
         self._stops = self.lives.stops
         self._starts = self.lives.starts
-        self.fences = JobFences(clock, send, self._table, self._stops, self._is_past_gone)
+        self.fences = JobFences(clock, send, self._table, self._stops, self._are_earlier_runs_over)
         self._started_ms = clock.now() if started_ms is None else started_ms
-        self.reset_link: Callable[[Peer], None] = _keep_link
+        self.reset_link: Callable[[Peer], None] = _ignore_reset
         self.leaving = False
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs or waits here."""
+        """Whether no run is queued or active."""
         return len(self._table) == 0
 
     @property
     def has_minion(self) -> bool:
-        """Whether a life of the minion is served."""
+        """Whether an incarnation of the minion is served."""
         return self._session.life is not None
 
     @property
     def customers(self) -> list[Peer]:
-        """Return the dispatchers heard of lately."""
+        """Return the dispatchers that sent a message recently."""
         return list(self._table.customers)
 
     def state(self) -> WorkerState:
-        """Return what this worker has to offer."""
+        """Return the state and capacity of this worker as reported to dispatchers."""
         life = self._session.life
         if life is None:
             return WorkerState(domain=self._domain)
-        told = life.told
+        report = life.told
         return WorkerState(
-            told.instance,
-            told.service,
+            report.instance,
+            report.service,
             self._domain,
-            told.rack,
-            told.labels,
+            report.rack,
+            report.labels,
             self._accepts(),
-            told.room,
+            report.room,
             self._table.used,
             self._table.queued,
             round(self._ends.pace.value, 3),
         )
 
-    def take_life(self, told: MinionLife) -> None:
-        """Take what a minion says of itself."""
-        self.lives.take_life(told)
+    def take_life(self, report: MinionLife) -> None:
+        """Handle a report in which a minion describes itself."""
+        self.lives.take_life(report)
 
     def lose_life(self, instance: str, started_unix_ms: int = 0) -> None:
-        """Take that a minion has left; ``started_unix_ms`` tells which life of it, if known."""
+        """Handle the departure of a minion.
+
+        :param instance: name of the minion
+        :param started_unix_ms: Unix time at which the departed incarnation began, 0 if not known
+        """
         self.lives.lose_life(instance, started_unix_ms)
 
-    def take_start(self, home: Peer, message: StartRuns) -> None:
-        """Take runs that a dispatcher orders."""
+    def take_start(self, peer: Peer, message: StartRuns) -> None:
+        """Accept or refuse the runs that a dispatcher orders, and renew its lease."""
         self._guard.evacuations.hear(message.evacuations, message.echo_ms)
-        customer = self._renew(home, message.echo_ms)
+        dispatcher = self._renew_lease(peer, message.echo_ms)
         now = self._clock.now()
         for order in message.orders:
-            self._take_order(customer, order, now)
+            self._handle_order(dispatcher, order, now)
         self._starts.fill()
-        self._refuse_impatient(now)
+        self._refuse_overdue(now)
         if now - message.echo_ms > STALE_ECHO_MS:
-            # Without a fresh clock the lease ends while the runs have just begun.
-            self._reporter.tell(customer)
+            # The report carries a fresh clock value. Without it, the lease would expire soon after
+            # the runs have started.
+            self._reporter.tell(dispatcher)
+
+    def take_stop(self, peer: Peer, message: StopRuns) -> None:
+        """Stop the runs that a dispatcher no longer wants.
 
-    def take_stop(self, home: Peer, message: StopRuns) -> None:
-        """Stop runs on the word of their dispatcher."""
-        customer = self._table.customer(home)
+        A run whose order has not arrived yet is not started when the order arrives later.
+        """
+        dispatcher = self._table.customer(peer)
         for number in message.numbers:
-            run = customer.runs.get(number)
+            run = dispatcher.runs.get(number)
             if run is not None:
                 self._stops.stop(run, "asked")
-            elif number > customer.upto:
-                customer.upto = number
+            elif number > dispatcher.upto:
+                dispatcher.upto = number
 
-    def take_renewal(self, home: Peer, message: RenewRuns) -> None:
-        """Renew a dispatcher's lease, and settle what both sides know of its runs."""
+    def take_renewal(self, peer: Peer, message: RenewRuns) -> None:
+        """Renew a dispatcher's lease and reconcile its list of runs with the runs here."""
         self._guard.evacuations.hear(message.evacuations, message.echo_ms)
-        customer = self._renew(home, message.echo_ms)
+        dispatcher = self._renew_lease(peer, message.echo_ms)
         wanted = set(message.numbers)
-        for number, run in list(customer.runs.items()):
+        for number, run in list(dispatcher.runs.items()):
             if number not in wanted and number <= message.upto:
                 self._stops.stop(run, "not_wanted")
         for number in wanted:
-            if number not in customer.runs:
-                self._settle(customer, number)
-        self._reporter.tell(customer)
+            if number not in dispatcher.runs:
+                self._report_missing_run(dispatcher, number)
+        self._reporter.tell(dispatcher)
 
     def run_looks(self) -> None:
-        """Watch the minion for ever: renew its lease and take ends."""
+        """Poll the minion forever: renew its lease and collect ended runs."""
         self._watch.run_looks()
 
     def run_ticks(self) -> None:
-        """Enforce time limits for ever."""
+        """Enforce time limits periodically, forever."""
         while True:
             self._clock.sleep(IDLE_TICK_MS if self.is_idle else TICK_MS)
             self._guard.check()
-            self._enforce(self._clock.now())
+            self._enforce_limits(self._clock.now())
 
     def leave(self) -> None:
-        """Take nothing new from now on, and say so."""
+        """Reject new runs from now on, refuse queued ones and tell all dispatchers."""
         self.leaving = True
         self._ends.refuse_waiting("leaving")
         self._reporter.tell_all()
 
-    def lose_dispatcher(self, home: Peer) -> None:
-        """Take that a dispatcher is no more: another process has its address."""
-        customer = self._table.customers.get(home)
-        if customer is not None:
-            customer.lease_until_ms = 0.0
-            self._end_lease(customer)
+    def lose_dispatcher(self, peer: Peer) -> None:
+        """Expire the lease of a dispatcher whose address another process has taken over."""
+        dispatcher = self._table.customers.get(peer)
+        if dispatcher is not None:
+            dispatcher.lease_until_ms = 0.0
+            self._stop_unleased_runs(dispatcher)
 
     def stop_all(self, reason: str) -> None:
-        """Stop everything, as the process is about to end."""
+        """Stop all runs because the process is about to exit."""
         self._stops.stop_all(reason)
 
-    def _settle(self, customer: Customer, number: int) -> None:
-        """Tell a dispatcher what became of a run that it wants and that is not here."""
-        known = customer.ends.get(number)
-        if known is None:
-            if not self._is_past_gone():
+    def _report_missing_run(self, dispatcher: Customer, number: int) -> None:
+        """Report the outcome of a run that a dispatcher still lists but that is not active here."""
+        end = dispatcher.ends.get(number)
+        if end is None:
+            if not self._are_earlier_runs_over():
                 return
-            known = RunEnd(number, RUN_LAPSED, reason="unknown")
-            customer.upto = max(customer.upto, number)
-            customer.ends[number] = known
-        if known not in customer.untold:
-            customer.untold.append(known)
+            end = RunEnd(number, RUN_LAPSED, reason="unknown")
+            dispatcher.upto = max(dispatcher.upto, number)
+            dispatcher.ends[number] = end
+        if end not in dispatcher.untold:
+            dispatcher.untold.append(end)
 
-    def _refuse_impatient(self, now: float) -> None:
+    def _refuse_overdue(self, now: float) -> None:
         for run in self._table.waiting():
             if now - run.arrived_ms >= run.order.patience_ms:
                 self._ends.refuse(run, "no_room")
 
-    def _take_guard(self) -> None:
-        """Take that tasks may start here, or may not any more."""
+    def _handle_guard_change(self) -> None:
+        """Handle a change in whether tasks may start here."""
         refusal = self._guard.refusal
         fields = (("reason", refusal), ("runs", len(self._table)))
-        _LOG.info("starts refused" if refusal else "starts allowed", extra={"fields": fields})
+        _LOG.info(
+            "task starts blocked" if refusal else "task starts allowed", extra={"fields": fields}
+        )
         if refusal:
             self._ends.refuse_waiting(refusal)
         self._reporter.tell_all()
 
-    def _is_past_gone(self) -> bool:
-        """Return whether nothing runs any more that an earlier process here has started."""
+    def _are_earlier_runs_over(self) -> bool:
+        """Return whether all runs started by earlier executor processes here must have ended."""
         life = self._session.life
         if life is not None and life.is_clear:
             return True
@@ -238,31 +251,31 @@
         over = self._started_ms + lease_ms * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_MS
         return self._clock.now() > over
 
-    def _take_order(self, customer: Customer, order: RunOrder, now: float) -> None:
-        if order.number <= customer.upto:
+    def _handle_order(self, dispatcher: Customer, order: RunOrder, now: float) -> None:
+        if order.number <= dispatcher.upto:
             return
-        customer.upto = order.number
-        refusal = self._refuse_reason(customer, order, now)
+        dispatcher.upto = order.number
+        refusal = self._refuse_reason(dispatcher, order, now)
         if refusal:
             self._counters.add("runs_refused", reason=refusal)
             end = RunEnd(order.number, RUN_REFUSED, reason=refusal)
-            customer.keep_end(end)
+            dispatcher.keep_end(end)
             _LOG.info(
                 "run refused",
                 extra={
                     "fields": (
                         ("task", order.task),
                         ("reason", refusal),
-                        ("dispatcher", customer.peer.address),
+                        ("dispatcher", dispatcher.peer.address),
                     )
                 },
             )
-            self._reporter.tell_soon(customer)
+            self._reporter.tell_soon(dispatcher)
             return
-        self._table.add(Run(customer.peer, order, now))
+        self._table.add(Run(dispatcher.peer, order, now))
 
-    def _refuse_reason(self, customer: Customer, order: RunOrder, now: float) -> str:
-        if customer.lease_until_ms <= now:
+    def _refuse_reason(self, dispatcher: Customer, order: RunOrder, now: float) -> str:
+        if dispatcher.lease_until_ms <= now:
             return "lease_over"
         if self._guard.refusal:
             return self._guard.refusal
@@ -272,11 +285,11 @@
             return "limit_passed"
         if not self._session.life.told.room.fits(order.need):
             return "too_large"
-        if self.fences.shuts_out(customer.peer, order.task, order.fence_rank):
+        if self.fences.shuts_out(dispatcher.peer, order.task, order.fence_rank):
             return FENCED
         other = self._table.find_task(order.task)
         if other is not None:
-            # The same job came again through another dispatcher.
+            # Another dispatcher has ordered the same job.
             self._stops.stop(other, "superseded")
             return "task_active"
         return ""
@@ -294,57 +307,59 @@
             return judge.is_probe_due and len(self._table) == 0
         return True
 
-    def _renew(self, home: Peer, echo_ms: float) -> Customer:
+    def _renew_lease(self, peer: Peer, echo_ms: float) -> Customer:
         now = self._clock.now()
-        customer = self._table.customer(home)
-        if customer.heard_ms == 0:
-            _LOG.info("dispatcher heard", extra={"fields": (("dispatcher", home.address),)})
-        customer.heard_ms = now
+        dispatcher = self._table.customer(peer)
+        if dispatcher.heard_ms == 0:
+            _LOG.info("dispatcher connected", extra={"fields": (("dispatcher", peer.address),)})
+        dispatcher.heard_ms = now
         if echo_ms <= now:
-            # A clock ahead of the own one is that of an earlier process here.
-            customer.lease_until_ms = max(customer.lease_until_ms, echo_ms + DISPATCHER_LEASE_MS)
-        return customer
-
-    def _enforce(self, now: float) -> None:
-        for customer in list(self._table.customers.values()):
-            if customer.lease_until_ms <= now and customer.runs:
-                self._end_lease(customer)
-            self._reset_deaf(customer, now)
-            if now - customer.heard_ms > FORGET_DISPATCHER_MS and not customer.runs:
-                del self._table.customers[customer.peer]
-        self._refuse_impatient(now)
-        is_heard = self._watch.is_heard
+            # An echoed clock ahead of the local one comes from an earlier process at this address.
+            dispatcher.lease_until_ms = max(
+                dispatcher.lease_until_ms, echo_ms + DISPATCHER_LEASE_MS
+            )
+        return dispatcher
+
+    def _enforce_limits(self, now: float) -> None:
+        for dispatcher in list(self._table.customers.values()):
+            if dispatcher.lease_until_ms <= now and dispatcher.runs:
+                self._stop_unleased_runs(dispatcher)
+            self._reset_one_way_link(dispatcher, now)
+            if now - dispatcher.heard_ms > FORGET_DISPATCHER_MS and not dispatcher.runs:
+                del self._table.customers[dispatcher.peer]
+        self._refuse_overdue(now)
+        is_minion_responding = self._watch.is_heard
         for run in self._table:
             if run.limit_ms <= now:
                 self._stops.stop(run, "limit_passed")
-            elif is_heard and run_progress.is_stalled(run, self._ends.pace.value, now):
+            elif is_minion_responding and run_progress.is_stalled(run, self._ends.pace.value, now):
                 self._ends.note_outcome(run, False)
                 self._stops.stop(run, "stalled")
 
-    def _reset_deaf(self, customer: Customer, now: float) -> None:
-        """Open a new link to a dispatcher that is heard but does not hear."""
-        is_deaf = customer.lease_until_ms + RESET_MS < now < customer.heard_ms + RESET_MS
-        if is_deaf and now - customer.reset_ms > RESET_MS:
-            customer.reset_ms = now
-            self.reset_link(customer.peer)
+    def _reset_one_way_link(self, dispatcher: Customer, now: float) -> None:
+        """Reconnect to a dispatcher whose messages arrive but that does not receive ours."""
+        is_one_way = dispatcher.lease_until_ms + RESET_MS < now < dispatcher.heard_ms + RESET_MS
+        if is_one_way and now - dispatcher.reset_ms > RESET_MS:
+            dispatcher.reset_ms = now
+            self.reset_link(dispatcher.peer)
 
-    def _end_lease(self, customer: Customer) -> None:
-        fresh = [run for run in customer.runs.values() if not run.is_stopping]
-        if fresh:
+    def _stop_unleased_runs(self, dispatcher: Customer) -> None:
+        active = [run for run in dispatcher.runs.values() if not run.is_stopping]
+        if active:
             self._counters.add("dispatcher_leases_ended")
             _LOG.warning(
-                "dispatcher silent",
+                "dispatcher lease expired",
                 extra={
                     "fields": (
-                        ("dispatcher", customer.peer.address),
-                        ("runs", len(fresh)),
-                        ("silent_ms", round(self._clock.now() - customer.heard_ms)),
+                        ("dispatcher", dispatcher.peer.address),
+                        ("runs", len(active)),
+                        ("silent_ms", round(self._clock.now() - dispatcher.heard_ms)),
                     )
                 },
             )
-        for run in fresh:
+        for run in active:
             self._stops.stop(run, "dispatcher_silent")
 
 
-def _keep_link(_peer: Peer) -> None:
+def _ignore_reset(_peer: Peer) -> None:
     pass
--- a/geraniumspool/memory_minion.py
+++ b/geraniumspool/memory_minion.py
@@ -1,4 +1,4 @@
-"""A minion in memory, with the faults that real ones show."""
+"""In-memory minion for tests and benchmarks that can simulate the faults of real minions."""
 
 import enum
 import math
@@ -20,41 +20,43 @@
 from geraniumspool.run_messages import RUN_DONE, RUN_FAILED, RUN_LAPSED, RUN_STOPPED
 
 DEFAULT_ROOM = Room(10_000, 10_000)
-# Looks end this often while they wait.
+# Interval at which a waiting poll checks for ended runs.
 LOOK_STEP_MS = 5.0
 STOP_MS = 20.0
-# One look lists this many ends at most, the oldest first.
+# Largest number of ended runs that one poll lists, oldest first.
 LISTED_ENDS = 500
-# Who starts runs knows a changed room this long after it: one report and a margin.
+# Time after which an executor must know a changed capacity: one report interval and a margin.
 TOLD_MS = 600.0
-# A call counts as unanswered after this.
+# Time until a call without an answer fails.
 UNANSWERED_MS = 120.0
-# A task that crashes its minion does so this long after its start; the minion is back later.
+# Time from the start of a crashing task to the crash, and time until the restart.
 CRASH_AFTER_MS = 30.0
 DOWN_MS = 2_000.0
-# A connection on one machine is refused within this.
+# Time until a refused connection is reported; both ends are on one host.
 REFUSED_MS = 1.0
-# A minion that fails all does so this early in a run.
+# Share of its run time after which a run fails if ``fails_all`` is set.
 EARLY_FAILURE = 0.1
 
 
 class CallFault(enum.Enum):
-    """What goes wrong with a call."""
+    """Fault injected into a call."""
 
-    LOST_BEFORE = "lost before it was carried out"
-    LOST_AFTER = "carried out, answer lost"
-    LATE = "no answer, carried out later"
+    LOST_BEFORE = "lost before execution"
+    LOST_AFTER = "executed, answer lost"
+    LATE = "no answer, executed later"
     REFUSED = "connection refused"
 
 
-# What may become of any call at random.
+# Faults that may occur at random.
 LOSSES = (CallFault.LOST_BEFORE, CallFault.LOST_AFTER, CallFault.LATE)
 
 
 class Scripted(NamedTuple):
-    """A fault of the next call of one kind.
+    """Fault of the next call of a given kind.
 
-    :param late_ms: how much later a late call is carried out
+    :param call: kind of call: ``start``, ``stop`` or ``look``
+    :param fault: what goes wrong
+    :param late_ms: delay after which a ``LATE`` call is executed
     """
 
     call: str
@@ -73,23 +75,28 @@
 
 
 class MemoryMinion:
-    """A :class:`~geraniumspool.contracts.MinionControl` that runs tasks by its clock.
-
-    A payload is the need in thousandths of a core and the run time, ``CPU:MS``,
-    and may end in ``:fail``, ``:hang`` or ``:crash``: the first task of a step then
-    crashes each minion that starts it.
-
-    :ivar started: every run that began, in order
-    :ivar spent: room times time that tasks have had, in thousandths of a core times ms
-    :ivar loss: share of the calls that get no answer, at random in each way of ``CallFault``
-    :ivar stop_ms: how long a run that is stopped goes on
-    :ivar mute: whether calls are carried out and not answered
-    :ivar refuses: whether it runs on and refuses connections
-    :ivar deaf_to: kinds of calls that are neither carried out nor answered
-    :ivar fails_all: whether every run fails, after a tenth of its time
-    :ivar hangs_all: whether no run goes on
-    :ivar crashed_by: every task that crashed it, in order
-    :ivar crowded: runs that were started beyond its room though that had been told
+    """Implementation of :class:`~geraniumspool.contracts.MinionControl` that simulates tasks.
+
+    A payload has the form ``CPU:MS``: the capacity needed in thousandths of a core and the run
+    time. It may end in ``:fail``, ``:hang`` or ``:crash``. In a step of ``:crash`` tasks only the
+    first task, whose name ends in ``.0``, crashes each minion that starts it.
+
+    :ivar life: how the minion currently describes itself
+    :ivar silent: whether calls are neither executed nor answered
+    :ivar slow_factor: factor by which run times are longer than in the payload
+    :ivar most_used: largest capacity in use at any time
+    :ivar started: keys of all runs started so far, in order
+    :ivar spent: per task, capacity times run time used so far, in thousandths of a core times ms
+    :ivar loss: probability that a call gets no answer; the fault is drawn from ``LOSSES``
+    :ivar stop_ms: how long a stopped run continues
+    :ivar mute: whether calls are executed but not answered
+    :ivar refuses: whether connections are refused while runs continue
+    :ivar deaf_to: kinds of calls that are neither executed nor answered
+    :ivar fails_all: whether every run fails after a tenth of its run time
+    :ivar hangs_all: whether no run makes progress
+    :ivar refuse_with: outcome with which every start is refused, None to start runs
+    :ivar crashed_by: names of the tasks that crashed the minion, in order
+    :ivar crowded: runs started beyond the capacity although the executor knew the capacity
     """
 
     def __init__(
@@ -100,10 +107,13 @@
         seed: int = 1,
         longest_stop_ms: float | None = None,
     ):
-        """Begin a life.
+        """Create a minion that is running and idle.
 
-        :param seed: decides which calls are lost, and how long stops take where that varies
-        :param longest_stop_ms: has each stop take a time of its own up to this
+        :param clock: source of time
+        :param instance: name of the minion
+        :param room: total capacity
+        :param seed: seed for lost calls and, with ``longest_stop_ms``, for the duration of stops
+        :param longest_stop_ms: if given, each stop takes a random time up to this
         """
         self._longest_stop_ms = longest_stop_ms
         self._clock = clock
@@ -114,7 +124,7 @@
         )
         self._running: dict[RunKey, _Running] = {}
         self._ended: list[ListedEnd] = []
-        self._closed: dict[str, int] = {}
+        self._closed_attempts: dict[str, int] = {}
         self._next_end = 1
         self._fence = 0
         self._lease_until = 0.0
@@ -135,53 +145,58 @@
         self.refuse_with: StartOutcome | None = None
         self.crashed_by: list[str] = []
         self.crowded: list[RunKey] = []
-        self._up_ms = 0.0
+        self._restart_ms = 0.0
         self._resized_ms = 0.0
 
     @property
     def running(self) -> set[str]:
-        """Return the names of the tasks at work now."""
+        """Return the names of the tasks that are running now."""
         self._advance()
         return {key.task for key in self._running}
 
     @property
     def is_down(self) -> bool:
-        """Whether it has crashed and is not back yet."""
-        return self._clock.now() < self._up_ms
+        """Whether the minion has crashed and has not restarted yet."""
+        return self._clock.now() < self._restart_ms
 
     def resize(self, room: Room) -> None:
-        """Have another room from now on, whatever runs."""
+        """Change the total capacity at once, even below what is in use."""
         self._resized_ms = self._clock.now()
         self.life = self.life._replace(room=room, sequence=self.life.sequence + 1)
 
     @property
     def clock_ms(self) -> float:
-        """Return the minion's clock, which starts anew with each life."""
+        """Return the minion's own clock, which starts at 0 with each incarnation."""
         return self._clock.now() - self._booted_ms
 
     def script(self, fault: Scripted) -> None:
-        """Let one call go wrong."""
+        """Inject a fault into the next call of its kind."""
         self._scripted.append(fault)
 
     def reborn(self, instance: str) -> None:
-        """Crash and begin another life at the same address, under another name."""
+        """Crash and start at once as a new incarnation at the same address under another name."""
         self.restart()
         self.refuses = False
-        self._up_ms = self._clock.now()
+        self._restart_ms = self._clock.now()
         self.life = self.life._replace(instance=instance)
 
     def crash(self, down_ms: float) -> None:
-        """Crash, and be back under the same name after a while."""
+        """Crash, and restart later under the same name.
+
+        :param down_ms: time until the restart, infinite for never
+        """
         self.restart()
-        self._up_ms = self._clock.now() + down_ms
+        self._restart_ms = self._clock.now() + down_ms
         if math.isfinite(down_ms):
-            self._booted_ms = self._up_ms
-            self.life = self.life._replace(started_unix_ms=round(self._up_ms))
+            self._booted_ms = self._restart_ms
+            self.life = self.life._replace(started_unix_ms=round(self._restart_ms))
 
     def leave(self, run_on_ms: float) -> None:
-        """Drain, and end later; what runs goes on until then.
+        """Start draining, and exit later; runs continue until then.
+
+        A real minion notifies its executor before it exits. Callers of this method do that.
 
-        A minion tells its executor that it leaves before it ends: callers of this do so.
+        :param run_on_ms: time until the exit
         """
         life = self.life = self.life._replace(draining=True, sequence=self.life.sequence + 1)
 
@@ -193,17 +208,17 @@
         self._clock.after(run_on_ms, end)
 
     def restart(self) -> None:
-        """Crash and begin another life under the same name; nothing of before is known to it."""
+        """Crash and restart at once under the same name, without any state of before."""
         for run in self._running.values():
-            self._count(run, self._clock.now())
+            self._add_spent(run, self._clock.now())
         self._running.clear()
         self._ended.clear()
-        self._closed.clear()
+        self._closed_attempts.clear()
         self._next_end = 1
         self._fence = 0
         self._lease_until = 0.0
         self._booted_ms = self._clock.now()
-        # Two lives never begin in the same ms.
+        # Two incarnations never begin in the same millisecond.
         started_unix_ms = max(self.life.started_unix_ms + 1, round(self._clock.now()))
         self.life = self.life._replace(draining=False, sequence=1, started_unix_ms=started_unix_ms)
 
@@ -214,7 +229,7 @@
         return self._call("start", life, lambda: self._start(key, payload, lease_until_ms, fence))
 
     def stop(self, life: MinionLife, key: RunKey, fence: int) -> None:
-        """Stop a run."""
+        """Stop a run; see :class:`~geraniumspool.contracts.MinionControl`."""
         self._call("stop", life, lambda: self._stop(key, fence))
 
     def look(
@@ -225,15 +240,15 @@
         lease_until_ms: float | None,
         wait_ms: float,
     ) -> MinionView:
-        """Renew the lease and return what runs and has ended."""
-        self._call("look", life, lambda: self._hold(fence, acknowledged, lease_until_ms))
+        """Renew the lease and list runs; see :class:`~geraniumspool.contracts.MinionControl`."""
+        self._call("look", life, lambda: self._renew(fence, acknowledged, lease_until_ms))
         until = self._clock.now() + wait_ms
         while not self._ended and self._clock.now() < until:
             self._clock.sleep(LOOK_STEP_MS)
             self._advance()
         self._check(life)
         if life.started_unix_ms != self.life.started_unix_ms:
-            raise MinionReplaced("started again", self.life.started_unix_ms)
+            raise MinionReplaced("minion has restarted", self.life.started_unix_ms)
         now = self._clock.now()
         running = {
             run.key: min(0.99, (now - run.started_ms) / run.run_ms) if run.run_ms else 0.0
@@ -249,48 +264,48 @@
             raise MinionDown("connection refused")
         if self.silent:
             self._clock.sleep(STOP_MS)
-            raise MinionSilent("no answer")
+            raise MinionSilent("minion did not answer")
         if life.instance != self.life.instance:
-            raise MinionReplaced("another life")
+            raise MinionReplaced(f"called {life.instance}, but {self.life.instance} answered")
 
-    def _call(self, kind: str, life: MinionLife, work):
+    def _call(self, kind: str, life: MinionLife, execute):
         self._check(life)
         self._advance()
         if kind in self.deaf_to:
             self._clock.sleep(UNANSWERED_MS)
-            raise MinionSilent(f"{kind}: not heard")
+            raise MinionSilent(f"{kind} call: not received by the minion")
         if self.mute:
-            work()
+            execute()
             self._clock.sleep(UNANSWERED_MS)
-            raise MinionSilent(f"{kind}: not answered")
+            raise MinionSilent(f"{kind} call: executed, answer lost")
         if self.loss and self._random.random() < self.loss:
             fault = self._random.choice(LOSSES)
-            self._lose(Scripted(kind, fault), work)
+            self._apply_fault(Scripted(kind, fault), execute)
             self._clock.sleep(UNANSWERED_MS)
-            raise MinionSilent(f"{kind}: {fault.value}")
+            raise MinionSilent(f"{kind} call: {fault.value}")
         scripted = next((fault for fault in self._scripted if fault.call == kind), None)
         if scripted is None:
-            return work()
+            return execute()
         self._scripted.remove(scripted)
         if scripted.fault is CallFault.REFUSED:
             raise MinionDown("connection refused")
-        self._lose(scripted, work)
-        raise MinionSilent(f"{kind}: scripted")
+        self._apply_fault(scripted, execute)
+        raise MinionSilent(f"{kind} call: injected fault")
 
-    def _lose(self, scripted: Scripted, work) -> None:
+    def _apply_fault(self, scripted: Scripted, execute) -> None:
         if scripted.fault is CallFault.LOST_AFTER:
-            work()
+            execute()
         elif scripted.fault is CallFault.LATE:
             name = self.life.instance
-            self._clock.after(scripted.late_ms, lambda: self._work_late(name, work))
+            self._clock.after(scripted.late_ms, lambda: self._execute_late(name, execute))
 
-    def _work_late(self, name: str, work) -> None:
-        """Carry out a call whose answer nobody waits for, if it still names this minion."""
+    def _execute_late(self, name: str, execute) -> None:
+        """Execute a delayed call without answering it, if the minion still has the same name."""
         self._advance()
         if name != self.life.instance or self.is_down:
             return
         try:
-            work()
+            execute()
         except Fenced:
             return
 
@@ -303,21 +318,21 @@
             return StartAnswer(self.refuse_with, self.clock_ms)
         if key in self._running:
             return StartAnswer(StartOutcome.STARTED, self.clock_ms)
-        if key.attempt <= self._closed.get(key.task, 0):
+        if key.attempt <= self._closed_attempts.get(key.task, 0):
             return StartAnswer(StartOutcome.OLD, self.clock_ms)
         if lease_until_ms <= self.clock_ms:
             return StartAnswer(StartOutcome.LATE, self.clock_ms)
         self._extend(lease_until_ms)
-        cpu, run_ms, *how = payload.split(":")
+        cpu, run_ms, *behavior = payload.split(":")
         run = _Running(key, Room(int(cpu)), float(run_ms) * self.slow_factor, now)
-        if how == ["fail"]:
+        if behavior == ["fail"]:
             run.how = RUN_FAILED
         elif self.fails_all:
             run.how = RUN_FAILED
             run.ends_ms = now + run.run_ms * EARLY_FAILURE
-        elif how == ["hang"] or self.hangs_all:
+        elif behavior == ["hang"] or self.hangs_all:
             run.run_ms, run.ends_ms = 0.0, float("inf")
-        elif how == ["crash"] and key.task.endswith(".0"):
+        elif behavior == ["crash"] and key.task.endswith(".0"):
             run.ends_ms = float("inf")
             self._clock.after(CRASH_AFTER_MS, lambda: self._crash(key))
         self._running[key] = run
@@ -336,18 +351,18 @@
 
     def _stop(self, key: RunKey, fence: int) -> None:
         self._raise_fence(fence)
-        self._closed[key.task] = max(key.attempt, self._closed.get(key.task, 0))
+        self._closed_attempts[key.task] = max(key.attempt, self._closed_attempts.get(key.task, 0))
         run = self._running.get(key)
         if run is not None and run.how is not RUN_STOPPED:
             run.how = RUN_STOPPED
-            run.ends_ms = self._clock.now() + self._draw_stop()
+            run.ends_ms = self._clock.now() + self._choose_stop_ms()
 
-    def _draw_stop(self) -> float:
+    def _choose_stop_ms(self) -> float:
         if self._longest_stop_ms is None:
             return self.stop_ms
         return self._random.uniform(0.0, self._longest_stop_ms)
 
-    def _hold(self, fence: int, acknowledged: int, lease_until_ms: float | None) -> None:
+    def _renew(self, fence: int, acknowledged: int, lease_until_ms: float | None) -> None:
         self._raise_fence(fence)
         self._ended = [end for end in self._ended if end.number > acknowledged]
         if lease_until_ms is not None:
@@ -355,14 +370,14 @@
 
     def _raise_fence(self, fence: int) -> None:
         if fence < self._fence:
-            raise Fenced("a higher token was seen")
+            raise Fenced(f"fencing token {fence} is lower than {self._fence}")
         self._fence = fence
 
     def _extend(self, until_ms: float) -> None:
         until_ms = min(until_ms, self.clock_ms + LONGEST_LEASE_MS)
         self._lease_until = max(self._lease_until, until_ms + self._booted_ms)
 
-    def _count(self, run: _Running, end_ms: float) -> None:
+    def _add_spent(self, run: _Running, end_ms: float) -> None:
         task = run.key.task
         spent = run.need.cpu * (end_ms - run.started_ms)
         self.spent[task] = self.spent.get(task, 0.0) + spent
@@ -372,10 +387,12 @@
         for run in sorted(self._running.values(), key=lambda run: run.ends_ms):
             if min(run.ends_ms, self._lease_until) > now:
                 continue
-            lapsed = self._lease_until < run.ends_ms
-            self._count(run, min(run.ends_ms, self._lease_until))
+            has_lapsed = self._lease_until < run.ends_ms
+            self._add_spent(run, min(run.ends_ms, self._lease_until))
             del self._running[run.key]
-            self._closed[run.key.task] = max(run.key.attempt, self._closed.get(run.key.task, 0))
-            how = RUN_LAPSED if lapsed else run.how
+            self._closed_attempts[run.key.task] = max(
+                run.key.attempt, self._closed_attempts.get(run.key.task, 0)
+            )
+            how = RUN_LAPSED if has_lapsed else run.how
             self._ended.append(ListedEnd(self._next_end, run.key, how))
             self._next_end += 1
--- a/geraniumspool/minion_life.py
+++ b/geraniumspool/minion_life.py
@@ -1,33 +1,38 @@
-"""One life of a minion as the executor beside it knows it: its clock and its lease."""
+"""State of one minion incarnation as tracked by its executor: its clock and its lease."""
 
 from geraniumspool.contracts import MinionLife, RunKey
 from geraniumspool.run_leases import CLOCK_DRIFT, LONGEST_LEASE_MS, MINION_LEASE_MS
 
-# A minion ends runs whose lease is over this much later at most: two of its checks.
+# Longest delay between the end of a lease and the end of its runs: two check intervals of the
+# minion.
 LAPSE_MARGIN_MS = 80.0
-# Answers on two connections overtake each other by less than a call may take, 120 ms.
+# Answers on different connections can arrive out of order, by less than the 120 ms that a call may
+# take. A clock that goes back further belongs to another incarnation.
 OVERTAKEN_MS = 150.0
 
 
 class LifeView:
-    """What the executor knows of one life of its minion.
-
-    :ivar told: what the minion last said of itself
-    :ivar clock_ms: its clock as last heard
-    :ivar clock_at: when that was
-    :ivar leased_ms: when the last call was sent that renewed its lease
-    :ivar acknowledged: number of the last end taken
-    :ivar is_clear: whether nothing runs there that this executor does not know
-    :ivar is_described: whether this life has told of itself; until then ``told`` is what the
-        life before it said
-    :ivar answered_ms: when it last answered a call
-    :ivar has_left: whether it has said that it has left; its runs may go on until it ends
-    :ivar refused_looks: looks in a row that found nobody listening
-    :ivar strays: runs that nobody here has ordered and that are being stopped
+    """What an executor tracks about one incarnation of its minion.
+
+    Times are in milliseconds of the executor's clock unless stated otherwise.
+
+    :ivar told: the latest report in which the minion described itself
+    :ivar clock_ms: latest known value of the minion's own clock
+    :ivar clock_at: when that value was received
+    :ivar leased_ms: when the latest call that renews the lease was sent
+    :ivar acknowledged: number of the last listed end that was handled
+    :ivar is_clear: whether all runs on the minion are known to this executor
+    :ivar is_described: whether this incarnation has sent a report; until then ``told`` is derived
+        from the report of the previous one
+    :ivar answered_ms: when the minion last answered a call
+    :ivar has_left: whether the minion has announced its departure; its runs may continue until its
+        process exits
+    :ivar refused_looks: number of consecutive polls whose connection was refused
+    :ivar strays: orphaned runs, which nobody here has ordered, that are being stopped
     """
 
     def __init__(self, life: MinionLife, now: float, is_described: bool = True):
-        """Begin with what the minion said of itself."""
+        """Initialize from the first report of the minion."""
         self.told = life
         self.is_described = is_described
         self.clock_ms = 0.0
@@ -42,31 +47,43 @@
         self._inherited_ms = 0.0
 
     def clock(self, now: float) -> float:
-        """Return the least that the minion's clock can show now."""
+        """Return a lower bound of the minion's clock at time ``now``."""
         return self.clock_ms + (now - self.clock_at) * (1 - CLOCK_DRIFT)
 
     def grant(self, now: float) -> float:
-        """Return the lease, by the minion's clock, of a call that is about to be sent."""
+        """Record that a call which renews the lease is about to be sent.
+
+        :returns: end of the new lease, by the minion's clock
+        """
         self.leased_ms = now
         return self.clock(now) + MINION_LEASE_MS
 
     def inherit_lease(self, now: float) -> None:
-        """Take that calls were made by the clock of a life before, which was far ahead."""
+        """Account for leases computed with the clock of an earlier incarnation.
+
+        That clock may have been far ahead of the current one, so that the minion may have granted
+        the longest lease there is.
+        """
         self._inherited_ms = now + LONGEST_LEASE_MS * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_MS
 
     def lease_over_ms(self) -> float:
-        """Return the time when the lease of the last call that had one is over.
+        """Return the time at which every lease sent so far must have expired.
 
-        The call counts whether or not it was answered: the minion may have taken it.
+        A call counts even if it was not answered, because the minion may have executed it.
         """
         own_ms = self.leased_ms + MINION_LEASE_MS * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_MS
         return max(own_ms, self._inherited_ms)
 
     def hear(self, clock_ms: float, sent_ms: float, now: float) -> None:
-        """Take the minion's clock from an answer to a call sent at ``sent_ms``."""
+        """Record an answer of the minion.
+
+        :param clock_ms: the minion's clock in the answer
+        :param sent_ms: when the call was sent
+        :param now: when the answer arrived
+        """
         self.answered_ms = now
         if clock_ms < self.clock_ms - OVERTAKEN_MS:
-            # Another life has answered; the next look tells which.
+            # Another incarnation has answered; the next poll identifies it.
             self.inherit_lease(now)
         if clock_ms > self.clock_ms:
             self.clock_ms = clock_ms
--- a/geraniumspool/minion_lives.py
+++ b/geraniumspool/minion_lives.py
@@ -1,4 +1,4 @@
-"""The lives of a minion: which one is served, and what becomes of the runs of the one before."""
+"""Track which incarnation of a minion is served, and settle the runs of the previous one."""
 
 import logging
 from collections.abc import Callable
@@ -23,18 +23,20 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A minion whose place another takes is looked after this often.
+# Interval at which an incarnation that is being replaced is checked for its end.
 OUTLAST_PAUSE_MS = 10.0
 
 
 class MinionLives:
-    """Takes what a minion says of itself, and settles runs where one life follows another.
-
-    :ivar is_former_over: whether no minion goes on that started again under its name while an
-        earlier process here called it, which may hold its runs for longer than was asked for
-    :ivar on_life: called in a task of its own with each life of the minion that is taken, and
-        once it leaves
-    :ivar on_view: called with a life that is taken, what it lists, and when it was asked
+    """Handle reports of a minion and the change from one incarnation to the next.
+
+    :ivar is_former_over: whether the minion that an earlier executor process served is known to
+        have ended. Otherwise it may have restarted under its name while that process called it, and
+        may hold its runs for longer than the lease that was requested.
+    :ivar on_life: called in a new green task with each incarnation that is adopted and described,
+        and again when it starts draining
+    :ivar on_view: called with an adopted incarnation, its answer to a poll, and the time at which
+        that poll was sent
     """
 
     def __init__(
@@ -46,7 +48,7 @@
         reporter: WorkerReporter,
         ends: RunEnds,
     ):
-        """Wait for the minion to describe itself."""
+        """Initialize without a minion; one is adopted once it has reported itself."""
         self._clock = clock
         self._counters = counters
         self._session = session
@@ -58,65 +60,69 @@
             clock, counters, session, table, reporter, ends, self.stops, self.end_life
         )
         self.is_former_over = False
-        self.on_life: Callable[[MinionLife], None] = _forget_life
-        self.on_view: Callable[[LifeView, MinionView, float], None] = _forget_view
+        self.on_life: Callable[[MinionLife], None] = _ignore_life
+        self.on_view: Callable[[LifeView, MinionView, float], None] = _ignore_view
 
-    def take_life(self, told: MinionLife) -> None:
-        """Take what a minion says of itself.
+    def take_life(self, report: MinionLife) -> None:
+        """Handle a report in which a minion describes itself.
 
-        A report of another life counts only once that life has answered a call:
-        it may be a late one of a life that is over.
+        A report of an unknown incarnation counts only once that incarnation has answered a call,
+        because it may be a delayed report of one that has ended.
         """
         session = self._session
         life = session.life
-        if life is not None and told.is_life_of(life.told):
-            # The name alone is not enough: a minion that starts again under its name counts
-            # from 1, and by the counts of before its leaving would go unheard.
-            if told.sequence >= life.told.sequence and not life.has_left:
-                self._update(life, told)
+        if life is not None and report.is_life_of(life.told):
+            # The name alone does not identify an incarnation. After a restart under the same name
+            # the sequence begins at 1 again, and compared with that of the previous incarnation the
+            # announcement of its departure would look outdated.
+            if report.sequence >= life.told.sequence and not life.has_left:
+                self._update(life, report)
             else:
-                self._pass_over(life, told)
+                self._ignore_stale(life, report)
             return None
         fence = session.fence
         try:
-            session.control.look(told, fence, 0, None, 0.0)
-            asked_ms = self._clock.now()
-            open_fence = session.close_orders()
-            view = session.control.look(told, open_fence, 0, None, 0.0)
+            session.control.look(report, fence, 0, None, 0.0)
+            sent_ms = self._clock.now()
+            min_fence = session.close_orders()
+            view = session.control.look(report, min_fence, 0, None, 0.0)
         except (MinionReplaced, MinionSilent) as error:
-            self._note_former(error)
-            _log_not_taken(told, error)
+            self._note_earlier_minion(error)
+            _log_not_adopted(report, error)
             return None
         except Fenced:
             session.raise_fence(fence)
-            return self.take_life(told)
+            return self.take_life(report)
         if session.life is not life:
-            # Another report of it, or a look, was quicker.
-            return self.take_life(told)
-        if life is not None and life.told.address != told.address:
-            # Where both have one address, that this one answers proves that the other has ended.
-            self._outlast(life)
-            return self.take_life(told)
-        self._adopt(told, view, asked_ms, open_fence)
+            # Another report or a poll has changed the served incarnation in the meantime.
+            return self.take_life(report)
+        if life is not None and life.told.address != report.address:
+            # If both have the same address, the answer of the new incarnation proves that the old
+            # one has ended. At another address it does not.
+            self._await_end(life)
+            return self.take_life(report)
+        self._adopt(report, view, sent_ms, min_fence)
         return None
 
-    def _note_former(self, error: DispatchError) -> None:
-        """Take what became of a minion that an earlier process here has served."""
+    def _note_earlier_minion(self, error: DispatchError) -> None:
+        """Derive from a failed poll whether the minion of an earlier process here has ended."""
         has_other_name = isinstance(error, MinionReplaced) and not error.started_unix_ms
         if has_other_name or isinstance(error, MinionDown):
             self.is_former_over = True
 
     def lose_life(self, instance: str, started_unix_ms: int = 0) -> None:
-        """Take that a minion has left, or is about to end.
+        """Handle the departure of a minion, or its announcement that it is about to exit.
 
-        What it still runs is over once it says so, once another life answers at its address
-        or once its lease must have run out. That it refuses connections proves nothing: it may
-        close its listener before its runs end.
+        Its runs are over once it reports them as ended, once another incarnation answers at its
+        address, or once its lease must have expired. Refused connections do not prove it: the
+        minion may close its listener before its runs end.
 
-        Word of a life before may arrive late. Where it does not say which life has left,
-        it is taken for one that has said that it leaves; any other is missed by the looks.
+        The message may be delayed and refer to an earlier incarnation. If it does not say which one
+        has left, it counts for the current one only if that one is draining. Polls detect the end
+        of any other.
 
-        :param started_unix_ms: when that life began, 0 where this is not told
+        :param instance: name of the minion
+        :param started_unix_ms: Unix time at which the departed incarnation began, 0 if not known
         """
         life = self._session.life
         if life is None or life.told.instance != instance:
@@ -126,41 +132,54 @@
         ):
             self._retire(life)
         else:
-            _LOG.info("end of a minion passed over", extra={"fields": _name_life(life.told)})
+            _LOG.info(
+                "departure of another minion incarnation ignored",
+                extra={"fields": _life_fields(life.told)},
+            )
 
     def _retire(self, life: LifeView) -> None:
-        """Start nothing more at a life that has left, and let its lease run out."""
+        """Start nothing more on an incarnation that has left, and let its lease expire."""
         life.has_left = True
         life.told = life.told._replace(draining=True)
         self._ends.refuse_waiting("minion_left")
         self.settle_left(life)
         self._reporter.tell_all()
 
-    def _outlast(self, life: LifeView) -> None:
-        """Wait until nothing goes on at a life whose place another takes."""
+    def _await_end(self, life: LifeView) -> None:
+        """Retire an incarnation, and wait until it has been given up.
+
+        Needed before a successor at another address is adopted.
+        """
         self._retire(life)
         while self._session.life is life:
             self._clock.sleep(OUTLAST_PAUSE_MS)
 
     def settle_left(self, life: LifeView) -> None:
-        """Give up a life that has left, once nothing of it runs that is known here."""
+        """Give up an incarnation that has left once no known run is active there."""
         if life.has_left and not len(self._table):
             self.end_life(life, "minion_left")
 
     def end_life(self, life: LifeView, reason: str) -> None:
-        """Give up a life of the minion, once: several calls to it may find it gone."""
+        """Give up an incarnation and all its runs.
+
+        Several calls may find it gone at the same time; only the first one has an effect.
+
+        :param life: the incarnation to give up
+        :param reason: reason for logs, metrics and the outcomes of its runs
+        """
         if self._session.life is not life:
             return
-        self._note_lost(life, reason)
+        self._log_lost(life, reason)
         self._session.life = None
         for run in self._table:
             self._ends.lapse(run, reason)
         self._reporter.tell_all()
 
     def take_replaced(self, life: LifeView, started_unix_ms: int) -> None:
-        """Take that another life answers instead of this one.
+        """Handle an answer that shows that another incarnation has replaced this one.
 
-        :param started_unix_ms: when it began, 0 if it has another name
+        :param life: the incarnation that was called
+        :param started_unix_ms: when the new incarnation began, 0 if it has another name
         """
         if self._session.life is not life:
             return
@@ -168,115 +187,120 @@
             self.end_life(life, "minion_replaced")
             return
         session = self._session
-        told = life.told._replace(started_unix_ms=started_unix_ms, draining=False, sequence=0)
-        asked_ms = self._clock.now()
-        open_fence = session.close_orders()
+        report = life.told._replace(started_unix_ms=started_unix_ms, draining=False, sequence=0)
+        sent_ms = self._clock.now()
+        min_fence = session.close_orders()
         try:
-            view = session.control.look(told, open_fence, 0, None, 0.0)
+            view = session.control.look(report, min_fence, 0, None, 0.0)
         except (MinionSilent, MinionReplaced, Fenced) as error:
-            _log_not_taken(told, error)
+            _log_not_adopted(report, error)
             return
         if session.life is life:
-            self._adopt(told, view, asked_ms, open_fence, is_described=False)
+            self._adopt(report, view, sent_ms, min_fence, is_described=False)
 
-    def _pass_over(self, life: LifeView, told: MinionLife) -> None:
-        """Leave a report aside that a later one has overtaken."""
+    def _ignore_stale(self, life: LifeView, report: MinionLife) -> None:
+        """Count and log a report that is older than one already handled."""
         self._counters.add("minion_reports", outcome="overtaken")
         _LOG.info(
-            "minion report passed over",
+            "stale minion report ignored",
             extra={
                 "fields": (
-                    *_name_life(told),
-                    ("draining", told.draining),
-                    ("sequence", told.sequence),
+                    *_life_fields(report),
+                    ("draining", report.draining),
+                    ("sequence", report.sequence),
                     ("known_sequence", life.told.sequence),
                 )
             },
         )
 
-    def _update(self, life: LifeView, told: MinionLife) -> None:
-        before, life.told = life.told, told
+    def _update(self, life: LifeView, report: MinionLife) -> None:
+        previous, life.told = life.told, report
         if not life.is_described:
             life.is_described = True
             self._reporter.tell_all()
-            eventlet.spawn_n(self.on_life, told)
-        if told.draining != before.draining or told.room != before.room:
+            eventlet.spawn_n(self.on_life, report)
+        if report.draining != previous.draining or report.room != previous.room:
             _LOG.info(
                 "minion changed",
                 extra={
                     "fields": (
-                        *_name_life(told),
-                        ("draining", told.draining),
-                        ("cpu", told.room.cpu),
-                        ("memory_mb", told.room.memory_mb),
+                        *_life_fields(report),
+                        ("draining", report.draining),
+                        ("cpu", report.room.cpu),
+                        ("memory_mb", report.room.memory_mb),
                         ("used_cpu", self._table.used.cpu),
                     )
                 },
             )
-            self._fit_waiting(told)
+            self._refit_queued(report)
             self._reporter.tell_all()
 
-    def _fit_waiting(self, told: MinionLife) -> None:
-        """Start what waits and fits by now, and send back what cannot start here any more."""
-        if told.draining:
+    def _refit_queued(self, report: MinionLife) -> None:
+        """Refuse queued runs that can no longer start here, and start those that fit now."""
+        if report.draining:
             self._ends.refuse_waiting("minion_draining")
-            # Else a process that takes this one's place starts runs there until the next report.
-            eventlet.spawn_n(self.on_life, told)
+            # Otherwise, a process that replaces this one would start runs there until the next
+            # report.
+            eventlet.spawn_n(self.on_life, report)
         for run in self._table.waiting():
-            if not told.room.fits(run.order.need):
+            if not report.room.fits(run.order.need):
                 self._ends.refuse(run, "too_large")
         self.starts.fill()
 
     def _adopt(
         self,
-        told: MinionLife,
+        report: MinionLife,
         view: MinionView,
-        asked_ms: float,
-        open_fence: int,
+        sent_ms: float,
+        min_fence: int,
         is_described: bool = True,
     ) -> None:
-        """Watch another life from now on.
-
-        :param view: its answer to a look after which it carries out no order of before
-        :param asked_ms: when that look was sent
-        :param open_fence: its fencing token; what was ordered under it may run there too
-        :param is_described: whether ``told`` is of this life
+        """Serve another incarnation from now on.
+
+        :param report: its report, or one derived from the previous incarnation's
+        :param view: its answer to a poll that invalidated all earlier calls
+        :param sent_ms: when that poll was sent
+        :param min_fence: fencing token of that poll; calls sent with it since then may also have
+            started runs
+        :param is_described: whether ``report`` was sent by this incarnation
         """
         session = self._session
         now = self._clock.now()
-        before = session.life
-        life = session.life = LifeView(told, now, is_described)
+        previous = session.life
+        life = session.life = LifeView(report, now, is_described)
         _LOG.info(
-            "minion taken",
+            "minion adopted",
             extra={
                 "fields": (
-                    *_name_life(told),
-                    ("sequence", told.sequence),
+                    *_life_fields(report),
+                    ("sequence", report.sequence),
                     ("running", len(view.running)),
                     ("fence", session.fence),
                 )
             },
         )
         self._ends.trust_anew()
-        if before is not None:
-            self._succeed(before, life, view, open_fence)
-        self.on_view(life, view, asked_ms)
+        if previous is not None:
+            self._transfer_runs(previous, life, view, min_fence)
+        self.on_view(life, view, sent_ms)
         self._reporter.tell_all()
         if is_described:
-            eventlet.spawn_n(self.on_life, told)
+            eventlet.spawn_n(self.on_life, report)
 
-    def _succeed(self, before: LifeView, life: LifeView, view: MinionView, open_fence: int) -> None:
-        """Give up the runs of a life that is over, but for those that went to the next one.
+    def _transfer_runs(
+        self, previous: LifeView, life: LifeView, view: MinionView, min_fence: int
+    ) -> None:
+        """Give up the runs of an incarnation that has ended, except those that its successor holds.
 
-        Told as lost while at work, they would run twice at a time.
+        A run reported as lost while it is still active would be started twice at the same time.
         """
-        self._note_lost(before, "minion_replaced")
-        if before.told.instance == life.told.instance:
+        self._log_lost(previous, "minion_replaced")
+        if previous.told.instance == life.told.instance:
             life.inherit_lease(self._clock.now())
-        listed = view.running.keys() | {end.key for end in view.ended}
+        listed_keys = view.running.keys() | {end.key for end in view.ended}
         for run in self._table:
-            # What became of a later start its answer tells, or the next look.
-            may_run = run.key in listed or run.fence >= open_fence
+            # The outcome of a start sent since then follows from its answer or from the next poll.
+            may_run = run.key in listed_keys or run.fence >= min_fence
             if run.state is RunState.QUEUED or not may_run:
                 self._ends.lapse(run, "minion_replaced")
                 continue
@@ -284,25 +308,25 @@
             if run.is_stopping:
                 self.stops.repeat(run)
 
-    def _note_lost(self, life: LifeView, reason: str) -> None:
-        fields = (*_name_life(life.told), ("reason", reason))
+    def _log_lost(self, life: LifeView, reason: str) -> None:
+        fields = (*_life_fields(life.told), ("reason", reason))
         _LOG.warning("minion lost", extra={"fields": fields})
         self._counters.add("minion_lives_ended", reason=reason)
 
 
-def _log_not_taken(told: MinionLife, error: DispatchError) -> None:
-    fields = (*_name_life(told), ("reason", error.code))
-    _LOG.info("minion not taken", extra={"fields": fields})
+def _log_not_adopted(report: MinionLife, error: DispatchError) -> None:
+    fields = (*_life_fields(report), ("reason", error.code))
+    _LOG.info("minion not adopted", extra={"fields": fields})
 
 
-def _name_life(told: MinionLife) -> tuple[tuple[str, str | int], ...]:
-    """Return what tells a life of a minion apart, as fields of a log line."""
-    return (("instance", told.instance), ("started_unix_ms", told.started_unix_ms))
+def _life_fields(report: MinionLife) -> tuple[tuple[str, str | int], ...]:
+    """Return the log fields that identify an incarnation of a minion."""
+    return (("instance", report.instance), ("started_unix_ms", report.started_unix_ms))
 
 
-def _forget_life(_life: MinionLife) -> None:
+def _ignore_life(_life: MinionLife) -> None:
     pass
 
 
-def _forget_view(_life: LifeView, _view: MinionView, _asked_ms: float) -> None:
+def _ignore_view(_life: LifeView, _view: MinionView, _sent_ms: float) -> None:
     pass
--- a/geraniumspool/minion_session.py
+++ b/geraniumspool/minion_session.py
@@ -1,4 +1,4 @@
-"""The life of the minion that an executor serves, and the fencing token of its calls."""
+"""Session of an executor with its minion: the incarnation served and the fencing token."""
 
 import logging
 
@@ -11,40 +11,44 @@
 
 
 class MinionSession:
-    """What all parts of an executor share of its minion.
+    """State that all parts of an executor share about its minion.
 
-    :ivar control: reaches the minion
-    :ivar fence: fencing token of all calls
-    :ivar life: the life of the minion that runs are started on, None while there is none
+    :ivar control: client for calls to the minion
+    :ivar fence: fencing token sent with every call
+    :ivar life: the incarnation on which runs are started, None if there is none
     """
 
     def __init__(self, control: MinionControl, first_fence: int):
-        """Know no life yet."""
+        """Initialize without an incarnation."""
         self.control = control
         self.fence = first_fence
         self.life: LifeView | None = None
 
     def raise_fence(self, refused: int) -> None:
-        """Take that the minion has seen a higher fencing token than ``refused``."""
+        """Raise the fencing token after the minion has rejected ``refused`` as too low."""
         if self.fence > refused:
             return
         self.fence = refused + FENCE_STEP
         _LOG.info("fencing token raised", extra={"fields": (("fence", self.fence),)})
 
     def close_orders(self) -> int:
-        """Have the minion refuse all orders sent so far, from the next look on.
+        """Raise the fencing token, so that the next poll invalidates all earlier calls.
 
-        Orders name a minion, not its life: one that comes back under its name has seen no
-        token and carries out what was meant for the life before, seconds late at times.
+        Calls address a minion by name and not by incarnation. A restarted minion of the same name
+        has not seen any token yet. Until it sees the new one, it executes delayed calls meant for
+        its previous incarnation, which may arrive seconds late.
 
-        :returns: the lowest fencing token of an order that may still be carried out
+        :returns: the new token, the lowest that the minion accepts once it has been polled
         """
         self.fence += 1
         return self.fence
 
     def look_now(self, life: LifeView) -> MinionView:
-        """Return what runs and has ended, without renewing a lease.
+        """Poll the minion at once, without renewing its lease.
 
-        :raises MinionSilent, MinionReplaced, Fenced: as the minion's control does
+        :returns: the runs that are active and those that have ended
+        :raises MinionSilent: if the call is not answered
+        :raises MinionReplaced: if another incarnation answers
+        :raises Fenced: if the minion has seen a higher fencing token
         """
         return self.control.look(life.told, self.fence, life.acknowledged, None, 0.0)
--- a/geraniumspool/minion_trust.py
+++ b/geraniumspool/minion_trust.py
@@ -1,33 +1,40 @@
-"""Judging a minion by the runs it ended: whether it fails them, and how fast it is."""
+"""Rate a minion by its ended runs: eject it while runs fail too often, and estimate its speed."""
 
 from geraniumspool.contracts import Clock
 
-# Three jobs in a row fail by chance once in thousands where 6% of jobs are hopeless.
+# Number of different jobs failing in a row that ejects a minion. By chance this happens once in
+# thousands of runs where 6% of jobs always fail.
 FAILURES_IN_A_ROW = 3
-# A minion that fails two in five is told from one that fails one in fifteen in ten runs.
+# Outcomes needed before the failure share counts: ten runs distinguish a minion that fails two in
+# five runs from one that fails one in fifteen.
 MIN_OUTCOMES = 10
 FAILURE_SHARE = 0.3
 RECENT_WEIGHT = 0.15
-# First probe after an ejection; a fault of a few seconds is over after three of them.
+# Delay of the first probe after an ejection; it doubles with each failed probe, so that a fault of
+# a few seconds is over after three probes.
 PROBE_AFTER_MS = 500.0
 MAX_PROBE_AFTER_MS = 4_000.0
 PROBES_TO_RESTORE = 2
 
-# A tenth of the runs of a second: about as many as a worker ends in 0.4 s when busy.
+# Weight of one ended run in the moving average, which then covers about as many runs as a busy
+# worker ends in 0.4 s.
 PACE_WEIGHT = 0.15
-# Evidence on speed halves in this time, so that a worker nobody uses is tried again.
+# Half-life of the deviation from 1, so that a worker which no longer gets runs is tried again.
 PACE_HALF_LIFE_MS = 2_500.0
-# Start-up and rounding of short runs count as this much.
+# Added to expected times to allow for start-up and rounding of short runs.
 PACE_MARGIN_MS = 15.0
 MIN_PACE = 0.3
 MAX_PACE = 30.0
 
 
 class FailureJudge:
-    """Ejects a minion that fails what it runs, and probes it until it works again."""
+    """Circuit breaker that ejects a minion whose runs fail, and probes it until it works again.
+
+    :ivar is_ejected: whether the minion must not get runs other than probes
+    """
 
     def __init__(self, clock: Clock):
-        """Start with trust.
+        """Start with a minion that is not ejected.
 
         :param clock: source of time
         """
@@ -42,13 +49,15 @@
 
     @property
     def is_probe_due(self) -> bool:
-        """Whether an ejected minion may be given one run to be judged by."""
+        """Whether an ejected minion may get one run as a probe."""
         return self._clock.now() >= self._probe_at
 
     def note(self, job: str, ok: bool) -> bool:
-        """Take how a run ended; return whether that ejected or restored the minion.
+        """Record the outcome of a run; return whether it ejected or restored the minion.
 
-        :param job: id of its job: many failures of one job prove little
+        :param job: id of its job; consecutive failures count once per job, because repeated
+            failures of one job may be the job's fault
+        :param ok: whether the run succeeded
         """
         self._outcomes += 1
         self._share += RECENT_WEIGHT * ((0.0 if ok else 1.0) - self._share)
@@ -59,8 +68,8 @@
             return False
         if job not in self._failed_jobs:
             self._failed_jobs.append(job)
-        often = self._outcomes >= MIN_OUTCOMES and self._share > FAILURE_SHARE
-        if len(self._failed_jobs) < FAILURES_IN_A_ROW and not often:
+        fails_often = self._outcomes >= MIN_OUTCOMES and self._share > FAILURE_SHARE
+        if len(self._failed_jobs) < FAILURES_IN_A_ROW and not fails_often:
             return False
         self._eject()
         return True
@@ -89,10 +98,10 @@
 
 
 class RunPace:
-    """Learns how long runs take at a minion against what was expected."""
+    """Moving average of the ratio of actual to expected run times on a minion."""
 
     def __init__(self, clock: Clock):
-        """Start at the usual speed.
+        """Start at the usual speed, a ratio of 1.
 
         :param clock: source of time
         """
@@ -102,12 +111,17 @@
 
     @property
     def value(self) -> float:
-        """Actual by expected run times, drifting back to 1 while nothing is learnt."""
+        """Ratio of actual to expected run times, decaying towards 1 without new observations."""
         age = self._clock.now() - self._noted_ms
         return 1.0 + (self._value - 1.0) * 0.5 ** (age / PACE_HALF_LIFE_MS)
 
     def note(self, expected_ms: float, actual_ms: float, weight: float = PACE_WEIGHT) -> None:
-        """Take how long a run took, or is predicted to take."""
+        """Add one observation.
+
+        :param expected_ms: estimated duration of the run
+        :param actual_ms: its actual or predicted duration
+        :param weight: weight of the observation in the moving average, 0..1
+        """
         ratio = actual_ms / (expected_ms + PACE_MARGIN_MS)
         ratio = min(MAX_PACE, max(MIN_PACE, ratio))
         self._value = self.value + weight * (ratio - self.value)
--- a/geraniumspool/minion_watch.py
+++ b/geraniumspool/minion_watch.py
@@ -1,4 +1,4 @@
-"""Watching the minion: its lease, what runs there and what has ended."""
+"""Poll the minion: renew its lease, track its active runs and collect ended ones."""
 
 from eventlet.event import Event
 
@@ -12,28 +12,32 @@
 from geraniumspool.run_table import RunState, RunTable
 from geraniumspool.worker_reporter import WorkerReporter
 
-# Three looks fit into the minion's lease, each with the 80 ms that an answer may take.
+# Longest wait of a poll for an ended run. Three polls fit into the minion's lease, each with up to
+# 80 ms for its answer.
 LOOK_WAIT_MS = 120.0
-# Without runs a look need not renew a lease; it tells that the minion is there.
+# The same while there are no runs. Such polls only need to show that the minion is alive, not to
+# renew its lease in time.
 IDLE_LOOK_WAIT_MS = 200.0
-# At a minion that has left, the end of its lease is not to be missed by much.
+# The same for a minion that has left: short, so that the end of its lease is noticed early.
 LEFT_LOOK_WAIT_MS = 20.0
-# A look that fails is tried again this soon.
+# Delay after a failed poll.
 LOOK_AGAIN_MS = 5.0
-# The process of a minion has ended once this many looks in a row were refused: it closes its
-# listener with all its runs. One that leaves may close the listener before.
+# Number of consecutive polls with refused connections after which the minion's process counts as
+# ended: when the process ends, its listener and all its runs end with it. A minion that leaves may
+# close its listener earlier, so draining minions are excluded.
 DOWN_LOOKS = 3
-# The minion counts as silent after two looks without an answer.
+# Time without an answer after which the minion counts as silent: two unanswered polls.
 SILENT_MS = 450.0
-# Looks renew the lease while the minion has answered within this time: long enough for
-# one lost look. What is given up later has to outlast all leases that may have arrived.
+# Polls renew the lease only if the minion has answered within this time, which allows for one lost
+# poll. Runs are given up only after every lease that may have reached the minion has expired, so
+# renewing it while the minion does not answer would delay that.
 RENEW_WITHIN_MS = 250.0
-# Runs that were ordered before are asked for this often while they are being stopped.
+# Poll interval while runs of an earlier executor are being stopped.
 CLEAR_PAUSE_MS = 30.0
 
 
 class MinionWatch:
-    """Looks at the minion again and again."""
+    """Poll the minion in a loop."""
 
     def __init__(
         self,
@@ -44,7 +48,7 @@
         ends: RunEnds,
         lives: MinionLives,
     ):
-        """Wait for the first life to be taken."""
+        """Initialize; polling begins once an incarnation of the minion has been adopted."""
         self._clock = clock
         self._session = session
         self._table = table
@@ -54,40 +58,40 @@
         self._lives = lives
         self._stops = lives.stops
         self._starts = lives.starts
-        lives.on_view = self._take_first_view
+        lives.on_view = self._handle_first_view
 
     @property
     def is_heard(self) -> bool:
-        """Whether a life of the minion has answered lately."""
+        """Whether the minion has answered a call recently."""
         life = self._session.life
         return life is not None and self._clock.now() - life.answered_ms < SILENT_MS
 
     def run_looks(self) -> None:
-        """Watch the minion for ever: renew its lease and take ends."""
+        """Poll the minion forever: renew its lease and collect ended runs."""
         while True:
             life = self._session.life
             if life is None:
                 self._arrived.wait()
                 self._arrived = Event()
                 continue
-            if not self._look(life):
+            if not self._poll(life):
                 self._clock.sleep(LOOK_AGAIN_MS)
 
-    def _look(self, life: LifeView) -> bool:
-        """Ask the minion once; return whether it answered."""
+    def _poll(self, life: LifeView) -> bool:
+        """Poll the minion once; return whether it answered."""
         session = self._session
         now = self._clock.now()
-        is_answering = now - life.answered_ms <= RENEW_WITHIN_MS
+        is_responsive = now - life.answered_ms <= RENEW_WITHIN_MS
         lease = None
-        is_renewing = life.is_clear and is_answering and not life.has_left
+        is_renewing = life.is_clear and is_responsive and not life.has_left
         if is_renewing and not self._stops.is_stuck(now):
             lease = life.grant(now)
-        wait_ms = self._choose_wait(life) if life.is_clear and is_answering else 0.0
+        wait_ms = self._choose_wait(life) if life.is_clear and is_responsive else 0.0
         fence = session.fence
         try:
             view = session.control.look(life.told, fence, life.acknowledged, lease, wait_ms)
         except MinionSilent as error:
-            self._take_silence(life, error)
+            self._handle_failed_poll(life, error)
             return False
         except MinionReplaced as error:
             self._lives.take_replaced(life, error.started_unix_ms)
@@ -97,7 +101,7 @@
             return False
         life.refused_looks = 0
         if session.life is life:
-            self._take_view(life, view, now)
+            self._handle_view(life, view, now)
             if not life.is_clear:
                 self._clock.sleep(CLEAR_PAUSE_MS)
             self._lives.settle_left(life)
@@ -108,8 +112,8 @@
             return LEFT_LOOK_WAIT_MS
         return LOOK_WAIT_MS if len(self._table) else IDLE_LOOK_WAIT_MS
 
-    def _take_silence(self, life: LifeView, error: MinionSilent) -> None:
-        """Take that a look was not answered."""
+    def _handle_failed_poll(self, life: LifeView, error: MinionSilent) -> None:
+        """Handle a poll that was refused or not answered."""
         is_refused = isinstance(error, MinionDown)
         life.refused_looks = life.refused_looks + 1 if is_refused else 0
         if life.has_left:
@@ -118,57 +122,60 @@
         elif life.refused_looks >= DOWN_LOOKS and not life.told.draining:
             self._lives.end_life(life, "minion_down")
         elif self._clock.now() - life.answered_ms > SILENT_MS:
-            self._lapse(life)
+            self._lapse_unleased(life)
 
-    def _take_first_view(self, life: LifeView, view: MinionView, sent_ms: float) -> None:
-        """Take what a life lists that has just been taken."""
+    def _handle_first_view(self, life: LifeView, view: MinionView, sent_ms: float) -> None:
+        """Handle the first view of an incarnation that has just been adopted, and start polling."""
         if not self._arrived.ready():
             self._arrived.send()
-        self._take_view(life, view, sent_ms)
+        self._handle_view(life, view, sent_ms)
 
-    def _take_view(self, life: LifeView, view: MinionView, sent_ms: float) -> None:
+    def _handle_view(self, life: LifeView, view: MinionView, sent_ms: float) -> None:
         life.hear(view.clock_ms, sent_ms, self._clock.now())
         for end in sorted(view.ended):
             if end.number > life.acknowledged:
                 life.acknowledged = end.number
                 self._ends.take_listed(end)
-        self._take_running(view, sent_ms)
+        self._update_running(view, sent_ms)
         if not life.is_clear:
-            self._clear(life, view)
+            self._clear_if_known(life, view)
         self._starts.fill()
 
-    def _take_running(self, view: MinionView, sent_ms: float) -> None:
+    def _update_running(self, view: MinionView, sent_ms: float) -> None:
         now = self._clock.now()
-        for key, share in view.running.items():
+        for key, progress in view.running.items():
             run = self._table.find(key)
             if run is None:
                 self._stops.stop_stray(key)
                 continue
             if run.state in (RunState.STARTING, RunState.DOUBTFUL):
                 self._starts.confirm(run)
-            if share > run.share:
-                run.share = share
+            if progress > run.share:
+                run.share = progress
                 run.moved_ms = now
             self._ends.note_progress(run, now)
         if not view.is_partial:
-            self._lapse_vanished(view, sent_ms)
+            self._lapse_missing(view, sent_ms)
 
-    def _lapse_vanished(self, view: MinionView, sent_ms: float) -> None:
-        """Give up runs that a minion neither runs nor lists among all ends that it knows."""
+    def _lapse_missing(self, view: MinionView, sent_ms: float) -> None:
+        """Finish confirmed runs that the minion lists neither as active nor as ended.
+
+        Called only for views that list all ends.
+        """
         for run in self._table:
-            known = run.confirmed_ms and run.confirmed_ms < sent_ms
-            if known and run.key not in view.running and run.state is not RunState.QUEUED:
+            is_confirmed = run.confirmed_ms and run.confirmed_ms < sent_ms
+            if is_confirmed and run.key not in view.running and run.state is not RunState.QUEUED:
                 self._ends.finish(run, RunEnd(run.order.number, RUN_LAPSED, reason="vanished"))
 
-    def _clear(self, life: LifeView, view: MinionView) -> None:
-        """Begin to take runs once nothing runs here that was ordered before."""
+    def _clear_if_known(self, life: LifeView, view: MinionView) -> None:
+        """Begin to accept runs once no run of an earlier executor is active on the minion."""
         if any(self._table.find(key) is None for key in view.running):
             return
         life.is_clear = True
         self._reporter.tell_all()
 
-    def _lapse(self, life: LifeView) -> None:
-        """Give up what ran at a silent minion, once its lease must have run out."""
+    def _lapse_unleased(self, life: LifeView) -> None:
+        """Finish the runs of a minion that does not answer, once its lease must have expired."""
         if self._session.life is not life or self._clock.now() < life.lease_over_ms():
             return
         for run in self._table:
--- a/geraniumspool/pace.py
+++ b/geraniumspool/pace.py
@@ -1,4 +1,4 @@
-"""Pace of a minion: whether its tasks take far longer than is usual there."""
+"""Slowness detection for a minion whose tasks take far longer than is usual there."""
 
 import math
 from collections.abc import Callable
@@ -17,27 +17,26 @@
 PROBE_HAZARD = 2.0
 
 
-def _nobody() -> float:
+def _no_lateness() -> float:
     return 0.0
 
 
 class Pace:
-    """Judges one minion by the tasks that run there, before any result.
+    """Sequential change detector that finds a slow minion before its tasks have results.
 
-    It learns how actual times lie around estimates here, as a log-normal
-    distribution. Each moment that a task goes on adds to its cumulative
-    hazard, which comes to 1 in the mean by the end of a task that is as
-    usual. The lateness is a cumulative sum (CUSUM) of the hazards of all
-    tasks, less a credit for each one that ends in time; it stays near 0 unless
-    tasks take several times as long as usual.
+    It models the ratio of actual to estimated run times on this minion as a log-normal distribution
+    and learns its mean and variance. The cumulative hazard of a task grows while the task runs and
+    averages 1 at the end of tasks that take their usual time. The lateness is a cumulative sum
+    (CUSUM) of the hazards of all tasks, less a credit for each task that ends in time. It stays
+    near 0 unless tasks take several times as long as usual.
 
-    :ivar lateness: evidence that the minion is slow, 0 for none
+    :ivar lateness: evidence that the minion is slow, 0 if there is none
     """
 
-    def __init__(self, peers_lateness: Callable[[], float] = _nobody):
+    def __init__(self, peers_lateness: Callable[[], float] = _no_lateness):
         """Start with a wide distribution around the estimates.
 
-        :param peers_lateness: median lateness of the other workers
+        :param peers_lateness: returns the median lateness of the other workers
         """
         self._peers_lateness = peers_lateness
         self._usual = 0.0
@@ -46,16 +45,16 @@
 
     @property
     def is_slow(self) -> bool:
-        """Whether the minion is slow, and not most others as well."""
+        """Whether the minion is slow, both in absolute terms and compared with its peers."""
         return self.lateness > SLOW and self.lateness - self._peers_lateness() > SLOW
 
     def hazard(self, estimate_ms: float, age_ms: float) -> float:
         """Return the cumulative hazard of a task, at most ``MAX_HAZARD``.
 
-        The most is bounded, so that one task that hangs proves nothing.
+        The bound prevents a single hanging task from proving that the minion is slow.
 
-        :param estimate_ms: its estimated run time
-        :param age_ms: how long it has run
+        :param estimate_ms: estimated run time of the task
+        :param age_ms: how long the task has run
         """
         if age_ms <= MARGIN_MS:
             return 0.0
@@ -66,21 +65,28 @@
         return min(MAX_HAZARD, -math.log(max(survival, math.exp(-MAX_HAZARD))))
 
     def add(self, hazard: float) -> None:
-        """Take that running tasks have gained hazard."""
+        """Add the hazard that running tasks have gained.
+
+        :param hazard: increase of the cumulative hazard since the last call
+        """
         self.lateness = min(MAX_LATENESS, self.lateness + hazard)
 
     def withdraw(self, hazard: float) -> None:
-        """Take that a task ended without a result: it tells nothing, unless it was late.
+        """Remove the hazard of a task that ended without a result, unless it was already late.
 
-        :param hazard: what it had gained
+        :param hazard: cumulative hazard added for the task
         """
         if hazard < LATE_HAZARD:
             self.lateness = max(0.0, self.lateness - hazard)
 
     def end(self, estimate_ms: float, actual_ms: float) -> None:
-        """Take that a task has ended with a result, and learn its time.
+        """Record a task that has ended with a result, and learn from its run time.
+
+        The run times of late tasks are learned as well; otherwise the distribution would become
+        narrower and narrower.
 
-        Late ones are learnt too, or the distribution would grow ever narrower.
+        :param estimate_ms: estimated run time of the task
+        :param actual_ms: its actual run time
         """
         if self.hazard(estimate_ms, actual_ms) < LATE_HAZARD:
             self.lateness = max(0.0, self.lateness - CREDIT)
@@ -90,5 +96,5 @@
         self._variance += USUAL_WEIGHT * (distance * distance - self._variance)
 
     def forget(self) -> None:
-        """Drop the evidence, as when the minion works as usual again."""
+        """Reset the evidence, for example when the minion works at its usual speed again."""
         self.lateness = 0.0
--- a/geraniumspool/run_ends.py
+++ b/geraniumspool/run_ends.py
@@ -1,4 +1,4 @@
-"""How runs at an executor end, and what their ends tell of its minion."""
+"""Process the ends of runs: report them, and learn from them how healthy and fast the minion is."""
 
 import logging
 
@@ -18,19 +18,19 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Of a run that takes longer than expected each look tells a little about the pace.
+# Weight of one progress observation of an overdue run. It is small because each poll yields one.
 PROGRESS_WEIGHT = 0.05
 
 
 class RunEnds:
-    """Takes runs out of the table, tells their dispatchers, and judges the minion.
+    """Remove ended runs from the table, report them and update the minion's health and speed.
 
-    :ivar judge: whether the minion fails what it runs
-    :ivar pace: how fast it is
+    :ivar judge: ejects the minion from service while its runs fail too often
+    :ivar pace: ratio of actual to expected run times on the minion
     """
 
     def __init__(self, clock: Clock, counters: Counters, table: RunTable, reporter: WorkerReporter):
-        """Start with trust in the minion."""
+        """Start with a minion that counts as healthy and of usual speed."""
         self._clock = clock
         self._counters = counters
         self._table = table
@@ -39,12 +39,15 @@
         self.pace = RunPace(clock)
 
     def trust_anew(self) -> None:
-        """Forget what was learnt of an earlier life of the minion."""
+        """Reset health and speed because a new incarnation of the minion is served."""
         self.judge = FailureJudge(self._clock)
         self.pace = RunPace(self._clock)
 
     def finish(self, run: Run, end: RunEnd) -> None:
-        """End a run, once."""
+        """Remove a run and report its outcome to its dispatcher.
+
+        A run that has already been removed is ignored.
+        """
         if self._table.find(run.key) is not run:
             return
         self._table.remove(run)
@@ -52,8 +55,8 @@
         stop_ms = self._clock.now() - run.stop_asked_ms if run.is_stopping else 0.0
         if run.is_stopping:
             self._counters.observe("stop_ms", stop_ms, how=end.how)
-        customer = self._table.customer(run.home)
-        customer.keep_end(end)
+        dispatcher = self._table.customer(run.home)
+        dispatcher.keep_end(end)
         _LOG.info(
             "run ended",
             extra={
@@ -69,26 +72,26 @@
                 )
             },
         )
-        self._reporter.tell_soon(customer)
+        self._reporter.tell_soon(dispatcher)
         self._reporter.note_change()
 
     def refuse(self, run: Run, reason: str) -> None:
-        """End a run that never started and never will."""
+        """Finish a run that was never started and never will be."""
         self.finish(run, RunEnd(run.order.number, RUN_REFUSED, reason=reason))
 
     def refuse_waiting(self, reason: str) -> None:
-        """End all runs that wait for room."""
+        """Refuse all queued runs."""
         for run in self._table.waiting():
             self.refuse(run, reason)
 
     def lapse(self, run: Run, reason: str) -> None:
-        """End a run that its minion does not hold any more."""
-        started = run.state is not RunState.QUEUED
-        how = RUN_LAPSED if started else RUN_REFUSED
+        """Finish a run that the minion no longer holds."""
+        may_have_started = run.state is not RunState.QUEUED
+        how = RUN_LAPSED if may_have_started else RUN_REFUSED
         self.finish(run, RunEnd(run.order.number, how, reason=reason))
 
     def take_listed(self, end: ListedEnd) -> None:
-        """Take an end that the minion lists."""
+        """Handle an ended run that the minion lists."""
         run = self._table.find(end.key)
         if run is None or run.state is RunState.QUEUED:
             return
@@ -98,7 +101,10 @@
         self._finish_listed(run, end)
 
     def take_early(self, run: Run) -> bool:
-        """Take the end that was listed before the answer to a run's start; return whether any."""
+        """Finish a run if its end was listed before its start call was answered.
+
+        :returns: whether such an end was listed
+        """
         if run.early_end is None:
             return False
         self._finish_listed(run, run.early_end)
@@ -116,16 +122,16 @@
         self.finish(run, RunEnd(run.order.number, end.how, round(ran_ms, 1), reason))
 
     def note_outcome(self, run: Run, ok: bool) -> None:
-        """Judge the minion by whether a run went well there."""
+        """Record whether a run succeeded, and eject or restore the minion accordingly."""
         job = job_of(run.key.task)
         if self.judge.note(job, ok):
             self._reporter.note_change()
-            change = "minion ejected" if self.judge.is_ejected else "minion restored"
-            _LOG.warning(change, extra={"fields": (("task", run.key.task),)})
+            message = "minion ejected" if self.judge.is_ejected else "minion restored"
+            _LOG.warning(message, extra={"fields": (("task", run.key.task),)})
             self._counters.add("minion_judged", ejected=str(self.judge.is_ejected).lower())
 
     def note_progress(self, run: Run, now: float) -> None:
-        """Learn the minion's pace from a run that goes on."""
+        """Update the minion's pace from a run that has exceeded its expected time."""
         if run.state is RunState.RUNNING and run.age_ms(now) >= run.order.expected_ms:
             predicted = run_progress.predict_total(run, now)
             self.pace.note(run.order.expected_ms, predicted, PROGRESS_WEIGHT)
--- a/geraniumspool/run_leases.py
+++ b/geraniumspool/run_leases.py
@@ -1,16 +1,19 @@
-"""How long runs go on without word of those who ordered or hold them.
+"""Lease durations that limit how long runs continue without contact to their owner.
 
-They bound what goes on for a process that has died or is cut off. Whoever takes its jobs
-anew waits for that bound, or for word that the runs are over: a caller may be back sooner.
+A dispatcher holds a lease at each executor that runs its tasks, and the executor holds one at its
+minion. When a process dies or is cut off, its runs end once the lease has expired. Another
+dispatcher that takes over its jobs waits that long, or until the runs are reported as over. It
+can't rely on the caller to wait: a caller may retry sooner.
 """
 
-# An executor lets a run go on for this long after it has heard its dispatcher.
+# Time after a dispatcher's last message until its executor stops its runs.
 DISPATCHER_LEASE_MS = 600.0
-# A minion lets its runs go on for this long after it has heard its executor.
+# Time after an executor's last call until its minion stops its runs.
 MINION_LEASE_MS = 500.0
-# No minion lets its runs go on for longer than this without a call, whatever is asked for.
+# Longest lease that a minion grants, whatever the call asks for.
 LONGEST_LEASE_MS = 1_000.0
-# Two clocks may run apart by 2%.
+# Largest relative difference in rate between two clocks: 2%.
 CLOCK_DRIFT = 0.02
-# Both leases, the time of a stop, and that until a stop counts as stuck.
+# Time after which the runs of a silent dispatcher must be over: both leases, the time until a stop
+# counts as stuck, and the time that a stop takes.
 RUNS_OVER_MS = (DISPATCHER_LEASE_MS + MINION_LEASE_MS) * (1 + CLOCK_DRIFT) + 150.0
--- a/geraniumspool/run_messages.py
+++ b/geraniumspool/run_messages.py
@@ -1,11 +1,10 @@
-"""Messages between a dispatcher and the executors of its tasks.
-
-A run is one execution of one task. The dispatcher orders it; the executor
-beside the minion starts it at most once and reports how it ended. Everything
-an executor runs for a dispatcher is held by a lease: the executor puts its own
-clock into each report, and a lease counts from the clock that the dispatcher
-sends back. A message that was held up on its way therefore extends nothing.
-Times are in milliseconds.
+"""Messages between dispatchers and executors.
+
+A run is one execution of one task. A dispatcher orders it; the executor beside the minion starts it
+at most once and reports how it ended. A dispatcher must hold a lease at the executor for its runs
+to continue. Each report carries the executor's clock, the dispatcher echoes the latest value that
+it has received, and the lease is counted from the echoed value. A delayed message therefore does
+not extend a lease. All times are in milliseconds.
 """
 
 from typing import NamedTuple
@@ -18,16 +17,16 @@
 RUN_LAPSED = "lapsed"
 RUN_REFUSED = "refused"
 
-# Reason of an end: the job runs for another dispatcher now.
+# Value of ``RunEnd.reason``: a job fence reserves the job for another dispatcher.
 FENCED = "fenced"
 
 
 class EvacuationNews(NamedTuple):
-    """What a process tells others of the evacuated domains.
+    """What the sender knows about evacuated failure domains.
 
-    :param revision: of the store when it listed them, 0 where nothing is known
-    :param domains: all that are evacuated, in order
-    :param age_ms: how long ago the store is known to have said so
+    :param revision: store revision at which they were listed, 0 if nothing is known
+    :param domains: all evacuated domains, sorted
+    :param age_ms: time since the store confirmed the list
     """
 
     revision: int = 0
@@ -36,18 +35,19 @@
 
 
 class RunOrder(NamedTuple):
-    """One run of one task.
+    """Order to run one task once.
 
-    :param number: rising within the dispatcher's life
+    :param number: order number, increasing during the lifetime of the dispatcher process
     :param task: name of the task, the same for all its runs
-    :param attempt: rising number of the task's runs, from 1
-    :param payload: handed to the minion as it is
-    :param need: room that the run takes while it lasts
-    :param expected_ms: estimated run time on a worker of usual speed
-    :param slack_ms: time left before a start would make the job late
-    :param patience_ms: longest wait at the executor before it refuses
-    :param limit_ms: time left until the caller no longer waits
-    :param fence_rank: of the fence that its job must have at the executor, 0 for none
+    :param attempt: attempt number of the task, increasing from 1
+    :param payload: passed to the minion unchanged
+    :param need: capacity that the run occupies until it ends
+    :param expected_ms: estimated duration on a worker of usual speed
+    :param slack_ms: time left until a start would make the job miss its deadline
+    :param patience_ms: longest time in the executor's queue; the run is refused after it
+    :param limit_ms: time left until the caller stops waiting
+    :param fence_rank: rank of the job fence that the executor must hold for this dispatcher, 0 if
+        none is needed
     """
 
     number: int
@@ -63,10 +63,11 @@
 
 
 class StartRuns(NamedTuple):
-    """Dispatcher to executor: start these runs.
+    """Sent by a dispatcher to order runs at an executor.
 
-    :param echo_ms: the executor's clock as it was last heard
-    :param evacuations: what the dispatcher knows of evacuated domains
+    :param echo_ms: latest clock value received from the executor
+    :param orders: runs to start
+    :param evacuations: what the dispatcher knows about evacuated domains
     """
 
     echo_ms: float
@@ -75,23 +76,26 @@
 
 
 class StopRuns(NamedTuple):
-    """Dispatcher to executor: stop these runs, or do not start them any more."""
+    """Sent by a dispatcher to stop runs, or to cancel them if they have not started.
+
+    :param numbers: order numbers of the runs
+    """
 
     numbers: tuple[int, ...]
 
 
 class RenewRuns(NamedTuple):
-    """Dispatcher to executor: I am alive and still want these runs.
+    """Sent by a dispatcher as a heartbeat that renews its lease and lists the runs it wants.
 
-    The executor answers with a report. It reports again on runs that have
-    ended, and on those it never heard of as refused; runs that are not listed
-    it stops.
+    The executor answers with a report. In it, it repeats the outcomes of listed runs that have
+    ended, and reports listed runs that it does not know as lapsed. It stops runs that are missing
+    from the list.
 
-    :param echo_ms: the executor's clock as it was last heard, 0 where it was not
-    :param numbers: open runs
-    :param upto: highest number among those that the list is complete for
-    :param is_listed: whether the dispatcher finds the executor in the store
-    :param evacuations: what the dispatcher knows of evacuated domains
+    :param echo_ms: latest clock value received from the executor, 0 if none
+    :param numbers: order numbers of the runs without a known outcome
+    :param upto: highest order number that the list covers; later runs are left alone
+    :param is_listed: whether the executor is registered in the store as seen by the dispatcher
+    :param evacuations: what the dispatcher knows about evacuated domains
     """
 
     echo_ms: float
@@ -102,10 +106,11 @@
 
 
 class RunEnd(NamedTuple):
-    """How one run ended.
+    """Outcome of one run.
 
-    :param how: one of the RUN_ constants; a refused run never started and never will
-    :param ran_ms: time from its start to its end, 0 where it never started
+    :param number: order number of the run
+    :param how: one of the RUN_ constants; a refused run was never started and never will be
+    :param ran_ms: time from start to end, 0 if it was never started
     :param reason: why it was refused or stopped, for logs
     """
 
@@ -116,8 +121,9 @@
 
 
 class Straggler(NamedTuple):
-    """A run that takes far longer than expected.
+    """Run whose predicted duration far exceeds the expected one.
 
+    :param number: order number of the run
     :param left_ms: predicted time until it ends
     """
 
@@ -126,14 +132,18 @@
 
 
 class WorkerState(NamedTuple):
-    """What a worker has to offer.
-
-    :param instance: name of this life of its minion, empty while there is none
-    :param accepts: whether it takes new runs
-    :param room: all there is
-    :param used: room of runs that are at work, starting or stopping
-    :param reserved: room of runs that wait there
-    :param pace: actual by expected run times there, 1 where as usual
+    """State and capacity of a worker.
+
+    :param instance: name of the minion served, empty if there is none
+    :param service: service whose tasks the minion runs
+    :param domain: failure domain of the worker
+    :param rack: rack of the minion, empty if it has none
+    :param labels: labels of the minion
+    :param accepts: whether new runs are accepted
+    :param room: total capacity of the minion
+    :param used: capacity held by runs that are starting, running or stopping
+    :param reserved: capacity needed by runs queued at the executor
+    :param pace: ratio of actual to expected run times, 1 at usual speed
     """
 
     instance: str = ""
@@ -149,15 +159,18 @@
 
     @property
     def free(self) -> Room:
-        """Return the room that nothing uses or waits for."""
+        """Return the capacity that is neither used nor reserved; negative if overcommitted."""
         return self.room.minus(self.used).minus(self.reserved)
 
 
 class WorkerReport(NamedTuple):
-    """Executor to dispatcher: what became of runs, and the worker's state.
+    """Sent by an executor to report the outcomes of runs and its own state.
 
-    :param now_ms: the executor's clock, to be sent back
-    :param upto: highest number taken from this dispatcher; ``state`` counts it in
+    :param now_ms: the executor's clock, which the dispatcher echoes
+    :param upto: highest order number handled; ``state`` includes the runs up to it
+    :param ends: outcomes to report
+    :param state: state and capacity of the worker
+    :param stragglers: runs that take far longer than expected
     """
 
     now_ms: float
--- a/geraniumspool/run_progress.py
+++ b/geraniumspool/run_progress.py
@@ -1,6 +1,7 @@
-"""What the progress of runs says: which stand still, and which take far too long.
+"""Detect stalled runs and stragglers from the progress of runs.
 
-Plain functions. Answered load patterns: minions that hang, minions that turn slow.
+All functions are pure. They cover two faults of a minion: runs that hang, and runs that have become
+far slower than expected.
 """
 
 from collections.abc import Iterable
@@ -8,25 +9,29 @@
 from geraniumspool.run_messages import Straggler
 from geraniumspool.run_table import Run, RunState
 
-# A run counts as a straggler at twice its expected time and this much more.
+# A run is a straggler if its predicted duration exceeds this multiple of its expected duration plus
+# the margin.
 STRAGGLER_FACTOR = 1.8
 STRAGGLER_MARGIN_MS = 100.0
-# Work of a run whose share does not grow for this long, or a third of its expected time,
-# stands still; shares are told in whole per cent.
+# A run is stalled if its progress has not increased for this time, or for this share of its
+# expected duration if that is longer. Progress is reported in whole per cent.
 STALLED_MS = 600.0
 STALLED_FACTOR = 0.3
 MIN_SHARE = 0.02
 
 
 def predict_total(run: Run, now: float) -> float:
-    """Return how long a run is going to take in all, in ms."""
+    """Return the predicted total duration of a run in milliseconds."""
     return run.age_ms(now) / max(MIN_SHARE, run.share)
 
 
 def is_stalled(run: Run, pace: float, now: float) -> bool:
-    """Return whether a run has not gone on for longer than looks and shares explain.
+    """Return whether a run has made no progress for too long.
 
-    :param pace: actual by expected run times of its minion
+    The limit allows for the poll interval and for the resolution of the reported progress.
+
+    :param pace: ratio of actual to expected run times on its minion
+    :param now: current time in milliseconds
     """
     if run.state is not RunState.RUNNING or run.share >= 1.0:
         return False
@@ -34,7 +39,7 @@
 
 
 def find_stragglers(runs: Iterable[Run], now: float) -> tuple[Straggler, ...]:
-    """Return the runs that are going to take far longer than expected."""
+    """Return the runs whose predicted duration far exceeds the expected one."""
     late = []
     for run in runs:
         if run.state is not RunState.RUNNING or run.age_ms(now) < run.order.expected_ms / 2:
--- a/geraniumspool/run_starts.py
+++ b/geraniumspool/run_starts.py
@@ -1,4 +1,4 @@
-"""Starting runs on the minion as far as there is room."""
+"""Start queued runs on the minion while capacity is available."""
 
 import logging
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 MAX_ATTEMPT_STEPS = 8
 
-_FREE_OUTCOMES = {
+_REFUSAL_REASONS = {
     StartOutcome.FULL: "minion_full",
     StartOutcome.UNHEALTHY: "minion_unhealthy",
     StartOutcome.REJECTED: "minion_rejected",
@@ -29,7 +29,7 @@
 
 
 class RunStarts:
-    """Starts what waits, and finds out what became of starts without an answer."""
+    """Start queued runs, and determine the outcome of start calls that got no answer."""
 
     def __init__(
         self,
@@ -42,9 +42,10 @@
         stops: RunStops,
         end_life: Callable[[LifeView, str], None],
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
-        :param end_life: called where another life of the minion answers, with the reason
+        :param end_life: called with a reason when another incarnation of the minion has answered a
+            call
         """
         self._clock = clock
         self._counters = counters
@@ -56,12 +57,15 @@
         self._end_life = end_life
 
     def fill(self) -> None:
-        """Start waiting runs as far as there is room, the most urgent first."""
+        """Start queued runs, the most urgent first, as far as the free capacity allows.
+
+        If the most urgent run does not fit, less urgent ones wait as well.
+        """
         life = self._session.life
         if life is None:
             return
         for run in self._table.waiting():
-            if self._refuse_given_up(run):
+            if self._refuse_unleased(run):
                 continue
             free = life.told.room.minus(self._table.used)
             if not free.fits(run.order.need):
@@ -70,10 +74,11 @@
             eventlet.spawn_n(self._start, life, run)
         self._reporter.note_change()
 
-    def _refuse_given_up(self, run: Run) -> bool:
-        """Refuse a run whose dispatcher holds no lease, and may start it elsewhere.
+    def _refuse_unleased(self, run: Run) -> bool:
+        """Refuse a run whose dispatcher has no valid lease; return whether it was refused.
 
-        A process that was stopped for a while may get here before it ends leases.
+        The dispatcher may already have started the run elsewhere. If this process was suspended for
+        a while, this code can run before the expired lease has been enforced.
         """
         if self._table.customer(run.home).lease_until_ms > self._clock.now():
             return False
@@ -81,7 +86,7 @@
         return True
 
     def confirm(self, run: Run) -> None:
-        """Take that the minion runs it."""
+        """Record that the minion has started a run."""
         now = self._clock.now()
         run.confirmed_ms = now
         run.moved_ms = now
@@ -97,7 +102,7 @@
             if session.life is not life:
                 self._ends.refuse(run, "minion_replaced")
                 return
-            if self._refuse_given_up(run):
+            if self._refuse_unleased(run):
                 return
             now = self._clock.now()
             run.sent_ms = now
@@ -110,7 +115,7 @@
                 self._ends.refuse(run, "minion_down")
                 return
             except MinionSilent:
-                self._doubt(life, run)
+                self._resolve_unanswered(life, run)
                 return
             except MinionReplaced:
                 self._end_life(life, "minion_replaced")
@@ -123,49 +128,51 @@
                 break
             if run.is_stopping:
                 return
-            # An earlier dispatcher of the same job has used this number.
+            # A run ordered by an earlier dispatcher of the same job has used this attempt number.
             run.early_end = None
             self._table.rename(run, RunKey(run.key.task, run.key.attempt + 1))
         if answer.outcome is StartOutcome.FENCED:
             session.raise_fence(fence)
-        self._take_answer(run, answer.outcome)
+        self._handle_outcome(run, answer.outcome)
 
-    def _take_answer(self, run: Run, outcome: StartOutcome) -> None:
+    def _handle_outcome(self, run: Run, outcome: StartOutcome) -> None:
         if outcome is StartOutcome.STARTED:
             if not self._ends.take_early(run):
                 self.confirm(run)
             return
         if outcome is StartOutcome.UNHEALTHY:
             self._ends.note_outcome(run, False)
-        self._ends.refuse(run, _FREE_OUTCOMES[outcome])
+        self._ends.refuse(run, _REFUSAL_REASONS[outcome])
 
-    def _doubt(self, life: LifeView, run: Run) -> None:
-        """Find out whether a run has started whose start was not answered."""
+    def _resolve_unanswered(self, life: LifeView, run: Run) -> None:
+        """Determine whether a run has started although its start call got no answer."""
         if self._table.find(run.key) is not run:
             return
         self._counters.add("starts_unanswered")
         if run.state is RunState.STARTING:
             run.state = RunState.DOUBTFUL
         _LOG.warning(
-            "start not answered",
+            "start call got no answer",
             extra={"fields": (("task", run.key.task), ("attempt", run.key.attempt))},
         )
         if not run.is_stopping and self._is_running(life, run):
             self.confirm(run)
             return
-        # Whichever run it is of, the minion starts none with this number any more.
+        # Whether this end belongs to this run or to an earlier one with the same attempt number,
+        # the minion no longer starts a run under that number.
         if self._ends.take_early(run):
             return
         self._stops.stop(run, "unanswered")
 
     def _is_running(self, life: LifeView, run: Run) -> bool:
-        """Return whether the minion says now that a run has started.
+        """Return whether the minion currently lists a run as running.
 
-        Where only the answer was lost, the run goes on, which saves the time it has had.
+        If only the answer to the start call was lost, the run continues, so that the work already
+        done is not repeated.
         """
         try:
             view = self._session.look_now(life)
         except (MinionSilent, MinionReplaced, Fenced) as error:
-            _LOG.info("look after a start failed: %s", error.code)
+            _LOG.info("poll after unanswered start failed: %s", error.code)
             return False
         return run.key in view.running
--- a/geraniumspool/run_stops.py
+++ b/geraniumspool/run_stops.py
@@ -1,4 +1,4 @@
-"""Stopping runs on the minion, until it has heard."""
+"""Stop runs on the minion, repeating each stop until the minion has answered."""
 
 import logging
 from collections.abc import Callable
@@ -14,18 +14,20 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A stop that is not answered is sent again after this.
+# Delay before a stop call without an answer is repeated.
 STOP_AGAIN_MS = 20.0
-# A run that goes on for longer after its stop was asked for holds back the lease of its minion,
-# so that it ends within the time after which others take the runs of a silent dispatcher for over.
+# If a run still runs this long after its stop was requested, the minion's lease is not renewed. The
+# run then ends within the time after which dispatchers assume that the runs of a silent dispatcher
+# are over.
 STUCK_MS = 100.0
 
-# Reasons of stops after which the dispatcher may have died, or count the runs as over by time.
-_OVER_FOR_OTHERS = frozenset({"asked", "not_wanted", "dispatcher_silent", "process_stops"})
+# Stop reasons after which the dispatcher may be dead, or may assume after a fixed time that the
+# runs are over.
+_PRESUMED_OVER_REASONS = frozenset({"asked", "not_wanted", "dispatcher_silent", "process_stops"})
 
 
 class RunStops:
-    """Stops runs, and finds out whether those ever started that nobody saw start."""
+    """Stop runs, and determine whether runs with an unconfirmed start were ever started."""
 
     def __init__(
         self,
@@ -35,9 +37,10 @@
         ends: RunEnds,
         end_life: Callable[[LifeView, str], None],
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
-        :param end_life: called where another life of the minion answers, with the reason
+        :param end_life: called with a reason when another incarnation of the minion has answered a
+            call
         """
         self._clock = clock
         self._session = session
@@ -46,7 +49,7 @@
         self._end_life = end_life
 
     def stop(self, run: Run, reason: str) -> None:
-        """Stop a run, once; one that waits for room is refused instead."""
+        """Stop a run, or refuse it if it is still queued; repeated calls have no effect."""
         if run.state is RunState.QUEUED:
             self._ends.refuse(run, reason)
             return
@@ -56,7 +59,7 @@
         run.stop_reason = reason
         run.stop_asked_ms = self._clock.now()
         _LOG.info(
-            "stop asked",
+            "stop requested",
             extra={
                 "fields": (
                     ("task", run.key.task),
@@ -74,7 +77,7 @@
         self.repeat(run)
 
     def repeat(self, run: Run) -> None:
-        """Ask again for a stop that the minion has forgotten with its life before."""
+        """Send the stop of a run again, to the current incarnation of the minion."""
         eventlet.spawn_n(self._stop_until_answered, self._session.life, run)
 
     def stop_all(self, reason: str) -> None:
@@ -83,23 +86,27 @@
             self.stop(run, reason)
 
     def stop_stray(self, key: RunKey) -> None:
-        """Stop a run that nobody here has ordered, such as one of an earlier process."""
+        """Stop a run that this process has not ordered, such as one of an earlier process."""
         life = self._session.life
         if life is None or key in life.strays:
             return
         life.strays.add(key)
-        _LOG.warning("stray run", extra={"fields": (("task", key.task), ("attempt", key.attempt))})
-        eventlet.spawn_n(self._stop_stray_once, life, key)
+        _LOG.warning(
+            "stopping orphaned run",
+            extra={"fields": (("task", key.task), ("attempt", key.attempt))},
+        )
+        eventlet.spawn_n(self._stop_orphan_once, life, key)
 
     def is_stuck(self, now: float) -> bool:
-        """Return whether a run goes on that others take to be over soon.
+        """Return whether a stopped run still runs that dispatchers will soon assume to be over.
 
-        Then the lease of all has to run out.
+        In that case the minion's lease is no longer renewed. It covers all runs, so all of them end
+        when it expires.
         """
         return any(
             run.is_stopping
             and run.confirmed_ms
-            and run.stop_reason in _OVER_FOR_OTHERS
+            and run.stop_reason in _PRESUMED_OVER_REASONS
             and now - run.stop_asked_ms > STUCK_MS
             for run in self._table
         )
@@ -120,17 +127,18 @@
                 session.raise_fence(fence)
                 continue
             if run.state in (RunState.STARTING, RunState.DOUBTFUL):
-                self._settle_doubt(life, run)
+                self._settle_unconfirmed(life, run)
             return
 
-    def _settle_doubt(self, life: LifeView, run: Run) -> None:
-        """End a run that was stopped before anybody saw it start."""
+    def _settle_unconfirmed(self, life: LifeView, run: Run) -> None:
+        """Finish or keep a run that was stopped before its start was confirmed."""
         sent_ms = self._clock.now()
         try:
             view = self._session.look_now(life)
         except (MinionSilent, MinionReplaced, Fenced) as error:
-            # The stop holds all the same; the next look tells, and the lease ends the rest.
-            _LOG.info("look after a stop failed: %s", error.code)
+            # The stop has still taken effect. The next poll shows whether the run is active, and
+            # otherwise the lease ends it.
+            _LOG.info("poll after stop failed: %s", error.code)
             run.confirmed_ms = sent_ms
             return
         run.confirmed_ms = sent_ms
@@ -138,14 +146,15 @@
         if is_listed or view.is_partial:
             run.state = RunState.STOPPING
             return
-        # The minion starts none with this number any more, whichever run has ended under it.
+        # The minion no longer starts a run under this attempt number, so the listed end is final
+        # even if it belongs to an earlier run with the number.
         if not self._ends.take_early(run):
             self._ends.refuse(run, run.stop_reason)
 
-    def _stop_stray_once(self, life: LifeView, key: RunKey) -> None:
+    def _stop_orphan_once(self, life: LifeView, key: RunKey) -> None:
         try:
             self._session.control.stop(life.told, key, self._session.fence)
         except (MinionSilent, MinionReplaced, Fenced) as error:
-            _LOG.info("stray run not stopped: %s", error.code)
+            _LOG.info("stop of orphaned run failed: %s", error.code)
         self._clock.sleep(STOP_AGAIN_MS)
         life.strays.discard(key)
--- a/geraniumspool/run_table.py
+++ b/geraniumspool/run_table.py
@@ -1,4 +1,4 @@
-"""The runs that an executor has taken and not yet seen the end of."""
+"""In-memory table of the runs that an executor has accepted and whose end it has not seen."""
 
 import enum
 from collections.abc import Iterator
@@ -8,17 +8,23 @@
 from geraniumspool.rooms import NO_ROOM, Room
 from geraniumspool.run_messages import RunEnd, RunOrder
 
-# Ends are told again while the dispatcher may have missed them.
+# Outcomes are kept per dispatcher so that they can be reported again if a report was lost.
 KEPT_ENDS = 512
 
 
 def job_of(task: str) -> str:
-    """Return the id of a task's job."""
+    """Return the id of the job that a task belongs to."""
     return task.partition(".")[0]
 
 
 class RunState(enum.Enum):
-    """Where a run stands."""
+    """State of a run at the executor.
+
+    QUEUED runs wait for capacity. STARTING runs have been reserved capacity, and their start has
+    not been answered yet. DOUBTFUL runs had a start call that got no answer, so they may or may not
+    be active. RUNNING runs were confirmed by the minion. STOPPING runs may still be active but have
+    been told to stop.
+    """
 
     QUEUED = "queued"
     STARTING = "starting"
@@ -28,23 +34,25 @@
 
 
 class Run:
-    """One run taken from a dispatcher.
-
-    :ivar key: how the minion knows it
-    :ivar arrived_ms: when its order arrived
-    :ivar sent_ms: when its start was sent to the minion
-    :ivar fence: fencing token of that start
-    :ivar early_end: listed before the answer to that start: its own, or that of an earlier run
-        of the task with the same number
-    :ivar confirmed_ms: when the minion said that it has started
-    :ivar share: share of its work done, as last listed
-    :ivar moved_ms: when that share last grew
-    :ivar stop_asked_ms: when its stop was asked for
-    :ivar is_stopping: whether somebody is already asking the minion to stop it
+    """One run accepted from a dispatcher.
+
+    :ivar home: the dispatcher that ordered the run
+    :ivar key: task and attempt number under which the minion knows the run
+    :ivar arrived_ms: when the order arrived
+    :ivar sent_ms: when the latest start call was sent to the minion, 0 if none was
+    :ivar fence: fencing token of that call
+    :ivar early_end: end that the minion listed before it answered that call; it belongs to this run
+        or to an earlier run of the task with the same attempt number
+    :ivar confirmed_ms: when the minion confirmed the start, 0 if it has not
+    :ivar share: progress, from 0 to 1, as last listed by the minion
+    :ivar moved_ms: when the progress last increased
+    :ivar stop_asked_ms: when the stop was requested
+    :ivar is_stopping: whether a stop has been requested
+    :ivar stop_reason: why the stop was requested
     """
 
     def __init__(self, home: Peer, order: RunOrder, now: float):
-        """Take an order that has just arrived."""
+        """Create a queued run from an order that has just arrived."""
         self.home = home
         self.order = order
         self.key = RunKey(order.task, order.attempt)
@@ -62,28 +70,34 @@
 
     @property
     def latest_start_ms(self) -> float:
-        """Return the time after which a start makes its job late."""
+        """Return the time after which a start would make the job miss its deadline."""
         return self.arrived_ms + self.order.slack_ms
 
     @property
     def limit_ms(self) -> float:
-        """Return the time at which nobody waits for it any more."""
+        """Return the time at which the caller stops waiting for the result."""
         return self.arrived_ms + self.order.limit_ms
 
     def age_ms(self, now: float) -> float:
-        """Return how long ago the minion said that it has started."""
+        """Return the time in milliseconds since the minion confirmed the start."""
         return now - self.confirmed_ms
 
 
 class Customer:
-    """A dispatcher as an executor knows it: its lease, its runs, and how they ended.
-
-    :ivar lease_until_ms: time up to which its runs may go on
-    :ivar upto: highest order number taken
+    """What an executor tracks per dispatcher: its lease, its runs and their outcomes.
+
+    :ivar lease_until_ms: time at which its lease expires, after which its runs are stopped
+    :ivar heard_ms: when its last message arrived, 0 if none has
+    :ivar reset_ms: when the link to it was last reset
+    :ivar upto: highest order number handled
+    :ivar runs: its active and queued runs, by order number
+    :ivar ends: outcomes of its latest ended runs, by order number
+    :ivar untold: outcomes to put into the next report
+    :ivar is_told: whether the last report holds the current state of the worker
     """
 
     def __init__(self, peer: Peer):
-        """Know a dispatcher that holds no lease yet."""
+        """Create the entry of a dispatcher that holds no lease yet."""
         self.peer = peer
         self.lease_until_ms = 0.0
         self.heard_ms = 0.0
@@ -96,7 +110,7 @@
         self.is_told = True
 
     def keep_end(self, end: RunEnd) -> None:
-        """Remember how a run ended, and that it has to be told."""
+        """Store the outcome of a run and add it to the next report."""
         self.ends[end.number] = end
         self.untold.append(end)
         while len(self.ends) > KEPT_ENDS:
@@ -104,10 +118,14 @@
 
 
 class RunTable:
-    """All runs at one executor, by dispatcher and by the minion's key."""
+    """All runs at one executor, indexed by dispatcher, by run key and by task.
+
+    :ivar used: capacity taken by all runs that are not queued
+    :ivar queued: capacity needed by all queued runs
+    """
 
     def __init__(self):
-        """Start empty."""
+        """Create an empty table."""
         self.customers: dict[Peer, Customer] = {}
         self._by_key: dict[RunKey, Run] = {}
         self._by_task: dict[str, Run] = {}
@@ -115,62 +133,62 @@
         self.queued: Room = NO_ROOM
 
     def __iter__(self) -> Iterator[Run]:
-        """Iterate over a copy of all runs."""
+        """Iterate over a snapshot of all runs."""
         return iter(list(self._by_key.values()))
 
     def __len__(self) -> int:
-        """Return the number of runs, waiting ones included."""
+        """Return the number of runs, queued ones included."""
         return len(self._by_key)
 
     def customer(self, peer: Peer) -> Customer:
-        """Return what is known of a dispatcher."""
-        known = self.customers.get(peer)
-        if known is None:
-            known = self.customers[peer] = Customer(peer)
-        return known
+        """Return the entry of a dispatcher, and create it if there is none."""
+        dispatcher = self.customers.get(peer)
+        if dispatcher is None:
+            dispatcher = self.customers[peer] = Customer(peer)
+        return dispatcher
 
     def find(self, key: RunKey) -> Run | None:
-        """Return the run that the minion knows by this key."""
+        """Return the run with a key, or None if there is none."""
         return self._by_key.get(key)
 
     def find_task(self, task: str) -> Run | None:
-        """Return the run of a task, whoever ordered it."""
+        """Return the run of a task regardless of its dispatcher, or None if there is none."""
         return self._by_task.get(task)
 
     def add(self, run: Run) -> None:
-        """Add a run that waits."""
+        """Add a queued run."""
         self.customer(run.home).runs[run.order.number] = run
         self._by_key[run.key] = run
         self._by_task[run.order.task] = run
         self.queued = self.queued.plus(run.order.need)
 
     def reserve(self, run: Run) -> None:
-        """Give a waiting run its room."""
+        """Reserve capacity for a queued run, which is about to start."""
         self.queued = self.queued.minus(run.order.need)
         self.used = self.used.plus(run.order.need)
         run.state = RunState.STARTING
 
     def rename(self, run: Run, key: RunKey) -> None:
-        """Let the minion know a run by another key."""
+        """Change the key under which the minion knows a run."""
         self._by_key.pop(run.key, None)
         run.key = key
         self._by_key[key] = run
 
     def remove(self, run: Run) -> None:
-        """Take out a run that has ended, and free its room."""
+        """Remove a run that has ended, and release its capacity."""
         if self._by_key.get(run.key) is not run:
             return
         del self._by_key[run.key]
         self._by_task.pop(run.order.task, None)
-        customer = self.customers.get(run.home)
-        if customer is not None:
-            customer.runs.pop(run.order.number, None)
+        dispatcher = self.customers.get(run.home)
+        if dispatcher is not None:
+            dispatcher.runs.pop(run.order.number, None)
         if run.state is RunState.QUEUED:
             self.queued = self.queued.minus(run.order.need)
         else:
             self.used = self.used.minus(run.order.need)
 
     def waiting(self) -> list[Run]:
-        """Return the runs that wait for room, the most urgent first."""
+        """Return the queued runs, those with the earliest latest start time first."""
         queued = [run for run in self._by_key.values() if run.state is RunState.QUEUED]
         return sorted(queued, key=lambda run: run.latest_start_ms)
--- a/geraniumspool/worker_reporter.py
+++ b/geraniumspool/worker_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of a worker to its dispatchers: at once on ends, soon on changed room."""
+"""Report outcomes and capacity of a worker to dispatchers, outcomes first."""
 
 from collections.abc import Callable
 
@@ -10,68 +10,76 @@
 from geraniumspool.run_messages import WorkerReport, WorkerState
 from geraniumspool.run_table import Customer, RunTable
 
-# Reports on ends wait this long for company.
+# Delay of a report of outcomes, so that several outcomes share one report.
 GATHER_MS = 2.0
-# Each of n dispatchers hears of changed room at most every n * n of this: room that waits to
-# be heard of stays unused, and all reports cost a dispatcher less the more of them there are.
+# With n dispatchers, changes of capacity are reported at most once per n * n times this interval.
+# Capacity that has not been reported stays unused, so the interval is short; it grows with n so
+# that the total load of reports on each dispatcher falls as their number rises.
 TELL_EVERY_MS = 1.0
 
 
 class WorkerReporter:
-    """Decides when which dispatcher is told."""
+    """Decide when to send a report to which dispatcher.
+
+    Outcomes of runs are reported almost at once, changes of capacity with a delay that limits the
+    load on dispatchers.
+    """
 
     def __init__(
         self,
         clock: Clock,
         send: Callable[[Peer, Message], bool],
         table: RunTable,
-        describe: Callable[[], WorkerState],
+        get_state: Callable[[], WorkerState],
     ):
-        """Record the parts.
+        """Store the collaborators.
 
+        :param clock: source of time
         :param send: queues a message to a dispatcher
         :param table: the worker's runs and its dispatchers
-        :param describe: returns what the worker has to offer
+        :param get_state: returns the current state and capacity of the worker
         """
         self._clock = clock
         self._send = send
         self._table = table
-        self._describe = describe
-        self._is_telling = False
+        self._get_state = get_state
+        self._is_report_scheduled = False
 
     def note_change(self) -> None:
-        """Tell all dispatchers soon that the room has changed."""
-        for customer in self._table.customers.values():
-            customer.is_told = False
-        if not self._is_telling:
-            self._is_telling = True
-            eventlet.spawn_n(self._tell_changes)
+        """Schedule reports to all dispatchers because the free capacity has changed."""
+        for dispatcher in self._table.customers.values():
+            dispatcher.is_told = False
+        if not self._is_report_scheduled:
+            self._is_report_scheduled = True
+            eventlet.spawn_n(self._report_changes)
 
-    def tell_soon(self, customer: Customer) -> None:
-        """Tell a dispatcher of ends, together with those that come right after."""
-        if len(customer.untold) == 1:
-            self._clock.after(GATHER_MS, lambda: self.tell(customer) if customer.untold else None)
+    def tell_soon(self, dispatcher: Customer) -> None:
+        """Schedule a report of outcomes that also includes those that follow shortly."""
+        if len(dispatcher.untold) == 1:
+            self._clock.after(
+                GATHER_MS, lambda: self.tell(dispatcher) if dispatcher.untold else None
+            )
 
     def tell_all(self) -> None:
-        """Tell all dispatchers now."""
-        for customer in list(self._table.customers.values()):
-            self.tell(customer)
+        """Send a report to every dispatcher now."""
+        for dispatcher in list(self._table.customers.values()):
+            self.tell(dispatcher)
 
-    def tell(self, customer: Customer) -> None:
-        """Tell a dispatcher now."""
-        ends = tuple(customer.untold)
-        customer.untold.clear()
-        customer.is_told = True
+    def tell(self, dispatcher: Customer) -> None:
+        """Send a report to one dispatcher now."""
+        ends = tuple(dispatcher.untold)
+        dispatcher.untold.clear()
+        dispatcher.is_told = True
         now = self._clock.now()
-        stragglers = run_progress.find_stragglers(customer.runs.values(), now)
-        report = WorkerReport(now, customer.upto, ends, self._describe(), stragglers)
-        self._send(customer.peer, report)
+        stragglers = run_progress.find_stragglers(dispatcher.runs.values(), now)
+        report = WorkerReport(now, dispatcher.upto, ends, self._get_state(), stragglers)
+        self._send(dispatcher.peer, report)
 
-    def _tell_changes(self) -> None:
+    def _report_changes(self) -> None:
         pause = TELL_EVERY_MS * max(1, len(self._table.customers)) ** 2
         self._clock.sleep(pause)
-        self._is_telling = False
+        self._is_report_scheduled = False
         now = self._clock.now()
-        for customer in list(self._table.customers.values()):
-            if not customer.is_told and customer.lease_until_ms > now:
-                self.tell(customer)
+        for dispatcher in list(self._table.customers.values()):
+            if not dispatcher.is_told and dispatcher.lease_until_ms > now:
+                self.tell(dispatcher)
