--- a/tests/test_memory_minion.py
+++ b/tests/test_memory_minion.py
@@ -1,4 +1,4 @@
-"""Tests of what the minion in memory does that real ones do."""
+"""Tests of the in-memory minion: behavior that it shares with real minions."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class MemoryMinionTest(unittest.TestCase):
-    """Leaving, stops and long lists."""
+    """Departure, duration of stops and long lists of ended runs."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -20,10 +20,10 @@
     def start(self, minion, number, run_ms):
         minion.start(minion.life, RunKey(f"j.0.0.{number}", 1), f"1:{run_ms}", FAR_MS, FENCE)
 
-    def look(self, minion, acknowledged=0):
+    def poll(self, minion, acknowledged=0):
         return minion.look(minion.life, FENCE, acknowledged, FAR_MS, 0.0)
 
-    def test_one_that_leaves_runs_on_until_it_ends(self):
+    def test_leaving_minion_continues_its_runs_until_it_exits(self):
         minion = MemoryMinion(self.clock)
         self.start(minion, 1, 900)
         minion.leave(200.0)
@@ -34,7 +34,7 @@
         self.assertEqual(set(), minion.running)
         self.assertTrue(minion.is_down)
 
-    def test_stops_take_different_times_up_to_the_longest_by_seed(self):
+    def test_stop_times_vary_by_seed_up_to_the_longest(self):
         def measure(seed):
             minion = MemoryMinion(self.clock, seed=seed, longest_stop_ms=LONGEST_STOP_MS)
             times = []
@@ -52,12 +52,12 @@
         self.assertLessEqual(max(times), LONGEST_STOP_MS)
         self.assertGreater(max(times) - min(times), LONGEST_STOP_MS / 2)
 
-    def test_ends_beyond_those_of_one_look_follow_once_they_are_acknowledged(self):
+    def test_further_ends_are_listed_after_acknowledgement(self):
         minion = MemoryMinion(self.clock)
         for number in range(LISTED_ENDS + 1):
             self.start(minion, number, 1)
         self.clock.advance(5)
-        view = self.look(minion)
+        view = self.poll(minion)
         self.assertEqual((LISTED_ENDS, True), (len(view.ended), view.is_partial))
-        view = self.look(minion, LISTED_ENDS)
+        view = self.poll(minion, LISTED_ENDS)
         self.assertEqual((1, False), (len(view.ended), view.is_partial))
--- a/tests/test_minion_trust.py
+++ b/tests/test_minion_trust.py
@@ -1,4 +1,4 @@
-"""Tests of ejection by failures and of learnt speed."""
+"""Tests of ejection after failed runs and of the speed estimate."""
 
 import random
 import unittest
@@ -8,18 +8,18 @@
 
 
 class FailureJudgeTest(unittest.TestCase):
-    """Which minions are ejected."""
+    """Ejection and restoration of a minion."""
 
     def setUp(self):
         self.clock = ManualClock()
         self.judge = FailureJudge(self.clock)
 
-    def test_three_jobs_in_a_row(self):
+    def test_three_failed_jobs_in_a_row_eject(self):
         for job, expected in (("a", False), ("b", False), ("c", True)):
             self.assertEqual(expected, self.judge.note(job, ok=False))
         self.assertTrue(self.judge.is_ejected)
 
-    def test_one_hopeless_job_proves_nothing(self):
+    def test_one_job_that_always_fails_does_not_eject(self):
         for _ in range(8):
             self.judge.note("a", ok=False)
             self.judge.note("b", ok=True)
@@ -27,25 +27,25 @@
             self.judge.note("b", ok=True)
         self.assertFalse(self.judge.is_ejected)
 
-    def test_a_sixteenth_of_hopeless_jobs_ejects_hardly_anybody(self):
-        draw = random.Random(5)
+    def test_random_failures_of_one_in_sixteen_rarely_eject(self):
+        source = random.Random(5)
         ejected = 0
         for _ in range(100):
             judge = FailureJudge(self.clock)
             for job in range(60):
-                judge.note(str(job), draw.random() > 1 / 16)
+                judge.note(str(job), source.random() > 1 / 16)
             ejected += judge.is_ejected
         self.assertLess(ejected, 10)
 
-    def test_two_in_five_that_fail_are_found(self):
-        draw = random.Random(6)
-        found = 0
+    def test_minion_failing_two_in_five_runs_is_ejected(self):
+        source = random.Random(6)
+        ejected = 0
         for _ in range(100):
             judge = FailureJudge(self.clock)
-            found += any(judge.note(str(job), draw.random() > 0.4) for job in range(40))
-        self.assertGreater(found, 95)
+            ejected += any(judge.note(str(job), source.random() > 0.4) for job in range(40))
+        self.assertGreater(ejected, 95)
 
-    def test_probes_restore_it_and_come_at_growing_intervals(self):
+    def test_probes_back_off_and_restore_the_minion(self):
         for job in "abc":
             self.judge.note(job, ok=False)
         self.assertFalse(self.judge.is_probe_due)
@@ -61,9 +61,9 @@
 
 
 class RunPaceTest(unittest.TestCase):
-    """Learnt speed."""
+    """Moving average of actual to expected run times."""
 
-    def test_it_follows_a_minion_that_turns_slow_and_forgets(self):
+    def test_value_follows_a_slow_minion_and_decays(self):
         clock = ManualClock()
         pace = RunPace(clock)
         for _ in range(10):
@@ -72,7 +72,7 @@
         clock.advance(10_000)
         self.assertLess(pace.value, 1.5)
 
-    def test_it_is_bounded(self):
+    def test_value_is_bounded(self):
         pace = RunPace(ManualClock())
         for _ in range(200):
             pace.note(1.0, 1e9)
--- a/tests/test_run_certainty.py
+++ b/tests/test_run_certainty.py
@@ -1,7 +1,7 @@
-"""Runs told as over while their minion runs them, or may run them later.
+"""Tests that no run is reported as over while it is active on the minion or may still start there.
 
-A dispatcher starts a task elsewhere as soon as it is told that a run is over. So an
-executor may say so only of what its minion does not run and never will.
+A dispatcher starts a task elsewhere as soon as the executor reports the run as over. If the report
+came too early, the task would run twice at the same time.
 """
 
 import eventlet
@@ -15,36 +15,36 @@
 from geraniumspool.run_leases import MINION_LEASE_MS
 from geraniumspool.run_messages import RUN_DONE, RUN_LAPSED, RUN_REFUSED, StopRuns
 from tests.dispatch_world import make_guard
-from tests.test_executor import HOME, ExecutorCase, make_order
+from tests.test_executor import DISPATCHER, ExecutorCase, make_order
 
 STEP_MS = 5
 FAR_MS = 1e9
 
 
 class CertaintyCase(ExecutorCase):
-    """An executor whose word is held against what its minion runs."""
+    """Base class that compares what the executor reports with what the minion runs."""
 
-    def watch(self, total_ms, *numbers):
-        """Let time pass; no run that is told as over may be at work."""
+    def advance_checking(self, total_ms, *numbers):
+        """Advance the clock, and check that no run reported as over is active."""
         for _ in range(int(total_ms // STEP_MS)):
             self.renew(*numbers)
             self.clock.advance(STEP_MS)
             for number in numbers:
-                if self.how(number) is not None:
-                    self.assertNotIn(f"j.0.0.{number}", self.minion.running, self.how(number))
+                if self.outcome(number) is not None:
+                    self.assertNotIn(f"j.0.0.{number}", self.minion.running, self.outcome(number))
 
     def start_directly(self, key, payload):
-        """Have the minion run what this executor does not know, as an earlier one ordered it."""
+        """Start a run on the minion as an earlier executor would, unknown to this one."""
         fence = self.executor._session.fence
         self.minion.start(self.minion.life, key, payload, FAR_MS, fence)
 
-    def begin(self, *numbers, run_ms=900, **changes):
-        """Start one run each."""
+    def start_runs(self, *numbers, run_ms=900, **changes):
+        """Start one run per number, and advance the clock until they are active."""
         self.start(*(make_order(n, f"j.0.0.{n}", run_ms=run_ms, **changes) for n in numbers))
-        self.watch(100, *numbers)
+        self.advance_checking(100, *numbers)
 
     def replace_process(self):
-        """Have another process take this one's place that hears nothing of the minion."""
+        """Replace the executor by a new process that has not heard of the minion."""
         for task in self.tasks:
             task.kill()
         self.executor = Executor(
@@ -59,82 +59,82 @@
 
 
 class LeavingTest(CertaintyCase):
-    """A minion that says that it has left, and ends later."""
+    """A minion that announces its departure and exits later."""
 
     def leave(self, run_on_ms):
-        """Have the minion drain, and say at once that it has left."""
+        """Let the minion drain and announce its departure at once."""
         self.minion.leave(run_on_ms)
         life = self.minion.life
         self.executor.take_life(life)
         self.executor.lose_life(life.instance, life.started_unix_ms)
         self.clock.settle()
 
-    def test_runs_of_one_that_has_left_and_runs_on_are_not_told_as_lost(self):
-        self.begin(1)
+    def test_active_runs_of_departed_minion_are_not_reported_as_over(self):
+        self.start_runs(1)
         self.leave(300.0)
         self.assertEqual({"j.0.0.1"}, self.minion.running)
-        self.watch(1_200, 1)
-        self.assertEqual(RUN_LAPSED, self.how(1))
+        self.advance_checking(1_200, 1)
+        self.assertEqual(RUN_LAPSED, self.outcome(1))
         self.assertEqual("", self.executor.state().instance)
 
-    def test_runs_of_one_that_has_left_and_closes_its_listener_are_not_told_as_lost(self):
-        self.begin(1)
+    def test_active_runs_of_departed_minion_with_closed_listener_are_not_reported_as_over(self):
+        self.start_runs(1)
         self.minion.refuses = True
         self.leave(300.0)
-        self.watch(1_200, 1)
-        self.assertEqual(RUN_LAPSED, self.how(1))
+        self.advance_checking(1_200, 1)
+        self.assertEqual(RUN_LAPSED, self.outcome(1))
 
-    def test_runs_of_one_that_has_left_and_never_ends_lapse_with_its_lease(self):
-        self.begin(1, run_ms=9_000)
+    def test_runs_of_departed_minion_that_never_exits_lapse_with_its_lease(self):
+        self.start_runs(1, run_ms=9_000)
         self.leave(9_000.0)
-        self.watch(700, 1)
-        self.assertEqual(RUN_LAPSED, self.how(1))
+        self.advance_checking(700, 1)
+        self.assertEqual(RUN_LAPSED, self.outcome(1))
         self.assertEqual("", self.executor.state().instance)
 
-    def test_what_ends_well_at_one_that_has_left_is_told_as_done(self):
-        self.begin(1, run_ms=300)
+    def test_run_that_succeeds_on_departed_minion_is_reported_as_done(self):
+        self.start_runs(1, run_ms=300)
         self.leave(900.0)
-        self.watch(400, 1)
-        self.assertEqual(RUN_DONE, self.how(1))
+        self.advance_checking(400, 1)
+        self.assertEqual(RUN_DONE, self.outcome(1))
 
-    def test_one_that_has_left_gets_nothing_new(self):
-        self.begin(1)
+    def test_departed_minion_gets_no_new_runs(self):
+        self.start_runs(1)
         self.leave(300.0)
         self.assertFalse(self.executor.state().accepts)
         self.start(make_order(2, "j.0.0.2"))
         self.clock.advance(10)
-        self.assertEqual(RUN_REFUSED, self.how(2))
+        self.assertEqual(RUN_REFUSED, self.outcome(2))
 
-    def test_one_that_has_left_without_runs_is_given_up_at_once(self):
+    def test_departed_minion_without_runs_is_given_up_at_once(self):
         self.leave(300.0)
         self.assertEqual("", self.executor.state().instance)
 
-    def test_a_late_report_of_one_that_has_left_changes_nothing(self):
-        self.begin(1)
+    def test_late_report_of_departed_minion_is_ignored(self):
+        self.start_runs(1)
         before = self.minion.life
         self.leave(300.0)
         self.executor.take_life(before._replace(sequence=before.sequence + 9))
         self.clock.settle()
         self.assertFalse(self.executor.state().accepts)
 
-    def test_the_next_minion_serves_once_the_one_before_has_ended(self):
-        self.begin(1)
+    def test_next_minion_is_adopted_once_the_departed_one_has_exited(self):
+        self.start_runs(1)
         self.leave(200.0)
-        self.watch(250, 1)
+        self.advance_checking(250, 1)
         self.minion.reborn("i-2")
         self.executor.take_life(self.minion.life)
-        self.watch(50, 1)
-        self.assertEqual(RUN_LAPSED, self.how(1))
+        self.advance_checking(50, 1)
+        self.assertEqual(RUN_LAPSED, self.outcome(1))
         self.start(make_order(2, "j.0.0.2"))
-        self.watch(200, 2)
-        self.assertEqual(RUN_DONE, self.how(2))
+        self.advance_checking(200, 2)
+        self.assertEqual(RUN_DONE, self.outcome(2))
 
 
-class LongListTest(CertaintyCase):
-    """More ends than one look lists."""
+class PartialListTest(CertaintyCase):
+    """A minion with more ended runs than one poll lists."""
 
-    def end_many(self):
-        """Have the minion end more runs than one look lists, before that of this executor."""
+    def end_more_runs_than_listed(self):
+        """End more other runs than one poll lists, before the run of this executor ends."""
         self.minion.deaf_to = {"look", "stop"}
         self.clock.advance(150)
         for number in range(LISTED_ENDS + 20):
@@ -142,125 +142,133 @@
             self.start_directly(key, "1:1")
         self.clock.advance(5)
 
-    def test_a_run_whose_end_is_not_listed_yet_is_not_told_as_vanished(self):
-        self.begin(1, run_ms=300)
-        self.end_many()
-        self.watch(60, 1)
+    def test_run_whose_end_is_not_listed_yet_does_not_lapse(self):
+        self.start_runs(1, run_ms=300)
+        self.end_more_runs_than_listed()
+        self.advance_checking(60, 1)
         self.assertEqual(set(), self.minion.running)
         self.minion.deaf_to = set()
-        self.watch(300, 1)
-        self.assertEqual(RUN_DONE, self.how(1))
+        self.advance_checking(300, 1)
+        self.assertEqual(RUN_DONE, self.outcome(1))
 
-    def test_a_stopped_start_whose_end_is_not_listed_yet_is_not_told_as_never_started(self):
+    def test_stopped_run_whose_end_is_not_listed_yet_is_not_refused(self):
         self.minion.script(Scripted("start", CallFault.LOST_AFTER))
         self.minion.deaf_to = {"look"}
         self.start(make_order(1, "j.0.0.1", run_ms=200))
-        self.end_many()
-        self.watch(100, 1)
+        self.end_more_runs_than_listed()
+        self.advance_checking(100, 1)
         self.assertEqual(set(), self.minion.running)
         self.minion.deaf_to = set()
-        self.watch(300, 1)
-        self.assertEqual(RUN_DONE, self.how(1))
+        self.advance_checking(300, 1)
+        self.assertEqual(RUN_DONE, self.outcome(1))
 
 
-class FrozenTest(CertaintyCase):
-    """An executor whose process was stopped for a while between two lines."""
+class SuspendedExecutorTest(CertaintyCase):
+    """An executor process that was suspended, for example by SIGSTOP, in the middle of its work."""
 
-    def freeze(self, total_ms):
-        """Let time pass for all but the executor; its timers are due after what it receives."""
+    def suspend(self, total_ms):
+        """Advance the clock for all but the executor.
+
+        When it resumes, it handles received messages before its overdue timers.
+        """
         for task in self.tasks:
             task.kill()
         self.clock.advance(total_ms)
 
-    def test_a_run_that_waits_is_not_started_for_a_dispatcher_that_has_given_it_up(self):
+    def test_queued_run_is_not_started_after_its_dispatcher_lease_expired(self):
         self.start(make_order(1, cpu=10_000, run_ms=300))
         self.start(make_order(2, "j.0.0.2", cpu=10_000, patience_ms=9_000.0))
-        self.freeze(LOST_MS)
-        # Of all that has become due, the answer of the minion comes first.
+        self.suspend(LOST_MS)
+        # On resumption, the answer of the minion is handled before the timers that are due.
         self.tasks = [eventlet.spawn(self.executor.run_looks)]
         self.clock.advance(STEP_MS)
         self.assertEqual(["j.0.0.0"], [key.task for key in self.minion.started])
-        self.assertEqual(RUN_REFUSED, self.how(2))
+        self.assertEqual(RUN_REFUSED, self.outcome(2))
 
-    def test_a_run_that_waits_goes_on_waiting_under_a_lease(self):
+    def test_queued_run_is_started_while_its_dispatcher_lease_is_valid(self):
         self.start(make_order(1, cpu=10_000, run_ms=300))
         self.start(make_order(2, "j.0.0.2", cpu=10_000, patience_ms=900.0))
-        self.keep(500, 1, 2)
-        self.assertEqual(RUN_DONE, self.how(2))
+        self.advance_renewing(500, 1, 2)
+        self.assertEqual(RUN_DONE, self.outcome(2))
 
 
-class SuccessionTest(CertaintyCase):
-    """A life of the minion that takes the place of another while runs are started."""
+class IncarnationChangeTest(CertaintyCase):
+    """A minion incarnation that replaces another one while runs are being started."""
 
-    def test_a_run_started_while_the_next_life_is_asked_is_not_told_as_lost(self):
-        # The closing look is under way; the life before still counts as the one served.
-        self.begin(1)
+    def test_run_started_while_new_incarnation_is_polled_is_not_reported_as_over(self):
+        # The poll that invalidates earlier calls is in progress, and the previous incarnation still
+        # counts as the one served.
+        self.start_runs(1)
         self.minion.restart()
-        asked = []
+        views = []
         look = self.minion.look
 
-        def look_slowly(*args):
+        def poll_slowly(*args):
             view = look(*args)
-            asked.append(view)
-            if len(asked) == 2:
+            views.append(view)
+            if len(views) == 2:
                 self.clock.sleep(20.0)
             return view
 
-        self.minion.look = look_slowly
+        self.minion.look = poll_slowly
         eventlet.spawn(self.executor.take_life, self.minion.life)
         self.clock.advance(10)
         self.start(make_order(2, "j.0.0.2", run_ms=300))
         self.assertEqual({"j.0.0.2"}, self.minion.running)
         self.minion.look = look
-        self.watch(600, 1, 2)
-        self.assertEqual((RUN_LAPSED, RUN_DONE), (self.how(1), self.how(2)))
+        self.advance_checking(600, 1, 2)
+        self.assertEqual((RUN_LAPSED, RUN_DONE), (self.outcome(1), self.outcome(2)))
 
 
-class PredecessorTest(CertaintyCase):
-    """A run that an earlier process here has started, at a minion that does not answer this one."""
+class EarlierExecutorTest(CertaintyCase):
+    """A run started by an earlier executor, on a minion that does not answer the new one."""
 
-    def test_a_lease_by_the_clock_of_the_life_before_is_outlasted_by_the_next_process(self):
-        # That clock is far ahead: the minion grants the longest lease there is.
+    def test_new_executor_waits_for_lease_set_by_clock_of_earlier_incarnation(self):
+        # The clock of the previous incarnation is far ahead, so the minion grants the longest lease
+        # there is.
         self.minion.restart()
         self.start(make_order(1, "j.0.0.1", run_ms=9_000))
         self.replace_process()
-        self.watch(1_300, 1)
-        self.assertEqual(RUN_LAPSED, self.how(1))
+        self.advance_checking(1_300, 1)
+        self.assertEqual(RUN_LAPSED, self.outcome(1))
 
 
-class FormerMinionTest(CertaintyCase):
-    """How soon a new process knows that nothing of the one before is at work."""
+class EarlierMinionTest(CertaintyCase):
+    """Time until a new executor knows that all runs of the earlier one are over."""
 
-    def is_past_gone_after(self, lease_ms):
+    def is_reported_as_over_after(self, lease_ms):
         self.clock.advance(lease_ms + LAPSE_MARGIN_MS + 40)
         self.renew(1)
-        return self.how(1) == RUN_LAPSED
+        return self.outcome(1) == RUN_LAPSED
 
-    def test_a_minion_that_has_another_name_now_has_ended_with_its_runs(self):
+    def test_runs_of_minion_with_another_name_now_are_over(self):
         kept = self.minion.life
         self.replace_process()
         self.minion.reborn("i-2")
         eventlet.spawn_n(self.executor.take_life, kept)
-        self.assertTrue(self.is_past_gone_after(MINION_LEASE_MS))
+        self.assertTrue(self.is_reported_as_over_after(MINION_LEASE_MS))
 
-    def test_a_minion_whose_process_has_ended_has_ended_with_its_runs(self):
+    def test_runs_of_minion_refusing_connections_are_over(self):
         self.replace_process()
         self.minion.refuses = True
         eventlet.spawn_n(self.executor.take_life, self.minion.life)
-        self.assertTrue(self.is_past_gone_after(MINION_LEASE_MS))
+        self.assertTrue(self.is_reported_as_over_after(MINION_LEASE_MS))
 
-    def test_a_minion_that_does_not_answer_may_hold_its_runs_for_the_longest_lease(self):
+    def test_silent_minion_may_hold_its_runs_for_the_longest_lease(self):
         self.replace_process()
         self.minion.silent = True
         eventlet.spawn_n(self.executor.take_life, self.minion.life)
-        self.assertFalse(self.is_past_gone_after(MINION_LEASE_MS))
+        self.assertFalse(self.is_reported_as_over_after(MINION_LEASE_MS))
+
 
+class SameAttemptTest(CertaintyCase):
+    """A run whose attempt number an earlier run of its task has used and whose end is pending."""
 
-class SameNumberTest(CertaintyCase):
-    """A run under the number of an earlier run of its task, whose end is not yet taken."""
+    def start_during_end_of_earlier_run(self, answer_ms):
+        """Order a run whose start is answered late while an earlier run of its task ends.
 
-    def start_beside_an_earlier_end(self, answer_ms):
-        """Order a run whose start is answered late, while an earlier run of the task ends."""
+        :param answer_ms: delay of the answer
+        """
         key = RunKey("j.0.0.1", 1)
         self.minion.deaf_to = {"look"}
         self.clock.advance(IDLE_LOOK_WAIT_MS)
@@ -278,13 +286,13 @@
         self.start(make_order(1, "j.0.0.1", run_ms=300))
         self.minion.deaf_to = set()
 
-    def test_the_end_of_an_earlier_run_does_not_end_the_next_one(self):
-        self.start_beside_an_earlier_end(150.0)
-        self.watch(700, 1)
-        self.assertEqual(RUN_DONE, self.how(1))
+    def test_end_of_earlier_run_does_not_end_the_next_one(self):
+        self.start_during_end_of_earlier_run(150.0)
+        self.advance_checking(700, 1)
+        self.assertEqual(RUN_DONE, self.outcome(1))
         self.assertEqual(2, len(self.minion.started))
 
-    def test_an_end_before_the_answer_to_its_start_is_told(self):
+    def test_end_listed_before_the_answer_to_the_start_is_reported(self):
         start = self.minion.start
 
         def start_slowly(*args):
@@ -294,12 +302,12 @@
 
         self.minion.start = start_slowly
         self.start(make_order(1, "j.0.0.1", run_ms=10))
-        self.watch(150, 1)
-        self.assertEqual(RUN_DONE, self.how(1))
+        self.advance_checking(150, 1)
+        self.assertEqual(RUN_DONE, self.outcome(1))
         self.assertEqual(1, len(self.minion.started))
         self.assertTrue(self.executor.is_idle)
 
-    def test_an_end_before_the_answers_to_its_start_and_stop_is_told(self):
+    def test_end_listed_before_the_answers_to_start_and_stop_is_reported(self):
         start = self.minion.start
 
         def start_slowly(*args):
@@ -309,15 +317,16 @@
 
         self.minion.start = start_slowly
         self.start(make_order(1, "j.0.0.1", run_ms=10))
-        self.watch(250, 1)
-        self.executor.take_stop(HOME, StopRuns((1,)))
-        self.watch(400, 1)
-        self.assertEqual(RUN_DONE, self.how(1))
+        self.advance_checking(250, 1)
+        self.executor.take_stop(DISPATCHER, StopRuns((1,)))
+        self.advance_checking(400, 1)
+        self.assertEqual(RUN_DONE, self.outcome(1))
         self.assertTrue(self.executor.is_idle)
 
-    def test_a_run_that_ended_while_its_start_was_under_way_is_not_started_again(self):
-        # The life of the minion ends, and then the old answer says that the number is used.
-        self.start_beside_an_earlier_end(150.0)
+    def test_run_that_ended_during_its_start_call_is_not_started_again(self):
+        # The incarnation of the minion ends, and the delayed answer then says that the attempt
+        # number is used.
+        self.start_during_end_of_earlier_run(150.0)
         self.clock.advance(5)
         self.executor.lives.end_life(self.executor._session.life, "minion_down")
         self.clock.advance(150)
@@ -326,8 +335,8 @@
         self.assertEqual(1, len(self.minion.started))
 
 
-class TwoMinions:
-    """Two minions beside one executor, each at an address of its own."""
+class MinionRouter:
+    """Minion control that routes calls to one of several minions by address."""
 
     def __init__(self, *minions):
         self.minions = {minion.life.address: minion for minion in minions}
@@ -339,22 +348,22 @@
         return call
 
 
-class NextAddressTest(CertaintyCase):
-    """The next minion has another address: that it answers says nothing of the one before."""
+class OtherAddressTest(CertaintyCase):
+    """A successor at another address: its answers do not prove that its predecessor has ended."""
 
     def setUp(self):
         super().setUp()
         self.next = MemoryMinion(self.clock, "i-2")
         self.next.life = self.next.life._replace(address="127.0.0.1:2")
-        self.executor._session.control = TwoMinions(self.minion, self.next)
+        self.executor._session.control = MinionRouter(self.minion, self.next)
 
-    def test_runs_of_the_one_before_are_not_told_as_lost_while_it_goes_on(self):
-        self.begin(1, run_ms=9_000)
+    def test_active_runs_of_previous_minion_are_not_reported_as_over(self):
+        self.start_runs(1, run_ms=9_000)
         eventlet.spawn(self.executor.take_life, self.next.life)
-        self.watch(800, 1)
-        self.assertEqual((RUN_LAPSED, "i-2"), (self.how(1), self.executor.state().instance))
+        self.advance_checking(800, 1)
+        self.assertEqual((RUN_LAPSED, "i-2"), (self.outcome(1), self.executor.state().instance))
 
-    def test_one_without_runs_is_followed_at_once(self):
+    def test_previous_minion_without_runs_is_replaced_at_once(self):
         eventlet.spawn(self.executor.take_life, self.next.life)
         self.clock.advance(STEP_MS)
         self.assertEqual("i-2", self.executor.state().instance)
