--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -198,7 +198,7 @@
             self._enforce_limits(self._clock.now())
 
     def leave(self) -> None:
-        """Reject new runs from now on, refuse queued ones and tell all dispatchers."""
+        """Reject new runs from now on, refuse queued ones and report this to all dispatchers."""
         self.leaving = True
         self._ends.refuse_waiting("leaving")
         self._reporter.tell_all()
--- a/geraniumspool/pace.py
+++ b/geraniumspool/pace.py
@@ -25,10 +25,10 @@
     """Sequential change detector that finds a slow minion before its tasks have results.
 
     It models the ratio of actual to estimated run times on this minion as a log-normal distribution
-    and learns its mean and variance. The cumulative hazard of a task grows while the task runs and
-    averages 1 at the end of tasks that take their usual time. The lateness is a cumulative sum
-    (CUSUM) of the hazards of all tasks, less a credit for each task that ends in time. It stays
-    near 0 unless tasks take several times as long as usual.
+    and learns mean and variance of its logarithm. The cumulative hazard of a task grows while the
+    task runs and averages 1 at the end of tasks that take their usual time. The lateness is a
+    cumulative sum (CUSUM) of the hazards of all tasks, less a credit for each task that ends in
+    time. It stays near 0 unless tasks take several times as long as usual.
 
     :ivar lateness: evidence that the minion is slow, 0 if there is none
     """
@@ -74,6 +74,8 @@
     def withdraw(self, hazard: float) -> None:
         """Remove the hazard of a task that ended without a result, unless it was already late.
 
+        The end of such a task says nothing about the speed of the minion.
+
         :param hazard: cumulative hazard added for the task
         """
         if hazard < LATE_HAZARD:
--- a/geraniumspool/run_leases.py
+++ b/geraniumspool/run_leases.py
@@ -6,9 +6,10 @@
 can't rely on the caller to wait: a caller may retry sooner.
 """
 
-# Time after a dispatcher's last message until its executor stops its runs.
+# Time after the last message of a dispatcher that renewed its lease until the executor stops its
+# runs.
 DISPATCHER_LEASE_MS = 600.0
-# Time after an executor's last call until its minion stops its runs.
+# Time after the last call of an executor that renewed its lease until the minion stops its runs.
 MINION_LEASE_MS = 500.0
 # Longest lease that a minion grants, whatever the call asks for.
 LONGEST_LEASE_MS = 1_000.0
--- a/geraniumspool/run_progress.py
+++ b/geraniumspool/run_progress.py
@@ -13,8 +13,9 @@
 # the margin.
 STRAGGLER_FACTOR = 1.8
 STRAGGLER_MARGIN_MS = 100.0
-# A run is stalled if its progress has not increased for this time, or for this share of its
-# expected duration if that is longer. Progress is reported in whole per cent.
+# A run is stalled if its progress has not increased for this time, or for this fraction of its
+# expected duration, scaled by the minion's pace, if that is longer. Progress is reported in whole
+# per cent.
 STALLED_MS = 600.0
 STALLED_FACTOR = 0.3
 MIN_SHARE = 0.02
@@ -40,11 +41,11 @@
 
 def find_stragglers(runs: Iterable[Run], now: float) -> tuple[Straggler, ...]:
     """Return the runs whose predicted duration far exceeds the expected one."""
-    late = []
+    stragglers = []
     for run in runs:
         if run.state is not RunState.RUNNING or run.age_ms(now) < run.order.expected_ms / 2:
             continue
         total = predict_total(run, now)
         if total > STRAGGLER_FACTOR * run.order.expected_ms + STRAGGLER_MARGIN_MS:
-            late.append(Straggler(run.order.number, round(total - run.age_ms(now), 1)))
-    return tuple(late)
+            stragglers.append(Straggler(run.order.number, round(total - run.age_ms(now), 1)))
+    return tuple(stragglers)
--- a/geraniumspool/run_starts.py
+++ b/geraniumspool/run_starts.py
@@ -158,8 +158,8 @@
         if not run.is_stopping and self._is_running(life, run):
             self.confirm(run)
             return
-        # Whether this end belongs to this run or to an earlier one with the same attempt number,
-        # the minion no longer starts a run under that number.
+        # An end that was listed during the call settles the run. Even if it belongs to an earlier
+        # run with the same attempt number, the minion no longer starts a run under that number.
         if self._ends.take_early(run):
             return
         self._stops.stop(run, "unanswered")
--- a/geraniumspool/run_stops.py
+++ b/geraniumspool/run_stops.py
@@ -16,12 +16,12 @@
 
 # Delay before a stop call without an answer is repeated.
 STOP_AGAIN_MS = 20.0
-# If a run still runs this long after its stop was requested, the minion's lease is not renewed. The
-# run then ends within the time after which dispatchers assume that the runs of a silent dispatcher
-# are over.
+# If a run is still active this long after its stop was requested, the minion's lease is not
+# renewed. The run then ends within the time after which dispatchers presume that the runs of a
+# silent dispatcher are over.
 STUCK_MS = 100.0
 
-# Stop reasons after which the dispatcher may be dead, or may assume after a fixed time that the
+# Stop reasons after which the dispatcher may be dead, or may presume after a fixed time that the
 # runs are over.
 _PRESUMED_OVER_REASONS = frozenset({"asked", "not_wanted", "dispatcher_silent", "process_stops"})
 
@@ -77,7 +77,7 @@
         self.repeat(run)
 
     def repeat(self, run: Run) -> None:
-        """Send the stop of a run again, to the current incarnation of the minion."""
+        """Send a stop to the current incarnation of the minion, which may have lost earlier ones."""
         eventlet.spawn_n(self._stop_until_answered, self._session.life, run)
 
     def stop_all(self, reason: str) -> None:
@@ -98,7 +98,7 @@
         eventlet.spawn_n(self._stop_orphan_once, life, key)
 
     def is_stuck(self, now: float) -> bool:
-        """Return whether a stopped run still runs that dispatchers will soon assume to be over.
+        """Return whether a stopped run is still active although dispatchers soon presume it over.
 
         In that case the minion's lease is no longer renewed. It covers all runs, so all of them end
         when it expires.
