--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -289,7 +289,8 @@
             return FENCED
         other = self._table.find_task(order.task)
         if other is not None:
-            # Another dispatcher has ordered the same job.
+            # The same job has arrived through another dispatcher, while a run of this task is
+            # active.
             self._stops.stop(other, "superseded")
             return "task_active"
         return ""
--- a/geraniumspool/minion_watch.py
+++ b/geraniumspool/minion_watch.py
@@ -15,10 +15,11 @@
 # Longest wait of a poll for an ended run. Three polls fit into the minion's lease, each with up to
 # 80 ms for its answer.
 LOOK_WAIT_MS = 120.0
-# The same while there are no runs. Such polls only need to show that the minion is alive, not to
-# renew its lease in time.
+# Longest wait of a poll while there are no runs. Such polls need not renew the lease in time; they
+# only show that the minion is alive.
 IDLE_LOOK_WAIT_MS = 200.0
-# The same for a minion that has left: short, so that the end of its lease is noticed early.
+# Longest wait of a poll of a minion that has left: short, so that the end of its lease is noticed
+# early.
 LEFT_LOOK_WAIT_MS = 20.0
 # Delay after a failed poll.
 LOOK_AGAIN_MS = 5.0
--- a/geraniumspool/run_stops.py
+++ b/geraniumspool/run_stops.py
@@ -77,7 +77,7 @@
         self.repeat(run)
 
     def repeat(self, run: Run) -> None:
-        """Send a stop to the current incarnation of the minion, which may have lost the last one."""
+        """Send a stop to the current minion incarnation, which may not know an earlier one."""
         eventlet.spawn_n(self._stop_until_answered, self._session.life, run)
 
     def stop_all(self, reason: str) -> None:
