--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform: its store and a minion, spoken to over loopback HTTP."""
+"""Fake platform services for tests: the store and a minion, as WSGI applications."""
 
 import base64
 import json
@@ -24,7 +24,7 @@
     StartOutcome.FULL: "room",
     StartOutcome.REJECTED: "ticket",
 }
-STATUS = {
+STATUS_LINES = {
     200: "200 OK",
     400: "400 Bad Request",
     404: "404 Not Found",
@@ -37,17 +37,17 @@
 }
 
 
-class HangUp(Exception):
-    """The connection ends without an answer."""
+class ConnectionDropped(Exception):
+    """Signals that the connection is to be closed without an answer."""
 
 
 class Standin:
-    """A WSGI application that records sessions and can be told to misbehave.
+    """A WSGI application that records its calls and injects faults.
 
-    :ivar session: method, path, body and answer of each call
-    :ivar forced: status to answer with instead of doing anything
-    :ivar lose: answers to lose after the work was done
-    :ivar hang: whether calls are never answered
+    :ivar session: method, path, query, body, status and answer of each answered call
+    :ivar forced: status to answer every call with, without carrying it out
+    :ivar lose: number of calls to carry out and leave unanswered
+    :ivar hang: whether each call is delayed beyond every client's timeout
     """
 
     def __init__(self):
@@ -69,24 +69,24 @@
             status, answer = self.answer(environ, path, query, body)
             if self.lose:
                 self.lose -= 1
-                raise HangUp
-        except HangUp:
+                raise ConnectionDropped
+        except ConnectionDropped:
             environ["eventlet.input"].get_socket().shutdown(2)
             return []
-        sent = {"path": path, "query": query, "body": body, "status": status, "answer": answer}
-        self.session.append({"method": environ["REQUEST_METHOD"], **sent})
-        start_response(STATUS[status], [("Content-Type", "application/json")])
+        record = {"path": path, "query": query, "body": body, "status": status, "answer": answer}
+        self.session.append({"method": environ["REQUEST_METHOD"], **record})
+        start_response(STATUS_LINES[status], [("Content-Type", "application/json")])
         return [json.dumps(answer).encode()]
 
     def answer(self, environ, path, query, body):
-        """Return status and body of the answer to one call."""
+        """Return the status and the JSON body of the answer to one call."""
         if self.forced:
             return self.forced, {}
         return self.work(environ, path, query, body)
 
 
 class StoreStandin(Standin):
-    """The platform's store over a store in memory."""
+    """The platform's store, backed by a memory store."""
 
     def __init__(self, clock, history_limit):
         super().__init__()
@@ -98,7 +98,7 @@
         except StoreUnavailable:
             return 503, {}
         except StoreUnknown as error:
-            raise HangUp from error
+            raise ConnectionDropped from error
         except LeaseExpired:
             return 404, {}
         except CompactedRevision:
@@ -108,7 +108,7 @@
         store = self.store
         if path == "/kv-key":
             pair = store.get(query["key"])
-            return (200, show_item(pair) | {"as_of": store.revision}) if pair else (404, {})
+            return (200, encode_item(pair) | {"as_of": store.revision}) if pair else (404, {})
         if path == "/kv-range":
             return 200, self._page(query)
         if path == "/kv-txn":
@@ -122,11 +122,11 @@
         return 404, {}
 
     def _page(self, query):
-        # Two items a page, so that every listing of some length takes several.
+        # Two items a page, so that a listing of three keys or more takes several calls.
         pairs = [
             p for p in self.store.list(query["prefix"]).pairs if p.key > query.get("after", "")
         ]
-        items = [show_item(pair) for pair in pairs[:2]]
+        items = [encode_item(pair) for pair in pairs[:2]]
         return {"items": items, "has_more": len(pairs) > 2, "as_of": self.store.revision}
 
     def _change(self, body):
@@ -140,38 +140,38 @@
             outcome = self.store.delete(key, revision)
         if outcome.swapped:
             return 200, {"revision": outcome.revision}
-        return 412, {"items": [show_item(outcome.current)] if outcome.current else []}
+        return 412, {"items": [encode_item(outcome.current)] if outcome.current else []}
 
     def _watch(self, query):
         prefix, after = query["prefix"], int(query["after"])
         watch = self.store.watch(prefix, after)
-        first = next(watch)
-        changes = [] if first is None else [first]
-        while first is not None and watch.gi_frame:
+        first_change = next(watch)
+        changes = [] if first_change is None else [first_change]
+        while first_change is not None and watch.gi_frame:
             with eventlet.Timeout(0.02, False):
                 changes.append(next(watch))
                 continue
             break
         watch.close()
-        events = [show_change(change) for change in changes if change is not None]
+        events = [encode_change(change) for change in changes if change is not None]
         return {"events": events, "as_of": max([after, *(e["revision"] for e in events)])}
 
 
-def show_item(pair):
-    """Return a key as the platform shows it."""
+def encode_item(pair):
+    """Return a key in the platform's JSON form."""
     value = base64.b64encode(pair.value).decode()
     return {"key": pair.key, "value": value, "revision": pair.revision, "created": 1, "lease": 0}
 
 
-def show_change(change):
-    """Return an event as the platform shows it."""
+def encode_change(change):
+    """Return an event of a watch in the platform's JSON form."""
     if change.value is None:
         return {"key": change.key, "revision": change.revision, "deleted": True}
-    return show_item(change)
+    return encode_item(change)
 
 
 class MinionStandin(Standin):
-    """A minion over one in memory."""
+    """The platform's HTTP interface of a minion, backed by a memory minion."""
 
     def __init__(self, minion):
         super().__init__()
@@ -195,7 +195,7 @@
             if path == "/run-stop":
                 minion.stop(minion.life, RunKey(body["task"], body["run"]), body["fence"])
                 return 200, clock
-            # The other end finds out by itself which life answers.
+            # Polls are answered by whichever incarnation runs; the client checks "born".
             view = minion.look(
                 minion.life,
                 body["fence"],
@@ -206,7 +206,7 @@
         except Fenced:
             return 409, clock | {"reason": "fence"}
         except MinionSilent as error:
-            raise HangUp from error
+            raise ConnectionDropped from error
         running = [[key.task, key.attempt, "", 40] for key in view.running]
         ended = [[end.number, *end.key, end.how, ""] for end in view.ended]
         return 200, clock | {"born": view.started_unix_ms, "running": running, "ended": ended}
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -1,4 +1,4 @@
-"""Tests of the programs' settings, of their logs, and of the programs as processes."""
+"""Tests of the dispatcher's and executor's settings, imports, logs and metrics page."""
 
 import json
 import logging
@@ -22,7 +22,7 @@
 from geraniumspool.metrics_page import MetricsPage
 from geraniumspool.routes import Request
 
-# The patched one waits where there is nothing to read.
+# Eventlet's patched version would wait for input.
 _READ = original("os").read
 DEPLOY = Path(__file__).parent.parent / "deploy"
 DISPATCHER = {
@@ -36,7 +36,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Settings files."""
+    """Reading of settings files."""
 
     def load(self, text, kind=DispatcherSettings):
         with tempfile.NamedTemporaryFile("w", suffix=".yaml") as file:
@@ -44,13 +44,13 @@
             file.flush()
             return load_settings(file.name, kind)
 
-    def test_a_whole_file(self):
+    def test_a_valid_file(self):
         settings = self.load(yaml.safe_dump(DISPATCHER | {"grace_s": 4}))
         self.assertEqual(
             ("front-1", 4.0, "info"), (settings.name, settings.grace_s, settings.log_level)
         )
 
-    def test_all_faults_are_told_at_once(self):
+    def test_all_faults_are_reported_at_once(self):
         broken = {key: value for key, value in DISPATCHER.items() if key != "store"}
         broken |= {"grace_s": "soon", "colour": "red", "name": 7}
         with self.assertRaises(InvalidInput) as raised:
@@ -58,37 +58,37 @@
         paths = [finding.path for finding in raised.exception.findings]
         self.assertEqual(["name", "store", "grace_s", "colour"], paths)
 
-    def test_the_speed_of_a_dispatcher_is_above_nothing(self):
-        fast = self.load(yaml.safe_dump(DISPATCHER | {"processor_share": 0.5, "processors": 3}))
-        self.assertEqual(1.5, fast.capacity)
-        for wrong in ({"processor_share": 0}, {"processors": -1}, {"processors": None}):
-            with self.subTest(wrong=wrong), self.assertRaises(InvalidInput):
-                self.load(yaml.safe_dump(DISPATCHER | wrong))
+    def test_the_capacity_of_a_dispatcher_must_be_positive(self):
+        settings = self.load(yaml.safe_dump(DISPATCHER | {"processor_share": 0.5, "processors": 3}))
+        self.assertEqual(1.5, settings.capacity)
+        for invalid in ({"processor_share": 0}, {"processors": -1}, {"processors": None}):
+            with self.subTest(invalid=invalid), self.assertRaises(InvalidInput):
+                self.load(yaml.safe_dump(DISPATCHER | invalid))
 
     def test_the_same_file_written_as_json(self):
-        whole = DISPATCHER | {"grace_s": 4}
-        self.assertEqual(self.load(yaml.safe_dump(whole)), self.load(json.dumps(whole)))
+        document = DISPATCHER | {"grace_s": 4}
+        self.assertEqual(self.load(yaml.safe_dump(document)), self.load(json.dumps(document)))
 
-    def test_the_bound_of_an_evacuation_may_be_left_open(self):
+    def test_the_bound_of_an_evacuation_is_optional(self):
         executor = {key: DISPATCHER[key] for key in ("name", "domain", "inbox", "store")}
         executor["minion_listen"] = "127.0.0.1:0"
         for given, expected in (({}, None), ({"evacuation_ms": None}, None)):
             settings = self.load(json.dumps(executor | given), ExecutorSettings)
             self.assertEqual(expected, settings.evacuation_ms)
-        # A platform that sets no bound leaves the template's place empty.
+        # A platform that sets no bound leaves the value in the settings template empty.
         empty = json.dumps(executor | {"evacuation_ms": 7}).replace("7", "")
         self.assertIsNone(self.load(empty, ExecutorSettings).evacuation_ms)
         with self.assertRaises(InvalidInput):
             self.load(json.dumps(executor | {"evacuation_ms": 0}), ExecutorSettings)
 
-    def test_files_that_are_none(self):
+    def test_invalid_and_missing_files(self):
         for text in ("- a\n", "a: [\n", ""):
             with self.subTest(text=text), self.assertRaises(InvalidInput):
                 self.load(text)
         with self.assertRaises(InvalidInput):
             load_settings("/nowhere/settings.yaml", ExecutorSettings)
 
-    def test_templates_name_settings_alone(self):
+    def test_templates_contain_only_known_settings(self):
         for name, kind in (("dispatcher", DispatcherSettings), ("executor", ExecutorSettings)):
             text = (DEPLOY / f"{name}.yaml").read_text()
             used = set(re.findall(r'^"(\w+)": ', text, re.MULTILINE))
@@ -97,23 +97,24 @@
             with self.subTest(name):
                 self.assertLessEqual(used, set(kind.__struct_fields__))
 
-    def test_requirements_are_those_of_the_lock_file(self):
-        wanted = (DEPLOY / "requirements.txt").read_text().split()
+    def test_deployed_requirements_are_in_the_lock_file(self):
+        required = (DEPLOY / "requirements.txt").read_text().split()
         locked = (DEPLOY.parent / "requirements.lock").read_text().split()
-        self.assertLessEqual(set(wanted), set(locked))
+        self.assertLessEqual(set(required), set(locked))
 
 
-class StartTest(unittest.TestCase):
-    """What a program loads before it can serve: callers wait for it after a loss of power."""
+class ImportsTest(unittest.TestCase):
+    """Modules that a program imports at its start, for which callers wait after a power loss."""
 
-    # What only the other program needs, and what neither needs before its first job.
+    # Modules that only the other program needs.
     UNUSED = {
         "dispatcher": ("geraniumspool.executor", "geraniumspool.platform.minion"),
         "executor": ("geraniumspool.dispatcher", "geraniumspool.job_router"),
     }
+    # Libraries that neither program needs before its first job.
     NEVER = ("yaml", "fire", "opentelemetry", "prometheus_client", "tabulate", "jsonschema")
 
-    def test_a_program_loads_only_what_it_runs(self):
+    def test_a_program_imports_no_unused_modules(self):
         for role, unused in self.UNUSED.items():
             code = (
                 "import sys, json, geraniumspool.platform.__main__;"
@@ -121,14 +122,14 @@
                 "print(json.dumps(sorted(sys.modules)))"
             )
             command = [sys.executable, "-W", "ignore", "-c", code]
-            done = subprocess.run(command, capture_output=True, check=True, cwd=DEPLOY.parent)
-            loaded = set(json.loads(done.stdout))
+            process = subprocess.run(command, capture_output=True, check=True, cwd=DEPLOY.parent)
+            loaded = set(json.loads(process.stdout))
             with self.subTest(role):
                 self.assertEqual(set(), loaded & {*unused, *self.NEVER})
 
 
 class BoundedLogTest(unittest.TestCase):
-    """Logs neither flood nor block."""
+    """The rate of log lines is limited, and writing them never blocks."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -146,19 +147,19 @@
         except BlockingIOError:
             return []
 
-    def test_a_line_has_its_fields(self):
+    def test_a_line_contains_its_fields(self):
         self.logger.info("job ended", extra={"fields": (("job", "a1"), ("took_ms", 3.5))})
         (line,) = self.read()
         self.assertEqual(("job ended", "a1", 3.5), (line["message"], line["job"], line["took_ms"]))
 
-    def test_a_flood_is_bounded_and_what_was_left_out_is_told(self):
-        seen = []
+    def test_the_rate_is_limited_and_warnings_have_a_reserve(self):
+        lines = []
         for number in range(3 * BURST_LINES):
             self.logger.info("line %s", number)
             if number % 50 == 0:
-                seen += self.read()
-        seen += self.read()
-        self.assertLessEqual(len(seen), BURST_LINES)
+                lines += self.read()
+        lines += self.read()
+        self.assertLessEqual(len(lines), BURST_LINES)
         self.logger.warning("this matters")
         self.assertIn("this matters", [line["message"] for line in self.read()])
         self.clock.advance(1_000)
@@ -167,7 +168,7 @@
         self.assertEqual("later", messages[-1]["message"])
         self.assertEqual(0, self.handler.left_out)
 
-    def test_the_count_of_lines_left_out_is_told(self):
+    def test_the_number_of_dropped_lines_is_logged(self):
         for number in range(2 * BURST_LINES):
             self.logger.info("line %s", number)
             if number % 50 == 0:
@@ -180,7 +181,7 @@
         note = self.read()[0]
         self.assertEqual((LEFT_OUT, left_out), (note["message"], note["count"]))
 
-    def test_a_reader_that_does_not_read_blocks_nobody(self):
+    def test_logging_does_not_block_when_nobody_reads(self):
         with eventlet.Timeout(5):
             for _ in range(40):
                 self.clock.advance(1_000)
@@ -190,9 +191,9 @@
 
 
 class MetricsPageTest(unittest.TestCase):
-    """Counters and histograms as they are scraped."""
+    """Counters and histograms in the Prometheus text format."""
 
-    def test_what_is_served(self):
+    def test_rendered_metrics(self):
         counters = MemoryCounters()
         counters.add("runs_started")
         for value in (3.0, 70.0, 20_000.0):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Failure domains that operators evacuate: nothing is started there, and callers are served."""
+"""Tests of evacuated failure domains: no task starts there, and jobs run elsewhere."""
 
 import unittest
 
@@ -15,8 +15,8 @@
 DOMAINS = ("north", "south", "east")
 
 
-class BeliefTest(unittest.TestCase):
-    """What one process believes, from whoever it hears it."""
+class EvacuationsTest(unittest.TestCase):
+    """One process's list of evacuated domains, received from the store and other processes."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -29,7 +29,7 @@
         self.assertFalse(self.evacuations.is_known)
         self.assertEqual(EvacuationNews(), self.evacuations.tell())
 
-    def test_an_older_word_never_comes_back(self):
+    def test_an_older_revision_never_replaces_a_newer_one(self):
         now = self.clock.now()
         self.evacuations.replace(["north"], 20, now)
         cases = (
@@ -45,7 +45,7 @@
                 self.assertTrue(self.evacuations.covers("north"))
                 self.assertEqual(20, self.evacuations.revision)
 
-    def test_changes_are_told_once(self):
+    def test_each_change_is_reported_once(self):
         self.evacuations.replace([], 5, 0)
         self.evacuations.change("north", True, 6)
         self.evacuations.change("south", True, 7)
@@ -54,7 +54,7 @@
         expected = [set(), {"north"}, {"north", "south"}, {"south"}]
         self.assertEqual(expected, self.changes)
 
-    def test_age_counts_from_the_store_and_not_from_the_message(self):
+    def test_age_counts_from_the_read_of_the_store(self):
         now = self.clock.now()
         self.evacuations.hear(EvacuationNews(3, ("north",), 700.0), now - 200)
         self.assertEqual(900, self.evacuations.age_ms)
@@ -92,52 +92,52 @@
         return self.world.homes[home].submit(spec)
 
     def count_starts(self, domain):
-        """Return the starts so far at all minions of a domain."""
+        """Return the number of runs started so far at all minions of a domain."""
         workers = [worker for worker in self.world.workers if worker.domain == domain]
         return sum(len(worker.minion.started) for worker in workers)
 
     def count_refused(self):
-        """Return the orders that executors have refused for their domain's sake."""
+        """Return the number of runs that executors refused because of an evacuation."""
         return sum(
             worker.counters.get("runs_refused", reason="domain_evacuated")
             for worker in self.world.workers
         )
 
     def load(self, total_ms, every_ms=40, **step):
-        """Hand a job in at each dispatcher by turns; return what the callers were told."""
-        told = []
+        """Submit jobs to the dispatchers in turn; return their callers."""
+        callers = []
         for turn in range(total_ms // every_ms):
-            told.append(self.submit(turn % len(self.world.homes), **step))
+            callers.append(self.submit(turn % len(self.world.homes), **step))
             self.advance(every_ms)
         self.advance(600)
-        return told
+        return callers
 
 
 class PlacingTest(EvacuationCase):
-    """A domain is evacuated and taken back under load."""
+    """A domain is evacuated, and put back into use, under load."""
 
-    def test_nothing_starts_there_and_all_are_served(self):
+    def test_nothing_starts_there_and_all_jobs_succeed(self):
         self.load(400)
         self.assertGreater(self.count_starts("south"), 0)
         self.world.evacuate("south")
         self.advance(20)
         before = self.count_starts("south")
-        told = self.load(2_000)
+        callers = self.load(2_000)
         self.assertEqual(before, self.count_starts("south"))
-        self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in told})
+        self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
         self.assertEqual(0, self.count_refused())
 
-    def test_runs_at_work_go_on_to_their_end(self):
-        told = [self.submit(home, 4, run_ms=700) for home in range(3)]
+    def test_started_runs_are_not_stopped(self):
+        callers = [self.submit(home, 4, run_ms=700) for home in range(3)]
         self.advance(60)
         started = self.count_starts("south")
         self.assertGreater(started, 0)
         self.world.evacuate("south")
         self.advance(1_200)
-        self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in told})
+        self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
         self.assertEqual(started, self.count_starts("south"))
 
-    def test_taken_back_it_is_used_at_once(self):
+    def test_a_restored_domain_is_used_at_once(self):
         self.world.evacuate("south")
         self.advance(200)
         self.world.evacuate()
@@ -146,71 +146,71 @@
         self.load(400)
         self.assertGreater(self.count_starts("south"), before)
 
-    def test_in_series_and_both_at_a_time(self):
+    def test_evacuations_of_one_and_two_domains_in_a_row(self):
         for domains in (("north",), (), ("north",), ("east",), ("east", "south"), ("south",)):
             with self.subTest(domains):
                 self.world.evacuate(*domains)
                 self.advance(20)
                 before = [self.count_starts(domain) for domain in domains]
-                told = self.load(400)
+                callers = self.load(400)
                 self.assertEqual(before, [self.count_starts(domain) for domain in domains])
-                self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in told})
+                self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
 
-    def test_all_are_evacuated(self):
+    def test_jobs_are_refused_while_all_domains_are_evacuated(self):
         self.world.evacuate(*DOMAINS)
         self.advance(100)
-        told = self.submit()
+        caller = self.submit()
         self.advance(60)
-        self.assertEqual(JobOutcome.REFUSED, told.outcome)
-        self.assertGreater(told.result.retry_after_ms, 0)
+        self.assertEqual(JobOutcome.REFUSED, caller.outcome)
+        self.assertGreater(caller.result.retry_after_ms, 0)
         self.assertTrue(self.world.home.router.has_workers)
         self.world.evacuate()
         self.advance(60)
-        told = self.submit()
+        caller = self.submit()
         self.advance(400)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
-    def test_a_domain_that_no_worker_names(self):
+    def test_a_domain_without_workers(self):
         self.world.evacuate("west")
         self.advance(20)
         self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in self.load(200)})
 
-    def test_jobs_that_wait_there_go_elsewhere(self):
-        # Full workers everywhere; what waits at the owner in the domain has not begun.
+    def test_waiting_jobs_run_elsewhere_or_are_refused(self):
+        # All workers are busy, so that the jobs submitted in the domain wait at its dispatcher.
         self.load(400, every_ms=10, run_ms=400)
-        told = [self.submit(1, 1, run_ms=100) for _ in range(4)]
+        callers = [self.submit(1, 1, run_ms=100) for _ in range(4)]
         self.world.evacuate("south")
         self.advance(20)
         before = self.count_starts("south")
         self.advance(3_000)
         self.assertEqual(before, self.count_starts("south"))
-        outcomes = {one.outcome for one in told}
+        outcomes = {caller.outcome for caller in callers}
         self.assertLessEqual(outcomes, {JobOutcome.SUCCEEDED, JobOutcome.REFUSED})
         self.assertNotIn(None, outcomes)
 
 
-class RestTest(EvacuationCase):
-    """What has begun in the domain when it is evacuated, with tasks that still wait."""
+class StartedJobTest(EvacuationCase):
+    """A job that has started in a domain when it is evacuated, with tasks still waiting."""
 
     group_workers = 6
 
-    def test_the_rest_of_a_job_that_has_begun_runs_elsewhere(self):
-        # Each worker runs two at a time; a third of the eighteen has to wait.
-        told = self.submit(0, 18, run_ms=500)
+    def test_the_waiting_tasks_run_elsewhere(self):
+        # Each of six workers runs two tasks at once; six of the eighteen tasks have to wait.
+        caller = self.submit(0, 18, run_ms=500)
         self.advance(60)
         self.world.evacuate("south")
         self.advance(20)
         before = self.count_starts("south")
         self.advance(2_500)
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
         self.assertEqual(before, self.count_starts("south"))
 
 
-class OnlyOwnTest(EvacuationCase):
-    """A dispatcher all of whose workers are evacuated, with a job half done."""
+class AllOwnedWorkersTest(EvacuationCase):
+    """A dispatcher with a half-finished job, all of whose own workers are evacuated."""
 
-    def test_the_rest_of_its_job_runs_at_workers_of_others(self):
-        told = self.world.homes[1].place(make_spec("half", 8, run_ms=400))
+    def test_the_waiting_tasks_run_on_workers_of_other_dispatchers(self):
+        caller = self.world.homes[1].place(make_spec("half", 8, run_ms=400))
         self.advance(60)
         self.assertGreater(self.count_starts("south"), 0)
         owned = [v for v in self.world.homes[1].dispatcher.fleet.views if v.is_owned]
@@ -220,11 +220,11 @@
         before = self.count_starts("south")
         self.advance(1_500)
         self.assertEqual(before, self.count_starts("south"))
-        self.assertEqual(JobOutcome.SUCCEEDED, told.outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
 
-class DivisionTest(EvacuationCase):
-    """Who owns the workers that are left."""
+class OwnershipTest(EvacuationCase):
+    """Ownership of the workers outside the evacuated domain."""
 
     workers = 12
     group_workers = 2.8
@@ -233,28 +233,28 @@
         views = [view for view in home.dispatcher.fleet.views if view.is_owned]
         return [view.domain for view in views if not view.is_evacuated]
 
-    def test_a_dispatcher_of_the_domain_has_its_part_of_the_rest(self):
+    def test_a_dispatcher_in_the_domain_owns_its_share_of_the_other_workers(self):
         self.world.evacuate("south")
         self.advance(100)
-        parts = [self.owned(home) for home in self.world.homes]
-        self.assertEqual([2, 3, 3], sorted(map(len, parts)))
-        self.assertNotIn("south", sum(parts, []))
+        shares = [self.owned(home) for home in self.world.homes]
+        self.assertEqual([2, 3, 3], sorted(map(len, shares)))
+        self.assertNotIn("south", sum(shares, []))
         self.world.evacuate()
         self.advance(100)
         self.assertEqual(["south"] * 4, self.owned(self.world.homes[1]))
 
 
 class RestartTest(EvacuationCase):
-    """All processes are back after a loss of power, with a domain evacuated."""
+    """All processes restart after a power loss while a domain is evacuated."""
 
-    def test_jobs_that_come_to_a_dispatcher_there_do_not_wait_for_its_workers(self):
+    def test_jobs_submitted_there_do_not_wait_for_evacuated_workers(self):
         self.world.evacuate("south")
         for home in self.world.homes[:]:
             home.kill()
         old, self.world.homes[:] = self.world.homes[:], []
         for worker in self.world.workers:
             worker.kill()
-        # Dispatchers are up before executors are.
+        # Dispatchers restart before executors.
         for home in old:
             name = home.address.removeprefix("tcp://")
             self.world.homes.append(Home(self.world, name, 2, domain=home.record.domain))
@@ -262,38 +262,38 @@
             for other in old:
                 home.list_member(DISPATCHER_PREFIX + other.address, other.record)
             home.router.take_members()
-        told = [self.submit(1) for _ in range(3)]
+        callers = [self.submit(1) for _ in range(3)]
         self.advance(40)
-        for place, worker in enumerate(self.world.workers):
-            self.world.workers[place] = Worker(
+        for index, worker in enumerate(self.world.workers):
+            self.world.workers[index] = Worker(
                 self.world, worker.name, 2, worker.minion, fence=100_000, domain=worker.domain
             )
             for home in self.world.homes:
-                # The store's watch tells of its key.
+                # The store watch reports the executor's new key.
                 home.dispatcher.fleet.note_written(worker.address)
         before = self.count_starts("south")
         self.advance(600)
-        self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in told})
+        self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
         self.assertEqual(before, self.count_starts("south"))
 
 
 class GuardTest(EvacuationCase):
-    """Executors keep the rule where dispatchers do not know it."""
+    """Evacuations while some processes are cut off from the store."""
 
     def cut_off(self, *parts):
         for part in parts:
             part.is_cut_off = True
 
-    def test_dispatchers_tell_each_other(self):
+    def test_one_dispatcher_with_access_to_the_store_informs_the_others(self):
         self.cut_off(*self.world.homes[1:], *self.world.workers)
         self.world.evacuate("south")
         self.advance(400)
         before = self.count_starts("south")
-        told = self.load(1_000)
+        callers = self.load(1_000)
         self.assertEqual(before, self.count_starts("south"))
-        self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in told})
+        self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
 
-    def test_executors_ask_where_no_dispatcher_is_heard_that_knows(self):
+    def test_executors_read_the_store_when_all_dispatchers_are_cut_off(self):
         self.cut_off(*self.world.homes)
         self.world.evacuate("south")
         self.advance(round(EVACUATION_MS))
@@ -301,33 +301,33 @@
         self.load(1_000)
         self.assertEqual(before, self.count_starts("south"))
 
-    def test_executors_go_by_what_they_know_while_nobody_is_told_anything(self):
+    def test_executors_use_the_last_known_list_when_all_processes_are_cut_off(self):
         self.cut_off(*self.world.homes, *self.world.workers)
-        told = self.load(8_000, every_ms=200)
-        self.assertEqual({JobOutcome.SUCCEEDED}, {one.outcome for one in told})
+        callers = self.load(8_000, every_ms=200)
+        self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
 
-    def test_an_executor_that_has_just_started_reads_first(self):
+    def test_a_new_executor_starts_nothing_in_the_evacuated_domain(self):
         self.cut_off(*self.world.homes)
         self.world.evacuate("south")
-        worker = next(one for one in self.world.workers if one.domain == "south")
+        worker = next(each for each in self.world.workers if each.domain == "south")
         worker.kill()
-        again = Worker(
+        successor = Worker(
             self.world, worker.name, 2, worker.minion, fence=100_000, domain=worker.domain
         )
-        self.world.workers[self.world.workers.index(worker)] = again
+        self.world.workers[self.world.workers.index(worker)] = successor
         before = len(worker.minion.started)
         self.load(1_000)
         self.assertEqual(before, len(worker.minion.started))
 
-    def test_a_dispatcher_that_has_just_started_places_nothing_before_it_knows(self):
+    def test_a_new_dispatcher_places_nothing_before_it_has_the_list(self):
         old = self.world.homes[1]
         self.world.evacuate("south")
         self.advance(400)
         old.kill()
         self.world.homes.remove(old)
         before = self.count_starts("south")
-        Home.read_operators, read = (lambda home: None), Home.read_operators
-        self.addCleanup(setattr, Home, "read_operators", read)
+        Home.read_operators, original = (lambda home: None), Home.read_operators
+        self.addCleanup(setattr, Home, "read_operators", original)
         home = Home(self.world, "h1", 2, domain="south")
         self.world.homes.append(home)
         self.assertFalse(home.evacuations.is_known)
@@ -335,7 +335,7 @@
         self.assertEqual(before, self.count_starts("south"))
         self.assertTrue(home.evacuations.covers("south"))
 
-    def test_a_dispatcher_that_wakes_does_not_start_there_by_what_it_knew(self):
+    def test_a_dispatcher_that_was_frozen_does_not_use_its_outdated_list(self):
         home = self.world.homes[1]
         home.freeze()
         self.world.network.freeze(home.address)
--- a/tests/test_leased_key.py
+++ b/tests/test_leased_key.py
@@ -1,4 +1,4 @@
-"""Tests of the leased key and of following a prefix, against the store in memory."""
+"""Tests of the leased key and of the store watch, against the memory store."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class LeasedKeyTest(unittest.TestCase):
-    """The key is there while its process lives and the store answers."""
+    """The key exists while its process runs and the store answers."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -32,14 +32,14 @@
         found = self.store.get(KEY)
         return found.value if found else None
 
-    def test_it_is_kept_and_goes_with_its_process(self):
+    def test_it_is_kept_until_its_process_ends(self):
         self.clock.advance(4 * TTL_MS)
         self.assertEqual(b"one", self.value())
         self.task.kill()
         self.clock.advance(TTL_MS)
         self.assertIsNone(self.value())
 
-    def test_a_key_that_lapsed_in_an_outage_is_back_soon_after_it(self):
+    def test_a_key_that_expired_in_an_outage_is_written_again_soon_after_it(self):
         self.store.down = True
         self.clock.advance(2 * TTL_MS)
         self.store.down = False
@@ -47,26 +47,26 @@
         self.clock.advance(2_000)
         self.assertEqual(b"one", self.value())
 
-    def test_a_key_of_an_earlier_process_is_read_and_written_over(self):
+    def test_a_key_of_an_earlier_process_is_read_and_overwritten(self):
         self.task.kill()
         key = LeasedKey(self.store, self.clock, KEY, b"two", TTL_MS)
         self.assertEqual(b"one", key.read())
         self.assertTrue(key.refresh())
         self.assertEqual(b"two", self.value())
 
-    def test_a_key_of_an_earlier_process_is_written_over_unread(self):
+    def test_a_key_of_an_earlier_process_is_overwritten_without_a_read(self):
         self.task.kill()
         self.make_key(b"two")
         self.assertEqual(b"two", self.value())
 
-    def test_an_answer_that_was_lost_leaves_no_key_out(self):
+    def test_the_key_is_written_after_a_lost_answer(self):
         self.task.kill()
         self.store.lose_answers = 1
         self.make_key(b"two")
         self.clock.advance(1_000)
         self.assertEqual(b"two", self.value())
 
-    def test_a_key_that_was_taken_away_is_written_again_when_somebody_misses_it(self):
+    def test_a_deleted_key_is_written_again_when_it_is_checked(self):
         self.clock.advance(TTL_MS + 1)
         self.store.delete(KEY, self.store.get(KEY).revision)
         self.key.check()
@@ -85,22 +85,22 @@
 
 
 class StoreWatchTest(unittest.TestCase):
-    """What is followed is complete again after each fault."""
+    """The watched keys are complete again after each store fault."""
 
     def setUp(self):
         self.clock = ManualClock()
         self.store = MemoryStore(self.clock, history_limit=4)
         self.seen = {}
-        watch = StoreWatch(self.store, "p/", self.clock, self.take_all, self.take)
+        watch = StoreWatch(self.store, "p/", self.clock, self.replace_all, self.apply)
         task = eventlet.spawn(watch.run)
         self.addCleanup(task.kill)
         self.clock.advance(1)
         self.watch = watch
 
-    def take_all(self, snapshot):
+    def replace_all(self, snapshot):
         self.seen = {pair.key: pair.value for pair in snapshot.pairs}
 
-    def take(self, change):
+    def apply(self, change):
         if change.value is None:
             self.seen.pop(change.key, None)
         else:
@@ -111,7 +111,7 @@
         self.clock.advance(1)
         self.assertEqual({"p/a": b"1"}, self.seen)
 
-    def test_what_happened_in_an_outage_is_seen_soon_after_it(self):
+    def test_changes_during_an_outage_arrive_soon_after_it(self):
         self.store.swap("p/a", 0, b"1")
         self.clock.advance(1)
         self.store.down = True
@@ -123,7 +123,7 @@
         self.clock.advance(1_000)
         self.assertEqual({"p/a": b"1", "p/b": b"2"}, self.seen)
 
-    def test_a_history_that_was_dropped_is_read_anew(self):
+    def test_a_compacted_history_is_replaced_by_a_new_listing(self):
         self.store.down = True
         self.store.down = False
         for number in range(9):
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -1,4 +1,4 @@
-"""Tests of callers' requests and minions' reports as the platform sends them."""
+"""Tests of the HTTP interfaces for callers' jobs and minions' reports."""
 
 import json
 import unittest
@@ -54,14 +54,17 @@
 
 
 def make_body(run_ms=20, how="", **fields):
-    """Return a job's body as callers send it."""
+    """Return the body of a job submission.
+
+    :param how: how the memory minion ends the tasks, such as ``fail``
+    """
     spec = f"1000:{run_ms}" + (f":{how}" if how else "")
     step = {"count": 2, "cpu": 1000, "estimate_ms": run_ms}
     return {"spec": spec, "steps": [step], "best_effort": True} | fields
 
 
 class IngressTest(unittest.TestCase):
-    """Callers' requests, over loopback."""
+    """Callers' requests, sent over loopback."""
 
     def setUp(self):
         self.world = DispatchWorld(2)
@@ -79,8 +82,8 @@
         document = json.dumps(CONFIGURATION | changes).encode()
         return self.configuration.take(decode_configuration(document))
 
-    def drive(self):
-        """Let the world's time pass beside the real one."""
+    def run_clock(self):
+        """Advance the world's clock in the background until the test ends."""
 
         def run():
             while True:
@@ -90,15 +93,15 @@
         task = eventlet.spawn(run)
         self.addCleanup(task.kill)
 
-    def ask(self, method, path, body=None, host="nony24.example", **headers):
+    def request(self, method, path, body=None, host="nony24.example", **headers):
         url = f"http://{self.server.address}{path}"
         data = json.dumps(body).encode() if body is not None else None
         headers = {"Host": host, "Content-Type": "application/json"} | headers
         response = self.http.request(method, url, body=data, headers=headers, timeout=20)
         return response.status, json.loads(response.data or b"{}"), response.headers
 
-    def test_without_a_configuration_nothing_is_taken(self):
-        status, answer, headers = self.ask("POST", f"/lohu930/{JOB}", make_body())
+    def test_without_a_configuration_jobs_are_refused(self):
+        status, answer, headers = self.request("POST", f"/lohu930/{JOB}", make_body())
         self.assertEqual((503, "configuration_unknown"), (status, answer["code"]))
         self.assertIn("Retry-After", headers)
 
@@ -117,30 +120,30 @@
         ]
         for method, path, host, expected in rows:
             with self.subTest(method=method, path=path, host=host):
-                status, answer, _ = self.ask(method, path, host=host)
+                status, answer, _ = self.request(method, path, host=host)
                 self.assertEqual(expected, status)
                 if expected == 200:
                     self.assertEqual({"pending": 0}, answer)
 
     def test_a_job_is_answered_when_it_has_ended(self):
         self.configure()
-        self.drive()
+        self.run_clock()
         for how, state in (("", "succeeded"), ("fail", "failed")):
             with self.subTest(how=how):
                 job = f"{JOB[:-1]}{len(how)}"
-                status, answer, _ = self.ask("POST", f"/lohu930/{job}", make_body(how=how))
+                status, answer, _ = self.request("POST", f"/lohu930/{job}", make_body(how=how))
                 self.assertEqual((200, state), (status, answer["state"]))
 
-    def test_a_job_not_finished_in_time_may_have_run(self):
+    def test_a_job_past_its_deadline_is_answered_with_504(self):
         self.configure()
-        self.drive()
+        self.run_clock()
         body = make_body(run_ms=60_000)
         body["steps"][0]["estimate_ms"] = 100
         headers = {"Deadline-Ms": "400"}
-        status, answer, _ = self.ask("POST", f"/lohu930/{JOB}", body, **headers)
+        status, answer, _ = self.request("POST", f"/lohu930/{JOB}", body, **headers)
         self.assertEqual((504, "deadline"), (status, answer["code"]))
 
-    def test_kinds_that_are_not_served_are_refused_at_once(self):
+    def test_unsupported_kinds_of_jobs_are_refused_at_once(self):
         self.configure()
         step = {"count": 1, "cpu": 1000}
         rows = [
@@ -154,37 +157,37 @@
         ]
         for code, body in rows:
             with self.subTest(code=code, body=body):
-                status, answer, headers = self.ask("POST", f"/lohu930/{JOB}", body)
+                status, answer, headers = self.request("POST", f"/lohu930/{JOB}", body)
                 self.assertEqual((503, code), (status, answer["code"]))
                 self.assertIn("Retry-After", headers)
-        advised = self.ask("POST", f"/x/{JOB}", make_body(), "other.example")
+        advised = self.request("POST", f"/x/{JOB}", make_body(), "other.example")
         self.assertEqual((503, "kind_unsupported"), (advised[0], advised[1]["code"]))
-        self.assertEqual(400, self.ask("POST", f"/lohu930/{JOB}", {"steps": "no"})[0])
+        self.assertEqual(400, self.request("POST", f"/lohu930/{JOB}", {"steps": "no"})[0])
         self.assertEqual([], [w.minion.started for w in self.world.workers if w.minion.started])
 
-    def test_the_runs_of_a_caller_who_leaves_are_stopped(self):
+    def test_runs_are_stopped_when_their_caller_disconnects(self):
         self.configure()
-        self.drive()
+        self.run_clock()
         caller = eventlet.connect(("127.0.0.1", int(self.server.address.rpartition(":")[2])))
         job = make_body(run_ms=50_000)
         job["steps"][0]["estimate_ms"] = 100
         body = json.dumps(job).encode()
         head = f"POST /lohu930/{JOB} HTTP/1.1\r\nHost: nony24.example\r\n"
         caller.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
-        running = [w.minion for w in self.world.workers]
-        wait_until(lambda: any(minion.running for minion in running))
+        minions = [w.minion for w in self.world.workers]
+        wait_until(lambda: any(minion.running for minion in minions))
         caller.close()
-        wait_until(lambda: not any(minion.running for minion in running))
+        wait_until(lambda: not any(minion.running for minion in minions))
         self.assertTrue(self.dispatcher.is_idle)
 
-    def test_an_older_configuration_never_comes_back(self):
+    def test_an_older_configuration_never_replaces_a_newer_one(self):
         self.assertTrue(self.configure())
         self.assertTrue(self.configure(version=9, routes=[]))
         self.assertFalse(self.configure(version=8))
-        self.assertEqual(404, self.ask("GET", "/lohu930/")[0])
+        self.assertEqual(404, self.request("GET", "/lohu930/")[0])
         self.assertIsNone(decode_configuration(b"{"))
 
-    def test_readiness(self):
+    def test_readiness_check(self):
         ready = [False]
         server = WebServer(
             ReadyCheck(lambda: ready[0], MemoryCounters()), "127.0.0.1:0", SystemClock()
@@ -198,7 +201,7 @@
 
 
 class ReportsTest(unittest.TestCase):
-    """A minion's reports, over loopback."""
+    """A minion's reports, sent over loopback."""
 
     def setUp(self):
         clock = SystemClock()
@@ -215,7 +218,7 @@
         url = f"http://{self.server.address}{path}"
         return self.http.request("POST", url, body=json.dumps(body)).status
 
-    def test_reports_are_taken(self):
+    def test_reports_and_leaving_update_the_executor(self):
         body = {
             "service": "huvo11a",
             "addr": "10.128.0.9:8080",
@@ -239,18 +242,18 @@
         self.post("/instances/i-7f3a91c2/heartbeat", body | {"seq": 4})
         eventlet.sleep(0.05)
         self.assertFalse(self.executor.state().accepts)
-        other = {"born": self.minion.life.started_unix_ms - 1}
-        self.assertEqual(200, self.post("/instances/i-7f3a91c2/deregister", other))
+        earlier = {"born": self.minion.life.started_unix_ms - 1}
+        self.assertEqual(200, self.post("/instances/i-7f3a91c2/deregister", earlier))
         self.assertEqual("i-7f3a91c2", self.executor.state().instance)
         self.assertEqual(400, self.post("/instances/i-7f3a91c2/deregister", {"born": "x"}))
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/deregister", {}))
         self.assertEqual("", self.executor.state().instance)
 
-    def test_reports_that_are_none(self):
+    def test_invalid_reports_and_unknown_paths_are_rejected(self):
         self.assertEqual(400, self.post("/instances/i-1/heartbeat", {"service": 3}))
         self.assertEqual(404, self.post("/instances/i-1/other", {}))
 
-    def test_reports_of_another_writer_name_no_minion_and_the_known_one_holds(self):
+    def test_invalid_reports_leave_the_known_minion_in_place(self):
         body = {
             "service": "huvo11a",
             "addr": "10.128.0.9:8080",
@@ -275,14 +278,14 @@
             ("labels of another type", body | {"labels": {"a": 1}}),
             ("a list", []),
         ]
-        for name, odd in rows:
+        for name, invalid in rows:
             for instance in ("i-7f3a91c2", "i-other"):
                 with self.subTest(name, instance=instance):
-                    status = self.post(f"/instances/{instance}/heartbeat", odd)
+                    status = self.post(f"/instances/{instance}/heartbeat", invalid)
                     self.assertEqual(400, status)
         url = f"http://{self.server.address}/instances/i-other/heartbeat"
-        unreadable = self.http.request("POST", url, body=b"\xff\x00{")
-        self.assertEqual(400, unreadable.status)
+        response = self.http.request("POST", url, body=b"\xff\x00{")
+        self.assertEqual(400, response.status)
         state = self.executor.state()
         self.assertEqual(("i-7f3a91c2", "huvo11a"), (state.instance, state.service))
         self.assertEqual(16_000, state.room.cpu)
--- a/tests/test_platform_minion.py
+++ b/tests/test_platform_minion.py
@@ -1,4 +1,4 @@
-"""Contract tests of the calls to a minion: its answers, its faults, a whole session."""
+"""Contract tests of the minion's HTTP client: answers, faults, and a recorded session."""
 
 import json
 import socket
@@ -16,11 +16,11 @@
 from tests.small import serve
 
 GOLDEN = Path(__file__).parent / "golden" / "minion_session.json"
-FAR = 1e9
+FAR_FUTURE_MS = 1e9
 
 
 class MinionControlTest(unittest.TestCase):
-    """The client against a stand-in over loopback."""
+    """The client against a fake minion over loopback."""
 
     def setUp(self):
         self.clock = ManualClock(5_000.0)
@@ -29,7 +29,7 @@
         self.life = self.minion.life._replace(address=serve(self, self.standin))
         self.control = HttpMinionControl(SystemClock(), MemoryCounters())
 
-    def start(self, task="j.0.0.0", attempt=1, payload="1000:100", lease=FAR, fence=3):
+    def start(self, task="j.0.0.0", attempt=1, payload="1000:100", lease=FAR_FUTURE_MS, fence=3):
         return self.control.start(self.life, RunKey(task, attempt), payload, lease, fence).outcome
 
     def test_answers_to_a_start(self):
@@ -44,7 +44,7 @@
                 self.minion.refuse_with = outcome
                 self.assertEqual(outcome, self.start("n"))
 
-    def test_statuses_without_meaning_started_nothing(self):
+    def test_statuses_that_mean_that_the_run_did_not_start(self):
         for status, outcome in (
             (400, StartOutcome.REJECTED),
             (429, StartOutcome.UNHEALTHY),
@@ -54,14 +54,14 @@
                 self.standin.forced = status
                 self.assertEqual(outcome, self.start())
 
-    def test_a_start_answered_with_a_status_of_no_known_meaning_may_have_run(self):
+    def test_a_start_with_an_unknown_status_may_have_been_carried_out(self):
         for status in (404, 412):
             with self.subTest(status=status):
                 self.standin.forced = status
                 with self.assertRaises(MinionSilent):
                     self.start()
 
-    def test_another_life_is_told_apart(self):
+    def test_an_incarnation_with_another_name_is_detected(self):
         self.minion.reborn("i-2")
         for call in (
             self.start,
@@ -71,7 +71,7 @@
             with self.assertRaises(MinionReplaced):
                 call()
 
-    def test_a_later_life_of_the_same_name_is_told_apart(self):
+    def test_a_later_incarnation_with_the_same_name_is_detected(self):
         self.clock.advance(10)
         self.minion.restart()
         with self.assertRaises(MinionReplaced):
@@ -95,7 +95,7 @@
                     with self.assertRaises(MinionSilent):
                         call()
 
-    def test_a_minion_whose_process_has_ended(self):
+    def test_a_refused_connection_means_that_the_minion_is_down(self):
         with socket.socket() as bound:
             bound.bind(("127.0.0.1", 0))
             closed = f"127.0.0.1:{bound.getsockname()[1]}"
@@ -105,33 +105,35 @@
         with self.assertRaises(MinionDown):
             self.control.look(self.life, 3, 0, None, 0.0)
 
-    def test_a_full_list_of_ends_says_that_there_may_be_more(self):
+    def test_a_full_list_of_finished_runs_is_marked_as_partial(self):
         for number in range(LISTED_ENDS):
-            self.minion.start(self.minion.life, RunKey(f"j.0.0.{number}", 1), "1:1", FAR, 3)
+            self.minion.start(
+                self.minion.life, RunKey(f"j.0.0.{number}", 1), "1:1", FAR_FUTURE_MS, 3
+            )
         self.clock.advance(5)
         view = self.control.look(self.life, 3, 0, None, 0.0)
         self.assertEqual((LISTED_ENDS, True), (len(view.ended), view.is_partial))
         view = self.control.look(self.life, 3, 1, None, 0.0)
         self.assertEqual((LISTED_ENDS - 1, False), (len(view.ended), view.is_partial))
 
-    def test_a_lower_token_is_refused(self):
+    def test_a_lower_fencing_token_is_refused(self):
         self.control.look(self.life, 9, 0, None, 0.0)
         with self.assertRaises(Fenced):
             self.control.look(self.life, 8, 0, None, 0.0)
         with self.assertRaises(Fenced):
             self.control.stop(self.life, RunKey("j", 1), 8)
 
-    def test_a_whole_session_is_as_recorded(self):
+    def test_a_session_matches_the_golden_file(self):
         self.start(payload="1000:100")
         self.start("k.0.0.1", payload="1000:900")
-        view = self.control.look(self.life, 3, 0, FAR, 0.0)
+        view = self.control.look(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
         self.assertEqual({RunKey("j.0.0.0", 1): 0.4, RunKey("k.0.0.1", 1): 0.4}, view.running)
         self.control.stop(self.life, RunKey("k.0.0.1", 1), 3)
         self.clock.advance(150)
-        view = self.control.look(self.life, 3, 0, FAR, 0.0)
+        view = self.control.look(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
         ends = {end.key.task: end for end in view.ended}
         self.assertEqual(RUN_STOPPED, ends["k.0.0.1"].how)
         self.assertEqual(ListedEnd(2, RunKey("j.0.0.0", 1), RUN_DONE), ends["j.0.0.0"])
-        view = self.control.look(self.life, 3, 2, FAR, 0.0)
+        view = self.control.look(self.life, 3, 2, FAR_FUTURE_MS, 0.0)
         self.assertEqual(((), {}), (view.ended, view.running))
         self.assertEqual(json.loads(GOLDEN.read_text()), self.standin.session)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Contract tests of the platform's store, and its own faults."""
+"""Contract and fault tests of the HTTP client for the platform's store."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class PlatformStoreTest(StoreContract, unittest.TestCase):
-    """The contract on the client, against a stand-in over loopback."""
+    """The store contract, with the client against a fake store over loopback."""
 
     refused_write = StoreUnavailable
 
@@ -28,7 +28,7 @@
         )
 
     def test_watch_is_woken_and_costs_one_call(self):
-        """Here each wait is a call, and events that came together are told together."""
+        """A pending watch call returns when a key is written, and fails if the store is down."""
         watch = self.store.watch("p/", 1)
         for number in range(3):
             waiting = eventlet.spawn(take, watch, 1)
@@ -55,10 +55,10 @@
         self.store.swap("a", 0, b"1")
         self.store.get("a")
         self.store.get("b")
-        counted = self.counters.snapshot()
-        self.assertEqual(1, counted["store_calls{kind=swap,outcome=200}"])
-        self.assertEqual(1, counted["store_calls{kind=swap,outcome=412}"])
-        self.assertEqual(1, counted["store_calls{kind=get,outcome=404}"])
+        counts = self.counters.snapshot()
+        self.assertEqual(1, counts["store_calls{kind=swap,outcome=200}"])
+        self.assertEqual(1, counts["store_calls{kind=swap,outcome=412}"])
+        self.assertEqual(1, counts["store_calls{kind=get,outcome=404}"])
 
     def test_faults(self):
         absent, old, new = None, b"old", b"new"
@@ -82,7 +82,7 @@
             ("get", hang, StoreUnavailable, old),
             ("swap", hang, StoreUnknown, old),
         ]
-        for name, faults, error, value in rows:
+        for name, faults, expected_error, value in rows:
             with self.subTest(call=name, **faults):
                 self.restart()
                 self.store.swap("k", 0, b"old")
@@ -100,11 +100,11 @@
                     setattr(self.standin, fault, setting)
                 with self.assertRaises(StoreError) as raised:
                     calls[name]()
-                self.assertIs(error, type(raised.exception))
+                self.assertIs(expected_error, type(raised.exception))
                 self.standin.forced, self.standin.lose, self.standin.hang = None, 0, False
                 self.assertEqual(value, self.value_of("k"))
 
-    def test_a_refused_connection_wrote_nothing(self):
+    def test_a_refused_connection_means_that_nothing_was_written(self):
         listener = eventlet.listen(("127.0.0.1", 0))
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         listener.close()
@@ -112,7 +112,7 @@
         with self.assertRaises(StoreUnavailable):
             store.swap("a", 0, b"1")
 
-    def test_answers_that_make_no_sense(self):
+    def test_malformed_answers(self):
         self.standin.answer = lambda *_: (200, {"unexpected": 1})
         with self.assertRaises(StoreUnavailable):
             self.store.list("")
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the one folder that translates them."""
+"""Tests that only the ``platform`` package uses the platform's names."""
 
 import re
 import unittest
@@ -6,7 +6,7 @@
 
 PACKAGE = Path(__file__).parent.parent / "geraniumspool"
 FOLDER = PACKAGE / "platform"
-# Names of calls, headers, keys and fields that mean nothing elsewhere.
+# Patterns of the platform's call, header, key and field names.
 WORDS = (
     r"kv-(?:key|range|watch|txn|lease|keep)",
     r"op/config",
@@ -33,21 +33,21 @@
     r"\bstretch[:=]",
     r"\bborn\b",
 )
-# A tenth of the package and less.
+# Largest size of the platform package, as a share of the lines of the other modules.
 LARGEST_SHARE = 0.1
 
 
 class WordsTest(unittest.TestCase):
-    """Where the platform's names stand."""
+    """Use of the platform's names outside and inside the package."""
 
-    def test_names_are_used_in_the_folder_alone(self):
+    def test_other_modules_do_not_use_the_names(self):
         pattern = re.compile("|".join(WORDS))
         for path in sorted(PACKAGE.glob("*.py")):
             for number, line in enumerate(path.read_text().splitlines(), 1):
                 with self.subTest(file=path.name, line=number):
                     self.assertIsNone(pattern.search(line), line)
 
-    def test_every_name_is_one_that_the_folder_uses(self):
+    def test_every_name_occurs_in_the_package(self):
         text = "".join(path.read_text() for path in FOLDER.glob("*.py"))
         unused = {"checkpoint_data", "heartbeat_addr", "cold_left_ms", "remaining_ms", "port_range"}
         for word in WORDS:
@@ -55,7 +55,7 @@
                 with self.subTest(word=word):
                     self.assertRegex(text, word)
 
-    def test_the_folder_is_small(self):
+    def test_the_package_is_small(self):
         def count(paths):
             return sum(len(path.read_text().splitlines()) for path in paths)
 
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -1,4 +1,4 @@
-"""Tests of the entries' keys in the store."""
+"""Tests of the registration of entries in the store."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class RegistrarTest(unittest.TestCase):
-    """Leased keys, with faults of the store."""
+    """Registration and discovery, with faults of the store."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -25,7 +25,11 @@
         return Registrar(self.store, roster, self.clock, lambda: member, 10_000)
 
     def test_faults(self):
-        """Each case: a fault, what it sets at the store, and whether registered with it."""
+        """After any store fault ends, the next refresh registers the entry.
+
+        Each case is the name of a fault, the store's attributes that cause it, and whether
+        the entry counts as registered during it.
+        """
         cases = (
             ("none", {}, True),
             ("store down", {"down": True}, False),
@@ -48,14 +52,14 @@
         for name, value in values.items():
             setattr(self.store, name, value)
 
-    def test_outage_keeps_what_is_known(self):
+    def test_known_entries_are_kept_in_an_outage(self):
         self.registrar.refresh()
         self.store.down = True
         self.clock.advance(3_600_000)
         self.registrar.refresh()
         self.assertEqual(self.roster.entries(), [self.other])
 
-    def test_lapsed_lease_is_replaced_and_the_key_written_again(self):
+    def test_expired_lease_is_replaced_and_the_key_written_again(self):
         self.registrar.refresh()
         self.clock.advance(10_001)
         self.assertEqual(discover_entries(self.store), ())
@@ -71,6 +75,6 @@
         registrar.withdraw()
         self.assertEqual(discover_entries(self.store), (self.other,))
 
-    def test_malformed_key_is_passed_over(self):
+    def test_malformed_value_is_ignored(self):
         self.store.swap("entries/broken", 0, b"{")
         self.assertEqual(discover_entries(self.store), (self.other,))
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -1,4 +1,4 @@
-"""Tests of the members that the store lists."""
+"""Tests of the membership of dispatchers and executors."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    """Members that come, go, and come back."""
+    """Members that register, disappear, return, or have an invalid record."""
 
     def setUp(self):
         self.directory = Directory()
@@ -31,12 +31,12 @@
         )
         self.directory.replace(self.pairs, 0.0)
 
-    def test_members_are_known_by_what_they_tell(self):
+    def test_members_are_known_by_their_records(self):
         self.assertEqual({"w": WORKER}, self.directory.workers)
         self.assertEqual({"h": DISPATCHER}, self.directory.dispatchers)
         self.assertEqual(("fitting", "r1"), (WORKER.service, WORKER.rack))
 
-    def test_a_member_off_the_list_is_kept_until_it_should_be_back(self):
+    def test_an_unlisted_member_is_kept_for_a_while(self):
         self.directory.replace((), 100.0)
         self.assertEqual(set(), self.directory.listed)
         self.assertFalse(self.directory.forget(100.0 + KEEP_UNLISTED_MS))
@@ -45,19 +45,19 @@
         self.assertEqual({}, self.directory.workers)
         self.assertEqual({}, self.directory.dispatchers)
 
-    def test_one_that_is_back_in_time_stays(self):
+    def test_a_member_that_is_listed_again_in_time_stays(self):
         self.directory.change(WORKER_PREFIX + "w", None, 100.0)
         self.directory.change(WORKER_PREFIX + "w", encode_record(WORKER), 2_000.0)
         self.assertFalse(self.directory.forget(9_000.0))
         self.assertEqual({"w"}, self.directory.listed)
 
-    def test_records_of_another_writer_are_not_read(self):
+    def test_invalid_records_are_not_decoded(self):
         rows = [b"", b"\xff", b"[]", b'{"domain":7}', b'{"life":{"service":3}}']
         for value in rows:
             with self.subTest(value=value), self.assertLogs("geraniumspool", "WARNING"):
                 self.assertIsNone(decode_record(value, WorkerRecord))
 
-    def test_an_entry_of_another_writer_makes_no_dispatcher_and_changes_none(self):
+    def test_an_invalid_record_neither_adds_nor_changes_a_dispatcher(self):
         rows = [b"", b'{"capacity":0}', b'{"capacity":-1}', b'{"capacity":1e300}', b'{"domain":[]}']
         for value in rows:
             with self.subTest(value=value), self.assertLogs("geraniumspool", "WARNING"):
@@ -65,12 +65,12 @@
                     self.directory.change(DISPATCHER_PREFIX + address, value, 0.0)
             self.assertEqual({"h": DISPATCHER}, self.directory.dispatchers)
 
-    def test_an_entry_of_another_writer_leaves_a_worker_as_it_was(self):
+    def test_an_invalid_record_leaves_a_worker_unchanged(self):
         with self.assertLogs("geraniumspool", "WARNING"):
             self.directory.change(WORKER_PREFIX + "w", b"?", 0.0)
         self.assertEqual({"w": WORKER}, self.directory.workers)
 
-    def test_keys_of_another_kind_are_passed_over(self):
+    def test_keys_of_an_unknown_kind_are_ignored(self):
         self.directory.change("geraniumspool/members/others/x", b"{}", 0.0)
         self.assertEqual({"w"}, self.directory.workers.keys())
         self.assertEqual({"h"}, self.directory.dispatchers.keys())
