--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -156,7 +156,7 @@
 
 
 class Announcement(NamedTuple):
-    """A minion's registration with the agent beside it.
+    """What a minion announces to the agent beside it.
 
     :param service: service whose tasks the minion runs
     :param url: base URL that tasks are posted to
--- a/geraniumspool/leased_key.py
+++ b/geraniumspool/leased_key.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, store: Store, clock: Clock, key: str, value: bytes, ttl_ms: float):
-        """Create the key's keeper; nothing is written before :meth:`run`.
+        """Create the object; the key is not written before :meth:`run`.
 
         :param value: value to keep under the key
         :param ttl_ms: time to live of the lease in milliseconds
--- a/geraniumspool/platform/configuration.py
+++ b/geraniumspool/platform/configuration.py
@@ -19,7 +19,7 @@
     :ivar prefix: path prefix of the queue's requests
     :ivar priority: urgency, 0 is the most urgent
     :ivar attempts: most runs of a task that may end as failed
-    :ivar stretch: factor of the latency objective that is multiplied by the job's work
+    :ivar stretch: factor of the job's estimated run time in the latency objective
     :ivar target_duration_ms: constant part of the latency objective
     :ivar timeout_ms: longest wait of a caller; jobs are not limited by it
     :ivar hint: set if an external service decides which minions may run the queue's tasks
--- a/geraniumspool/registrar.py
+++ b/geraniumspool/registrar.py
@@ -45,12 +45,12 @@
         self._ttl_ms = ttl_ms
         self._lease = 0
         self._revision = 0
-        self._written = b""
+        self._written_value = b""
 
     @property
     def registered(self) -> bool:
         """Whether this entry's key existed at the store's last answer."""
-        return self._lease != 0 and self._written != b""
+        return self._lease != 0 and self._written_value != b""
 
     def run(self) -> None:
         """Refresh the key and the list of entries until the task is killed."""
@@ -85,26 +85,27 @@
                 return
             except LeaseExpired:
                 self._lease = 0
-        self._written = b""
+        self._written_value = b""
         self._lease = self._store.grant_lease(self._ttl_ms)
 
     def _write_key(self) -> None:
         value = msgspec.json.encode(self._describe_self()._replace(load=_NO_LOAD))
-        if value == self._written:
+        if value == self._written_value:
             return
-        self._written = b""
+        self._written_value = b""
         outcome = self._store.swap(self._key(), self._revision, value, self._lease)
+        # A key of an earlier incarnation is overwritten, at the revision that the store reports.
         if not outcome.swapped:
             current = outcome.current.revision if outcome.current else 0
             outcome = self._store.swap(self._key(), current, value, self._lease)
         if outcome.swapped:
             self._revision = outcome.revision
-            self._written = value
+            self._written_value = value
 
     def _record_entries(self, entries: tuple[Member, ...]) -> None:
         own = self._describe_self()
         if all(peer_of(entry) != peer_of(own) for entry in entries):
-            self._written = b""
+            self._written_value = b""
         for entry in entries:
             if entry.address != own.address:
                 self._roster.observe(entry)
--- a/geraniumspool/registrations.py
+++ b/geraniumspool/registrations.py
@@ -136,7 +136,10 @@
 
 
 def decode_record(value: bytes, record_type: type[Record]) -> Record | None:
-    """Return the record in a key's value, or None if another program wrote an invalid one."""
+    """Return the record in a key's value, or None if the value is invalid.
+
+    An invalid value may have been written by another program.
+    """
     try:
         return msgspec.json.decode(value, type=record_type)
     except msgspec.MsgspecError as error:
