--- a/geraniumspool/configuration.py
+++ b/geraniumspool/configuration.py
@@ -56,10 +56,10 @@
         """
         self._clock = clock
         self._counters = counters
-        self._held: dict[str, Document] = {}
+        self._in_force: dict[str, Document] = {}
         self._parsed: dict[str, OperatorDocument] = {}
         self._rejections: dict[str, Rejection] = {}
-        self._ordered: tuple[Document, ...] = ()
+        self._by_revision: tuple[Document, ...] = ()
         self._listed_revision = 0
         self._stored_revisions: dict[str, int] = {}
         self._is_store_rolled_back = False
@@ -68,7 +68,7 @@
     @property
     def revision(self) -> int:
         """Highest revision in force, 0 if there is none."""
-        return self._ordered[-1].revision if self._ordered else 0
+        return self._by_revision[-1].revision if self._by_revision else 0
 
     @property
     def store_revision(self) -> int:
@@ -93,7 +93,7 @@
         ordered = sorted(documents, key=_order_of)
         accepted = [document for document in ordered if self._accept(document)]
         if accepted:
-            self._ordered = tuple(sorted(self._held.values(), key=_order_of))
+            self._by_revision = tuple(sorted(self._in_force.values(), key=_order_of))
             self.changed_ms = self._clock.now()
         return accepted
 
@@ -145,8 +145,8 @@
         or a later one.
         """
         for pair in snapshot.pairs:
-            held = self._held.get(pair.key.removeprefix(CONFIG_PREFIX))
-            if held and pair.revision < held.revision <= snapshot.revision:
+            current = self._in_force.get(pair.key.removeprefix(CONFIG_PREFIX))
+            if current and pair.revision < current.revision <= snapshot.revision:
                 return True
         return False
 
@@ -174,25 +174,25 @@
         :param limit_bytes: approximate size limit, exceeded if the first revision is larger
         :returns: documents in the order of their revisions
         """
-        first = bisect_right(self._ordered, revision, key=_revision_of)
+        first = bisect_right(self._by_revision, revision, key=_revision_of)
         size = 0
-        for index in range(first, len(self._ordered)):
-            document = self._ordered[index]
+        for index in range(first, len(self._by_revision)):
+            document = self._by_revision[index]
             size += len(document.key) + len(document.body) + DOCUMENT_OVERHEAD_BYTES
             is_new_revision = (
-                index > first and document.revision > self._ordered[index - 1].revision
+                index > first and document.revision > self._by_revision[index - 1].revision
             )
             if is_new_revision and size > limit_bytes:
-                return self._ordered[first:index]
-        return self._ordered[first:]
+                return self._by_revision[first:index]
+        return self._by_revision[first:]
 
     def documents(self) -> tuple[Document, ...]:
         """Return the documents in force, in the order of their revisions."""
-        return tuple(document for document in self._ordered if document.body)
+        return tuple(document for document in self._by_revision if document.body)
 
     def held(self, key: str) -> Document | None:
         """Return the document or deletion in force for a key, None if there is none."""
-        return self._held.get(key)
+        return self._in_force.get(key)
 
     def service(self, name: str) -> ServiceDocument:
         """Return a service's document, or the defaults."""
@@ -210,15 +210,15 @@
     def _accept(self, document: Document) -> bool:
         """Put a document in force if it is newer and valid; return whether it was."""
         key = document.key
-        held = self._held.get(key)
-        if held is not None and document.revision <= held.revision:
+        current = self._in_force.get(key)
+        if current is not None and document.revision <= current.revision:
             return False
         try:
             parsed = parse_document(key, document.body) if document.body else None
         except InvalidInput as error:
             self._reject(key, document.revision, error.findings)
             return False
-        self._held[key] = document
+        self._in_force[key] = document
         if parsed is None:
             self._parsed.pop(key, None)
         else:
@@ -231,9 +231,9 @@
 
     def _reject(self, key: str, revision: int, findings: list[Finding]) -> None:
         """Record the faults of a value, unless a newer one is known for the key."""
-        held = self._held.get(key)
+        current = self._in_force.get(key)
         rejection = self._rejections.get(key)
-        newest = max(held.revision if held else 0, rejection.revision if rejection else 0)
+        newest = max(current.revision if current else 0, rejection.revision if rejection else 0)
         if revision <= newest:
             return
         self._rejections[key] = Rejection(revision, tuple(findings))
