--- a/geraniumspool/__init__.py
+++ b/geraniumspool/__init__.py
@@ -1,3 +1,3 @@
-"""A dispatcher for services made of many sub-second tasks."""
+"""A distributed dispatcher for jobs that consist of many sub-second tasks."""
 
 __version__ = "0.1.0"
--- a/geraniumspool/__main__.py
+++ b/geraniumspool/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the command line; green sockets and timers are switched on here."""
+"""Entry point of the command line; monkey-patches the standard library for eventlet first."""
 
 import warnings
 
--- a/geraniumspool/connection.py
+++ b/geraniumspool/connection.py
@@ -1,7 +1,7 @@
-"""One caller's HTTP connection on :mod:`eventlet.wsgi`, with limits.
+"""HTTP connection of one caller on :mod:`eventlet.wsgi`, with size and time limits.
 
-Every phase of a connection (idle, headers, body, reply) has a time limit of
-its own that a caller cannot stretch by sending bytes slowly.
+Every phase of a connection (idle, headers, body, reply) has its own time
+limit. A caller cannot extend it by sending bytes slowly.
 """
 
 import math
@@ -20,7 +20,9 @@
 REQUEST_MALFORMED = "request_malformed"
 CONNECTION = "geraniumspool.connection"
 
+# Limit of the line that precedes each chunk of a chunked body, in bytes.
 MAX_CHUNK_LINE = 1024
+# Limits for reading and discarding the rest of a rejected request before the connection is closed.
 LINGER_MS = 2_000.0
 LINGER_BYTES = 4 << 20
 
@@ -28,9 +30,9 @@
 class Limits(NamedTuple):
     """Time limits of a connection's phases, in milliseconds.
 
-    :param header_ms: from a request's first byte to the end of its headers
-    :param body_ms: for the body to arrive, and for the reply to be taken
-    :param idle_ms: between two requests
+    :param header_ms: limit from a request's first byte to the end of its headers
+    :param body_ms: limit for receiving the body, and again for sending the reply
+    :param idle_ms: limit of the wait for the next request
     """
 
     header_ms: float = 10_000.0
@@ -39,7 +41,13 @@
 
 
 class Server(Protocol):
-    """What a connection needs of its server."""
+    """Attributes of the server that a connection uses.
+
+    :ivar max_header_bytes: limit of a request's head (request line and headers)
+    :ivar draining: whether the server has stopped accepting connections
+    :ivar retiring: whether each connection is closed after its next reply
+    :ivar connections: all open connections
+    """
 
     limits: Limits
     max_header_bytes: int
@@ -50,24 +58,25 @@
 
 
 class Attachable:
-    """What an application tells the connection it answers on; here: nothing."""
+    """Callbacks from an application to the connection of its request; here all do nothing."""
 
     def begin_body(self) -> None:
-        """Begin to read a request's body."""
+        """Signal that the application starts to read the request's body."""
 
     def begin_work(self) -> None:
-        """Begin to work on a request that was read whole."""
+        """Signal that the request is read completely and the handler starts."""
 
     def begin_reply(self, reusable: bool) -> None:
-        """Begin to reply.
+        """Signal that the reply is about to be sent.
 
-        :param reusable: whether the next request can be read after it
+        :param reusable: whether the connection can serve another request after the reply
         """
 
     def watch_caller(self, gone: Callable[[], None]) -> Callable[[], None]:
-        """Call ``gone`` if the caller closes the connection while it waits.
+        """Call ``gone`` if the caller closes the connection before the reply.
 
-        :returns: ends the watch; must be called before the reply
+        :param gone: called at most once, from another green thread
+        :returns: function that ends the watch; must be called before the reply
         """
         return _do_nothing
 
@@ -80,27 +89,30 @@
 
 
 class _HeadTooLarge(Exception):
-    """A request's head is longer than allowed."""
+    """A request's head exceeds ``max_header_bytes``."""
 
 
-class _HeaderLines:
-    """Bounds a head, and remembers its last line to tell a whole one from a cut one."""
+class _BoundedHeadReader:
+    """Reader that limits the size of a request's head.
+
+    :ivar last: last line read; an empty line if the head is complete
+    """
 
     def __init__(self, source: Any, left: int):
         self._source = source
-        self._left = left
+        self._remaining = left
         self.last = b""
 
     def readline(self, size: int) -> bytes:
-        self.last = self._source.readline(min(size, self._left + 1))
-        self._left -= len(self.last)
-        if self._left < 0:
+        self.last = self._source.readline(min(size, self._remaining + 1))
+        self._remaining -= len(self.last)
+        if self._remaining < 0:
             raise _HeadTooLarge
         return self.last
 
 
-class _BodyLines:
-    """Bounds the lines between the chunks of a chunked body."""
+class _BoundedChunkReader:
+    """Reader that limits the length of the lines between the chunks of a chunked body."""
 
     def __init__(self, source: Any):
         self._source = source
@@ -109,20 +121,25 @@
     def readline(self, size: int = MAX_CHUNK_LINE) -> bytes:
         line = self._source.readline(size)
         if len(line) >= MAX_CHUNK_LINE:
-            raise wsgi.ChunkReadError("a chunk's line is too long")
+            raise wsgi.ChunkReadError(f"chunk header line exceeds {MAX_CHUNK_LINE} bytes")
         return line
 
 
 class Connection(wsgi.HttpProtocol, Attachable):
-    """One caller's connection, with a time limit on each phase."""
+    """HTTP connection of one caller, with a time limit on each phase."""
 
     def __init__(self, server: Server, conn_state: list, wsgi_server: Any):
-        """Serve the connection to its end."""
+        """Serve the connection until it ends.
+
+        :param server: the server with its limits
+        :param conn_state: connection state of :mod:`eventlet.wsgi`
+        :param wsgi_server: server object of :mod:`eventlet.wsgi`
+        """
         self._server = server
-        self._deadline = math.inf
-        self._shutdown = socket.SHUT_RDWR
-        self._lingers = False
-        self._idle = False
+        self._deadline_ms = math.inf
+        self._shutdown_how = socket.SHUT_RDWR
+        self._must_linger = False
+        self._is_idle = False
         self.environ = None
         server.connections.add(self)
         try:
@@ -131,84 +148,87 @@
             server.connections.discard(self)
 
     def begin_body(self) -> None:
-        """Limit the time for the body."""
-        self._limit(self._server.limits.body_ms, socket.SHUT_RD)
+        """Start the time limit of the body; see :meth:`Attachable.begin_body`."""
+        self._start_limit(self._server.limits.body_ms, socket.SHUT_RD)
 
     def begin_work(self) -> None:
-        """Lift the limits while the request is worked on."""
-        self._limit(math.inf)
+        """Suspend the time limit while the request is handled."""
+        self._start_limit(math.inf)
 
     def begin_reply(self, reusable: bool) -> None:
-        """Limit the time for the reply; see :meth:`Attachable.begin_reply`."""
-        self._limit(self._server.limits.body_ms)
+        """Start the time limit of the reply; see :meth:`Attachable.begin_reply`."""
+        self._start_limit(self._server.limits.body_ms)
         if not reusable:
-            self._lingers = True
+            self._must_linger = True
         if not reusable or self._server.draining or self._server.retiring:
             self.close_connection = 1
 
     def watch_caller(self, gone: Callable[[], None]) -> Callable[[], None]:
-        """Watch for the caller's leaving; see :meth:`Attachable.watch_caller`."""
-        return eventlet.spawn(self._watch, gone).kill
+        """Detect that the caller disconnects; see :meth:`Attachable.watch_caller`."""
+        return eventlet.spawn(self._watch_socket, gone).kill
 
-    def _watch(self, gone: Callable[[], None]) -> None:
+    def _watch_socket(self, gone: Callable[[], None]) -> None:
         try:
             trampoline(self.connection, read=True)
             if self.connection.fd.recv(1, socket.MSG_PEEK):
-                # The next request came early; it is read after this one.
+                # A pipelined request arrived; it is read after the current one.
                 return
         except BlockingIOError:
             return
         except OSError:
-            # A reset is a way to leave as well.
+            # A connection reset also means that the caller has disconnected.
             pass
         gone()
 
     def expire(self, now: float) -> None:
-        """End the current phase if its time is over."""
-        if now < self._deadline:
+        """Shut the socket down if the current phase has exceeded its time limit.
+
+        :param now: current time of the clock in milliseconds
+        """
+        if now < self._deadline_ms:
             return
-        self._deadline = math.inf
+        self._deadline_ms = math.inf
         with suppress(OSError):
-            self.connection.shutdown(self._shutdown)
+            self.connection.shutdown(self._shutdown_how)
 
     def close_idle(self) -> None:
-        """Close the connection if it waits for a request."""
-        if self._idle:
+        """Close the connection if no request is in progress."""
+        if self._is_idle:
             with suppress(OSError):
                 self.connection.shutdown(socket.SHUT_RDWR)
 
-    def _limit(self, limit_ms: float, shutdown: int = socket.SHUT_RDWR) -> None:
-        self._deadline = self._server.clock.now() + limit_ms
-        self._shutdown = shutdown
+    def _start_limit(self, limit_ms: float, shutdown: int = socket.SHUT_RDWR) -> None:
+        self._deadline_ms = self._server.clock.now() + limit_ms
+        self._shutdown_how = shutdown
 
     def handle(self) -> None:
         """Serve requests until the connection ends."""
         try:
             super().handle()
         except OSError:
-            # The caller went away; there is nobody left to tell.
+            # The caller has disconnected, so no error reply can be sent.
             self.close_connection = True
 
     def handle_one_request(self) -> None:
-        """Serve one request; the library calls this."""
+        """Serve one request; called by the base class."""
         self.environ = None
         super().handle_one_request()
         if self.environ is None and self.raw_requestline:
-            self._lingers = True
+            self._must_linger = True
         if self._server.draining:
             self.close_connection = 1
 
     def _read_request_line(self) -> bytes:
-        self._limit(self._server.limits.idle_ms)
-        # An idle state would have the library close this connection at the
-        # start of a drain, maybe just as its next request arrives.
+        self._start_limit(self._server.limits.idle_ms)
+        # With the state "idle", eventlet would close this connection at the start of a drain,
+        # possibly while its next request arrives.
         self.conn_state[2] = wsgi.STATE_REQUEST
-        self._idle = True
+        self._is_idle = True
         try:
             if not self.rfile.peek(1):
                 return b""
-            self._idle = False
-            self._limit(self._server.limits.header_ms)
+            self._is_idle = False
+            self._start_limit(self._server.limits.header_ms)
             line = self.rfile.readline(self.server.url_length_limit)
         except OSError:
             return b""
@@ -216,15 +236,17 @@
         return line if whole else b""
 
     def parse_request(self) -> bool:
-        """Read a request's head; return whether it is whole."""
-        # The library's own bounds are taken off: the setting is the one in force.
+        """Read a request's head; return whether it is complete and valid."""
+        # Read below eventlet's own limits, so that only the configured limit applies.
         left = self._server.max_header_bytes - len(self.raw_requestline)
-        lines = self.rfile = _HeaderLines(self.rfile.fp, left)
+        lines = self.rfile = _BoundedHeadReader(self.rfile.fp, left)
         try:
             if not super().parse_request():
                 return False
         except _HeadTooLarge:
-            self._refuse(431, f"a head may have {self._server.max_header_bytes} bytes")
+            self._send_problem(
+                431, f"request head exceeds the limit of {self._server.max_header_bytes} bytes"
+            )
             return False
         if lines.last in (b"\r\n", b"\n") and self.request_version != "HTTP/0.9":
             return True
@@ -237,20 +259,20 @@
         environ[CONNECTION] = self
         source = environ["wsgi.input"]
         if source.chunked_input:
-            source.rfile = _BodyLines(source.rfile)
+            source.rfile = _BoundedChunkReader(source.rfile)
         self.begin_work()
         return environ
 
     def finish(self) -> None:
-        """Close the connection so that the caller sees its last answer."""
-        if self._lingers:
-            self._linger()
+        """Close the connection in a way that lets the caller receive the last reply."""
+        if self._must_linger:
+            self._discard_input()
         super().finish()
 
-    def _linger(self) -> None:
-        # Closing with unread bytes resets the connection, and the caller may
-        # then never see the answer (RFC 9112, section 9.6).
-        self._limit(LINGER_MS)
+    def _discard_input(self) -> None:
+        # Closing a socket with unread input resets the connection, and the caller may then never
+        # receive the reply (RFC 9112, section 9.6).
+        self._start_limit(LINGER_MS)
         try:
             self.wfile.flush()
             self.connection.shutdown(socket.SHUT_WR)
@@ -264,10 +286,10 @@
             return
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Answer a request that could not be parsed, and close."""
-        self._refuse(code, "the request could not be parsed")
+        """Reply to a request that could not be parsed, then close the connection."""
+        self._send_problem(code, "request could not be parsed")
 
-    def _refuse(self, code: int, detail: str) -> None:
+    def _send_problem(self, code: int, detail: str) -> None:
         self.close_connection = True
         status_line = STATUS_LINES[code]
         reply = reply_problem(code, REQUEST_MALFORMED, detail)
@@ -278,4 +300,4 @@
         self.wfile.write(head.encode() + reply.body)
 
     def log_message(self, *_args: Any) -> None:
-        """Write no access log; requests are counted instead."""
+        """Write no access log; requests are counted in the metrics instead."""
--- a/geraniumspool/link.py
+++ b/geraniumspool/link.py
@@ -1,4 +1,4 @@
-"""Inbox and links between the processes: pynng for real, memory for tests."""
+"""Message transport between the processes: pynng in production, in memory for tests."""
 
 import logging
 import random
@@ -26,70 +26,79 @@
     name_kind,
 )
 
-# nng calls back on threads of its own, which share locks with this one. As green locks they
-# stopped one process in twenty of a soak for good.
+# nng runs callbacks on its own threads, which share locks with the main thread. With eventlet's
+# green locks they deadlocked one process in twenty of a soak test, so pynng gets the real
+# threading module.
 pynng.nng.threading = original("threading")
 
 _LOG = logging.getLogger(__name__)
 
+# Messages that nng buffers for the inbox.
 INBOX_MESSAGES = 4096
+# Messages that nng buffers for one link, and again as many in the link's own queue.
 LINK_MESSAGES = 1024
+# Links without traffic for this long are closed.
 LINK_IDLE_MS = 60_000.0
-# Links of a process, and those of all its peers to it, stay below 1,024 descriptors.
+# Keeps a process below 1,024 file descriptors: its outgoing links and the incoming connections
+# of all its peers.
 MAX_LINKS = 320
-# What was sent last may not have left yet.
+# A link is not evicted sooner after its last send: nng may not have transmitted that message yet.
 MIN_IDLE_MS = 2_000.0
+# A link's queue is dropped if its socket accepts nothing for this long.
 SEND_TIMEOUT_MS = 2_000.0
+# Time that queued messages have to leave before the sockets are closed.
 FLUSH_MS = 200.0
+# Messages received in a row before other green threads run.
 RECEIVE_BURST = 64
+# Whether a message stays in its failure domain or crosses to another; a label in the metrics.
 SCOPE_LOCAL = "local"
 SCOPE_CROSS = "cross"
 
 Receiver = Callable[[Delivery], None]
 
 
-def _same_domain(_peer: Peer) -> str:
+def _always_local(_peer: Peer) -> str:
     return SCOPE_LOCAL
 
 
-class _Inbound:
-    """Checks what arrives and hands it to the receiver."""
+class _InboundHandler:
+    """Decodes and validates incoming messages and passes them to the receive callback."""
 
-    def __init__(self, me: Peer, counters: Counters, respond: Callable[[Peer, Message], bool]):
+    def __init__(self, me: Peer, counters: Counters, send_reply: Callable[[Peer, Message], bool]):
         self._me = me
         self._counters = counters
-        self._respond = respond
+        self._send_reply = send_reply
         self.receive: Receiver | None = None
 
-    def take(self, data: bytes) -> None:
-        """Decode one message and hand it over, or refuse it."""
+    def handle(self, data: bytes) -> None:
+        """Decode one message and pass it to the receive callback, or reject it."""
         try:
             delivery = decode(data)
         except MalformedMessage:
             self._counters.add("messages_rejected", reason="malformed")
             return
         if delivery.receiver not in (ANY_INCARNATION, self._me.incarnation):
-            self._refuse(delivery)
+            self._reject(delivery)
             return
         self._counters.add("messages_received", kind=name_kind(delivery.kind))
         try:
             self.receive(delivery)
         except Exception:
-            # One handler's fault must not end the inbox of the whole process.
+            # An exception in one handler must not stop the receive loop of the whole process.
             self._counters.add("messages_rejected", reason="handler_failed")
-            _LOG.exception("a message was not handled")
+            _LOG.exception("message handler failed")
 
-    def _refuse(self, delivery: Delivery) -> None:
+    def _reject(self, delivery: Delivery) -> None:
         self._counters.add("messages_rejected", reason="wrong_incarnation")
         if isinstance(delivery.message, WrongIncarnation):
             return
         request = getattr(delivery.message, "request", 0)
-        refusal = WrongIncarnation(delivery.kind, request, delivery.receiver)
-        self._respond(delivery.sender, refusal)
+        rejection = WrongIncarnation(delivery.kind, request, delivery.receiver)
+        self._send_reply(delivery.sender, rejection)
 
 
 class _Link:
-    """One Push socket to one address, with the messages that wait for it."""
+    """One nng Push socket to one address, with a queue of messages not yet sent."""
 
     def __init__(self, address: str, counters: Counters, clock: Clock):
         self._counters = counters
@@ -100,45 +109,46 @@
         except pynng.NNGException:
             self._socket.close()
             raise
-        self._waiting: deque[bytes] = deque()
-        self._flusher = None
-        self._was_open = False
-        self.used_ms = clock.now()
+        self._queue: deque[bytes] = deque()
+        self._flush_task = None
+        self._was_connected = False
+        self.last_used_ms = clock.now()
 
     def send(self, data: bytes) -> bool:
-        """Send or queue ``data``; return False where the queue is full."""
-        self.used_ms = self._clock.now()
-        if not self._waiting and self._try(data):
+        """Send or queue ``data``; return False if the queue is full."""
+        self.last_used_ms = self._clock.now()
+        if not self._queue and self._try_send(data):
             return True
-        if len(self._waiting) >= LINK_MESSAGES:
+        if len(self._queue) >= LINK_MESSAGES:
             self._counters.add("messages_dropped", reason="link_full")
             return False
-        self._waiting.append(data)
-        if self._flusher is None:
-            self._flusher = eventlet.spawn(self._flush)
+        self._queue.append(data)
+        if self._flush_task is None:
+            self._flush_task = eventlet.spawn(self._flush)
         return True
 
     def close(self) -> None:
-        """Close the socket and forget what waits."""
-        if self._flusher is not None:
-            self._flusher.kill()
+        """Close the socket and discard the queued messages."""
+        if self._flush_task is not None:
+            self._flush_task.kill()
         self._socket.close()
 
     @property
     def is_broken(self) -> bool:
-        """Whether it was connected and is not any more."""
-        is_open = bool(self._socket.pipes)
-        self._was_open = self._was_open or is_open
-        return self._was_open and not is_open
+        """Whether the link was connected before and no longer is."""
+        is_connected = bool(self._socket.pipes)
+        self._was_connected = self._was_connected or is_connected
+        return self._was_connected and not is_connected
 
     def is_idle(self, now: float, idle_ms: float = LINK_IDLE_MS) -> bool:
-        """Return whether nothing was sent for a while.
+        """Return whether the queue is empty and nothing was sent recently.
 
-        :param idle_ms: how long that is
+        :param now: current time of the clock in milliseconds
+        :param idle_ms: time since the last send, in milliseconds, from which the link is idle
         """
-        return not self._waiting and now - self.used_ms > idle_ms
+        return not self._queue and now - self.last_used_ms > idle_ms
 
-    def _try(self, data: bytes) -> bool:
+    def _try_send(self, data: bytes) -> bool:
         try:
             self._socket.send(data, block=False)
         except pynng.TryAgain:
@@ -146,16 +156,16 @@
         return True
 
     def _flush(self) -> None:
-        while self._waiting:
-            if self._try(self._waiting[0]):
-                self._waiting.popleft()
+        while self._queue:
+            if self._try_send(self._queue[0]):
+                self._queue.popleft()
                 continue
-            if not self._writable():
-                self._counters.add("messages_dropped", len(self._waiting), reason="unreachable")
-                self._waiting.clear()
-        self._flusher = None
+            if not self._wait_writable():
+                self._counters.add("messages_dropped", len(self._queue), reason="unreachable")
+                self._queue.clear()
+        self._flush_task = None
 
-    def _writable(self) -> bool:
+    def _wait_writable(self) -> bool:
         try:
             with Timeout(SEND_TIMEOUT_MS / 1000.0):
                 trampoline(self._socket.send_fd, read=True)
@@ -164,8 +174,8 @@
         return True
 
 
-class _Arrivals:
-    """Waits for a descriptor again and again on one registration at the hub.
+class _ReadableWaiter:
+    """Waits repeatedly for a readable descriptor with a single registration at the hub.
 
     Registering for each wait, as ``trampoline`` does, costs more than the
     rest of the wait.
@@ -178,7 +188,7 @@
         self._waiter = None
 
     def wait(self) -> None:
-        """Suspend the calling green task until there is something to read."""
+        """Suspend the calling green thread until the descriptor is readable."""
         if self._listener is None:
             self._listener = self._hub.add(
                 self._hub.READ, self._descriptor, self._wake, self._throw, None
@@ -190,13 +200,14 @@
             self._waiter = None
 
     def close(self) -> None:
-        """Take the registration back; the next wait makes a new one."""
+        """Remove the registration from the hub; the next wait adds a new one."""
         if self._listener is not None:
             self._hub.remove(self._listener)
             self._listener = None
 
     def _wake(self, _descriptor: int) -> None:
-        # Nobody waits while a handler is suspended; the hub must not spin meanwhile.
+        # While a handler is suspended no green thread waits here. The descriptor stays readable,
+        # so the registration is removed to keep the hub from busy-looping.
         if self._waiter is None:
             self.close()
         else:
@@ -208,10 +219,10 @@
 
 
 class NngMessenger:
-    """One Pull inbox and one Push link per peer, on eventlet's hub.
+    """Messenger with one nng Pull socket as inbox and one Push socket per peer.
 
-    nng's calls are made without blocking; the hub waits on the sockets'
-    descriptors, so no foreign thread touches a green object.
+    All nng calls are non-blocking, and eventlet's hub polls the sockets'
+    descriptors, so nng's own threads never touch a green object.
     """
 
     def __init__(
@@ -220,28 +231,31 @@
         incarnation: int,
         clock: Clock,
         counters: Counters,
-        scope: Callable[[Peer], str] = _same_domain,
+        scope: Callable[[Peer], str] = _always_local,
     ):
         """Bind the inbox.
 
-        :param listen: address such as ``tcp://127.0.0.1:0``; port 0 takes any
-        :param incarnation: random number of this life of the process
-        :param scope: tells whether a peer is in another failure domain
+        :param listen: address such as ``tcp://127.0.0.1:0``; port 0 picks a free port
+        :param incarnation: random number that identifies this run of the process
+        :param clock: source of time for idle links
+        :param counters: where messages, bytes and rejections are counted
+        :param scope: returns ``SCOPE_CROSS`` for a peer in another failure domain, else
+            ``SCOPE_LOCAL``
         """
         self._socket = pynng.Pull0(recv_buffer_size=INBOX_MESSAGES)
         self._socket.listen(listen)
         self.me = Peer(_bound_address(self._socket, listen), incarnation)
         self._clock = clock
         self._counters = counters
-        self._inbound = _Inbound(self.me, counters, self.send)
+        self._inbound = _InboundHandler(self.me, counters, self.send)
         self._links: dict[str, _Link] = {}
         self._tasks: list = []
         self.scope = scope
 
     def start(self, receive: Receiver) -> None:
-        """Begin to hand each incoming message to ``receive``."""
+        """Start to pass each incoming message to ``receive``."""
         self._inbound.receive = receive
-        self._tasks = [eventlet.spawn(self._read), eventlet.spawn(self._close_idle)]
+        self._tasks = [eventlet.spawn(self._receive_loop), eventlet.spawn(self._close_idle_links)]
 
     def send(self, peer: Peer, message: Message) -> bool:
         """Queue a message for a peer; see :class:`~contracts.Messenger`."""
@@ -255,26 +269,29 @@
         self._counters.add("messages_sent", kind=kind, scope=scope)
         self._counters.add("message_bytes_sent", len(data), kind=kind)
         try:
-            link = self._link(peer.address)
+            link = self._get_link(peer.address)
         except pynng.NNGException:
             self._counters.add("messages_dropped", reason="unusable_address")
             return False
         return link.send(data)
 
     def reset(self, peer: Peer) -> None:
-        """Close the link to a peer; the next message opens another."""
+        """Close the link to a peer; the next message opens a new one."""
         link = self._links.pop(peer.address, None)
         if link is not None:
             link.close()
             self._counters.add("links_reset")
 
     def is_broken(self, peer: Peer) -> bool:
-        """Return whether the connection to a peer is closed; see :class:`~contracts.Messenger`."""
+        """Return whether the link to a peer lost its connection.
+
+        See :class:`~contracts.Messenger`.
+        """
         link = self._links.get(peer.address)
         return link is not None and link.is_broken
 
     def stop(self) -> None:
-        """Close inbox and links, after queued messages had time to leave."""
+        """Close the inbox and all links after giving queued messages time to leave."""
         self._clock.sleep(FLUSH_MS)
         for task in self._tasks:
             task.kill()
@@ -283,46 +300,49 @@
         self._links.clear()
         self._socket.close()
 
-    def _link(self, address: str) -> _Link:
-        """Return the link to an address; links are kept in the order of their last use."""
+    def _get_link(self, address: str) -> _Link:
+        """Return the link to an address, opening it if needed.
+
+        The dictionary is kept in order of last use, least recently used first.
+        """
         link = self._links.pop(address, None)
         if link is None:
             if len(self._links) >= MAX_LINKS:
-                self._close_oldest()
+                self._evict_least_recently_used()
             link = _Link(address, self._counters, self._clock)
         self._links[address] = link
         return link
 
-    def _close_oldest(self) -> None:
+    def _evict_least_recently_used(self) -> None:
         address, link = next(iter(self._links.items()))
         if link.is_idle(self._clock.now(), MIN_IDLE_MS):
             link.close()
             del self._links[address]
             self._counters.add("links_closed_early")
 
-    def _read(self) -> None:
-        arrivals = _Arrivals(self._socket.recv_fd)
+    def _receive_loop(self) -> None:
+        inbox_waiter = _ReadableWaiter(self._socket.recv_fd)
         try:
-            self._read_all(arrivals)
+            self._receive_messages(inbox_waiter)
         finally:
-            arrivals.close()
+            inbox_waiter.close()
 
-    def _read_all(self, arrivals: _Arrivals) -> None:
+    def _receive_messages(self, inbox_waiter: _ReadableWaiter) -> None:
         burst = 0
         while True:
             try:
                 data = self._socket.recv(block=False)
             except pynng.TryAgain:
-                arrivals.wait()
+                inbox_waiter.wait()
                 burst = 0
                 continue
-            self._inbound.take(data)
+            self._inbound.handle(data)
             burst += 1
             if burst >= RECEIVE_BURST:
                 eventlet.sleep(0)
                 burst = 0
 
-    def _close_idle(self) -> None:
+    def _close_idle_links(self) -> None:
         while True:
             self._clock.sleep(LINK_IDLE_MS / 4)
             now = self._clock.now()
@@ -339,19 +359,27 @@
 
 
 class MemoryNetwork:
-    """Links in memory whose faults a test switches.
+    """Simulated network for tests, with faults that can be injected at any time.
 
-    :ivar delay_ms: time every message takes
-    :ivar cut: pairs of addresses between which messages are lost
+    :ivar delay_ms: latency of every message, in milliseconds
+    :ivar double_delay_ms: further latency of the second copy of a duplicated message, in
+        milliseconds
+    :ivar cut: pairs of sender's and receiver's address between which messages are lost
+    :ivar frozen: undelivered messages of each address whose process is paused
     :ivar lose_kinds: names of message types to lose
     :ivar double_kinds: names of message types to deliver twice
-    :ivar draw_delays: returns after how long each copy of a message from one address to
-        another arrives, nothing where it is lost
+    :ivar draw_delays: function of the sender's and the receiver's address that returns the
+        latency of each copy of a message, or an empty sequence if the message is lost
     :ivar sent: sender, receiver and message of everything sent, in order
     """
 
     def __init__(self, clock: Clock, delay_ms: float = 0.1, seed: int = 1):
-        """Start with no member and no fault."""
+        """Start with no process attached and no fault.
+
+        :param clock: delivers the messages
+        :param delay_ms: latency of every message, in milliseconds
+        :param seed: seed of the random generator
+        """
         self._clock = clock
         self._random = random.Random(seed)
         self._inboxes: dict[str, MemoryMessenger] = {}
@@ -365,37 +393,37 @@
         self.sent: list[tuple[Peer, Peer, Message]] = []
 
     def join(self, messenger: "MemoryMessenger") -> None:
-        """Make a messenger the owner of its address."""
+        """Deliver messages for a messenger's address to this messenger."""
         self._inboxes[messenger.me.address] = messenger
 
     def leave(self, messenger: "MemoryMessenger") -> None:
-        """Take a messenger off its address, as when its process dies."""
+        """Stop delivery to a messenger, as if its process had died."""
         if self._inboxes.get(messenger.me.address) is messenger:
             del self._inboxes[messenger.me.address]
 
     def part(self, one: str, other: str) -> None:
-        """Lose all messages between two addresses, both ways."""
+        """Drop all messages between two addresses, in both directions."""
         self.cut.update({(one, other), (other, one)})
 
     def heal(self) -> None:
-        """Deliver everything again."""
+        """Remove all partitions."""
         self.cut.clear()
 
     def freeze(self, address: str) -> None:
-        """Hold back what a process would receive, as when it is stopped."""
+        """Hold back all messages to a process, as if it were paused (``SIGSTOP``)."""
         self.frozen[address] = []
 
     def thaw(self, address: str) -> None:
-        """Deliver what was held back."""
+        """Resume a paused process and deliver the messages held back."""
         for data in self.frozen.pop(address, []):
             self._deliver(address, data)
 
     def has_left(self, address: str) -> bool:
-        """Return whether nobody is at an address any more."""
+        """Return whether no messenger is attached to an address."""
         return address not in self._inboxes
 
     def carry(self, sender: Peer, receiver: Peer, message: Message) -> None:
-        """Take one message on its way."""
+        """Schedule the delivery of one message, subject to the injected faults."""
         self.sent.append((sender, receiver, message))
         kind = type(message).__name__
         if kind in self.lose_kinds or (sender.address, receiver.address) in self.cut:
@@ -405,8 +433,8 @@
         for delay_ms in self.draw_delays(sender.address, address):
             self._clock.after(delay_ms, lambda: self._deliver(address, data))
         if kind in self.double_kinds:
-            late = self.delay_ms + self.double_delay_ms
-            self._clock.after(late, lambda: self._deliver(address, data))
+            duplicate_ms = self.delay_ms + self.double_delay_ms
+            self._clock.after(duplicate_ms, lambda: self._deliver(address, data))
 
     def _delay_once(self, _sender: str, _receiver: str) -> Sequence[float]:
         return (self.delay_ms,)
@@ -424,18 +452,23 @@
     """A messenger on a :class:`MemoryNetwork`."""
 
     def __init__(self, network: MemoryNetwork, me: Peer, counters: Counters):
-        """Prepare; messages arrive once started."""
+        """Create the messenger; it receives messages only after :meth:`start`.
+
+        :param network: the network that delivers the messages
+        :param me: address and incarnation of the process
+        :param counters: where received and rejected messages are counted
+        """
         self.me = me
         self._network = network
-        self._inbound = _Inbound(me, counters, self.send)
+        self._inbound = _InboundHandler(me, counters, self.send)
 
     def start(self, receive: Receiver) -> None:
-        """Begin to hand each incoming message to ``receive``."""
+        """Attach to the network and pass each incoming message to ``receive``."""
         self._inbound.receive = receive
         self._network.join(self)
 
     def send(self, peer: Peer, message: Message) -> bool:
-        """Send a message; it may be lost."""
+        """Send a message, which the network may lose; always return True."""
         if peer == self.me:
             self.take_local(Delivery(self.me, peer.incarnation, 0, message))
         else:
@@ -443,20 +476,20 @@
         return True
 
     def take(self, data: bytes) -> None:
-        """Take what arrives from the network."""
-        self._inbound.take(data)
+        """Handle an encoded message delivered by the network."""
+        self._inbound.handle(data)
 
     def take_local(self, delivery: Delivery) -> None:
-        """Take a message that the process sent to itself."""
+        """Deliver a message that the process sent to itself."""
         eventlet.spawn_n(self._inbound.receive, delivery)
 
     def is_broken(self, peer: Peer) -> bool:
-        """Return whether the process of a peer has ended."""
+        """Return whether no process is attached at the peer's address."""
         return self._network.has_left(peer.address)
 
     def reset(self, peer: Peer) -> None:
-        """Do nothing: links in memory never go silent by themselves."""
+        """Do nothing: a simulated link holds no connection that could stall."""
 
     def stop(self) -> None:
-        """Leave the network."""
+        """Detach from the network."""
         self._network.leave(self)
--- a/geraniumspool/messages.py
+++ b/geraniumspool/messages.py
@@ -1,9 +1,15 @@
 """Messages between the processes, and their codec.
 
-Each message is a ``NamedTuple`` coded as a MessagePack array. An
+Each message is a ``NamedTuple`` encoded as a MessagePack array. An
 :class:`Envelope` names the sender's and the receiver's incarnation, so a
-process that took over an old address never takes an old one's messages.
-Times are in milliseconds; durations, never points in time, cross the wire.
+process that reuses an address rejects messages for its predecessor there.
+Times are in milliseconds; only durations are sent, never timestamps, because
+the clocks of different hosts are not synchronized.
+
+Two roles appear in the messages about jobs: an *entry* accepts requests from
+callers, and an agent is the *home* of a job: it keeps the job's state and
+assigns its tasks. In messages about tasks, the *runner* is the part of an
+agent that runs tasks on its host's minion.
 """
 
 import functools
@@ -28,10 +34,10 @@
 
 
 class Peer(NamedTuple):
-    """One life of one process.
+    """A process, identified by its address and by one run of it.
 
     :param address: inbox address, such as ``tcp://127.0.0.1:7000``
-    :param incarnation: random 64-bit number drawn at the process's start
+    :param incarnation: random 64-bit number chosen when the process starts
     """
 
     address: str
@@ -39,16 +45,17 @@
 
 
 class Load(NamedTuple):
-    """What a worker has to offer, as it was when the message was sent.
+    """Capacity and load of a worker when the message was sent.
 
-    :param slots: tasks it runs at once
-    :param free: slots that are idle
+    :param slots: maximum number of concurrent tasks
+    :param free: idle slots
     :param queued: tasks waiting for a slot
     :param wait_ms: predicted wait of a task that arrives now
-    :param urgent: those of the queued tasks that may use every slot
-    :param next_ms: predicted time until a slot comes free
-    :param backlog_ms: estimated run times of tasks that wait at the home there
-    :param lateness: evidence that its minion is slow, 0 for none
+    :param urgent: number of queued tasks that may use any slot, including reserved ones
+    :param next_ms: predicted time until a slot becomes free
+    :param backlog_ms: total estimated run time of the tasks that wait at the home in the same
+        process
+    :param lateness: score of how strongly run times indicate a slow minion, 0 for no evidence
     """
 
     slots: int = 0
@@ -61,16 +68,16 @@
     lateness: float = 0.0
 
     def round_up(self) -> "Load":
-        """Return the load in whole numbers, which are shorter in a message."""
+        """Return the load rounded up to integers, whose encoding is shorter."""
         return Load(*map(math.ceil, self))
 
 
 class Task(NamedTuple):
     """One task as its caller described it.
 
-    :param payload: JSON text handed to the minion as it is
-    :param size: declared size, compared with a minion's largest size
-    :param run_ms: declared run time, or 0 where none is declared
+    :param payload: JSON text passed to the minion unchanged
+    :param size: declared size; a minion accepts only tasks up to its maximum size
+    :param run_ms: declared run time, or 0 if none is declared
     """
 
     payload: bytes
@@ -79,10 +86,12 @@
 
 
 class Submit(NamedTuple):
-    """Entry to home: run this job, or join it if it is known.
+    """Entry to home: run this job, or attach to it if the ticket is known already.
 
-    :param request: number that the answer repeats
-    :param digest: hash of the job's body; another one is a conflict
+    :param request: correlation id that the answer repeats
+    :param ticket: id of the job, used as its idempotency key
+    :param deadline_ms: time left until the job's deadline
+    :param digest: hash of the job's body; a different hash under the same ticket is a conflict
     """
 
     request: int
@@ -95,9 +104,10 @@
 
 
 class Decline(NamedTuple):
-    """Entry to home: this job is refused unless it is known already.
+    """Entry to home: reject this job unless the home knows it already.
 
-    The home keeps the refusal, so that "not run" stays true for the ticket.
+    The home records the rejection, so that a later submission under the same ticket cannot run
+    a job that was reported as "not run".
     """
 
     request: int
@@ -109,9 +119,9 @@
 
 
 class Inquire(NamedTuple):
-    """Entry to home: asks for the state of a job.
+    """Entry to home: request the state of a job.
 
-    :param explain: whether to answer with the job's decisions as well
+    :param explain: whether to include the decisions made for the job in the answer
     """
 
     request: int
@@ -127,14 +137,17 @@
 
 
 class Answer(NamedTuple):
-    """Home to entry: a job's state or its final answer.
+    """Home to entry: a job's current state or its final outcome.
 
-    :param state: one of the STATE_ constants
+    :param request: correlation id of the request that is answered
+    :param state: one of the ``STATE_`` constants
     :param code: reason code of a failure, else empty
-    :param retry_after_ms: when another try may help, or 0
-    :param results: JSON texts in task order, for a complete job
-    :param decisions: JSON text of the decisions, where asked for
-    :param decision: id of the decision behind a failure, else empty
+    :param detail: human-readable explanation of a failure, else empty
+    :param retry_after_ms: time after which a retry may succeed, or 0
+    :param results: results of the tasks as JSON texts in task order, for a complete job
+    :param load: load of the home's process
+    :param decisions: JSON text of the decisions made for the job, if requested
+    :param decision: id of the decision that caused a failure, else empty
     """
 
     request: int
@@ -159,15 +172,17 @@
 
 
 class OfferedTask(NamedTuple):
-    """One task inside an offer.
-
-    :param offer: number that is unique and rising within the home's life
-    :param job: random number of the job's ticket
-    :param index: the task's place in its job
-    :param rank: lower runs first among the tasks that wait at a worker
-    :param limit_ms: longest run before the outcome counts as unknown
-    :param any_slot: whether it may use the slots kept for narrow jobs
-    :param patience_ms: predicted wait beyond which to refuse it, 0 for none
+    """One task in an :class:`Offer`.
+
+    :param offer: id of this assignment, unique and increasing within one run of the home's process
+    :param job: random number in the job's ticket
+    :param index: index of the task in its job
+    :param payload: JSON text passed to the minion unchanged
+    :param run_ms: expected run time
+    :param rank: priority among the tasks queued at a worker; the lowest runs first
+    :param limit_ms: maximum run time, after which the task's outcome counts as unknown
+    :param any_slot: whether it may also use the slots reserved for narrow jobs (with few tasks)
+    :param patience_ms: predicted wait above which the runner refuses the task, 0 for no limit
     """
 
     offer: int
@@ -185,9 +200,10 @@
 class Offer(NamedTuple):
     """Home to runner: run these tasks, each at most once.
 
-    :param floor: offers below this number are settled; refuse and forget them
-    :param more: whether tasks wait at the home for a free slot
-    :param load: what the home's own process has to offer
+    :param floor: all offers with lower ids are settled; the runner refuses them from now on and
+        may discard their state
+    :param more: whether further tasks wait at the home for a free slot
+    :param load: load of the home's own process
     """
 
     floor: int
@@ -197,12 +213,13 @@
 
 
 class TaskResult(NamedTuple):
-    """How one task ended.
+    """Outcome of one task.
 
-    :param ok: whether the minion answered with a result
+    :param offer: id of the offer that assigned the task
+    :param ok: whether the minion returned a result
     :param body: JSON text of the result, or of the error
     :param code: reason code of a failure, else empty
-    :param run_ms: time the minion took
+    :param run_ms: run time at the minion
     """
 
     offer: int
@@ -213,14 +230,23 @@
 
 
 class Refusal(NamedTuple):
-    """A task that did not start and never will under this offer."""
+    """A task that was refused: it did not start and will never start under this offer.
+
+    :param offer: id of the refused offer
+    :param code: reason code
+    """
 
     offer: int
     code: str
 
 
 class Results(NamedTuple):
-    """Runner to home: what became of offered tasks."""
+    """Runner to home: outcomes of offered tasks.
+
+    :param done: tasks that ended
+    :param refused: tasks that never start under their offers
+    :param load: load of the runner's process
+    """
 
     done: tuple[TaskResult, ...]
     refused: tuple[Refusal, ...]
@@ -228,9 +254,11 @@
 
 
 class Revoke(NamedTuple):
-    """Home to runner: start none of these offers any more.
+    """Home to runner: do not start the tasks of these offers any more.
 
-    :param stop: whether running ones should be stopped too
+    :param floor: all offers with lower ids are settled, as in :class:`Offer`
+    :param offers: ids of the revoked offers
+    :param stop: whether to stop tasks that already run as well
     """
 
     floor: int
@@ -239,12 +267,14 @@
 
 
 class Revoked(NamedTuple):
-    """Runner to home: the state of each offer asked about.
+    """Runner to home: the state of each offer in a :class:`Revoke`.
 
-    Offers that are done are repeated in a :class:`Results`.
+    Outcomes of finished tasks are sent again in a :class:`Results`.
 
-    :param not_started: refused for good; the runner keeps a tombstone
-    :param started: running now, or run with the result no longer kept
+    :param not_started: offers refused permanently; the runner keeps a tombstone for each
+    :param started: offers whose task is running
+    :param lost: offers whose task may have run, but whose result the runner no longer keeps
+    :param load: load of the runner's process
     """
 
     not_started: tuple[int, ...]
@@ -254,11 +284,11 @@
 
 
 class WrongIncarnation(NamedTuple):
-    """Any process: your message was meant for another life of this address.
+    """Any process: a message was rejected because it names another incarnation as receiver.
 
-    :param kind: kind number of the rejected message
-    :param request: its request number, or 0
-    :param meant: the incarnation it was meant for
+    :param kind: number of the rejected message's type
+    :param request: correlation id of the rejected message, or 0
+    :param meant: incarnation that the rejected message names as receiver
     """
 
     kind: int
@@ -267,13 +297,17 @@
 
 
 class Member(NamedTuple):
-    """One process as the membership knows it.
+    """Membership entry of one process.
 
+    :param domain: failure domain of the process
     :param role: ``entry`` or ``agent``
-    :param state: one of the MEMBER_ constants
-    :param archive: address of the peer that holds its records, once left
+    :param state: one of the ``MEMBER_`` constants
+    :param service: service that the agent's minion provides, else empty
+    :param max_size: largest declared size of a task that the minion accepts, 0 for any
+    :param load: capacity and load of the process
+    :param archive: address of the peer that keeps its records after it has left, else empty
     :param archive_incarnation: that peer's incarnation, or 0
-    :param version: raised by the member itself with every change but of load
+    :param version: incremented by the member itself on every change except of its load
     """
 
     address: str
@@ -300,9 +334,9 @@
 class Document(NamedTuple):
     """One configuration document at one revision.
 
-    :param key: such as ``service/fitting`` or ``team/opticians``
-    :param revision: the store's modification revision
-    :param body: JSON text, empty where the document was deleted
+    :param key: key such as ``service/fitting`` or ``team/opticians``
+    :param revision: modification revision of the key in the store
+    :param body: JSON text, empty if the document was deleted
     """
 
     key: str
@@ -311,11 +345,13 @@
 
 
 class Heartbeat(NamedTuple):
-    """Agent to entry: I am alive, and this is my state.
+    """Agent to entry: heartbeat with the agent's full state.
 
-    :param roster_entry: incarnation of the entry that ``roster_version`` is from
-    :param roster_version: newest roster change known, 0 asks for all
-    :param config_revision: newest configuration revision in force
+    :param member: membership entry of the agent
+    :param roster_entry: incarnation of the entry that issued ``roster_version``
+    :param roster_version: newest roster version that the agent knows, 0 to request the whole
+        roster
+    :param config_revision: newest configuration revision that the agent has applied
     """
 
     member: Member
@@ -325,16 +361,20 @@
 
 
 class HeartbeatReply(NamedTuple):
-    """Entry to agent: roster changes, hints and configuration since then.
+    """Entry to agent: roster and configuration changes since the heartbeat's versions.
 
+    :param roster_version: newest roster version of the entry
     :param whole: whether ``members`` is the whole roster
-    :param members: changed members
-    :param loads: sample of members' loads, by address and incarnation, where tasks wait
-    :param period_ms: how long to wait before the next heartbeat
-    :param unreachable: failure domains that the entry hears nothing of
-    :param again: whether the agent should send all of its state
-    :param released: addresses of agents of other failure domains that this one is no
-        longer told of
+    :param members: changed members, or all members if ``whole``
+    :param loads: sample of the members' loads, as address, incarnation and load, while tasks
+        wait
+    :param config_revision: newest configuration revision of the entry
+    :param documents: changed configuration documents
+    :param period_ms: time until the next heartbeat
+    :param unreachable: failure domains of which the entry receives no messages
+    :param again: whether the agent should send a full :class:`Heartbeat` next
+    :param released: addresses of agents of other failure domains about which this agent
+        receives no further updates
     """
 
     roster_version: int
@@ -350,15 +390,19 @@
 
 
 class Digest(NamedTuple):
-    """Entry to entry: members it hears from, and its newest configuration.
-
-    :param whole: whether ``members`` is all that the sender hears from
-    :param demand: tasks a second and running tasks at the sender, per team that has a
-        quota; those that changed, with zeros where there are none any more
-    :param in_force: lowest configuration revision per failure domain it serves
-    :param config_revision: newest configuration revision the sender has
+    """Entry to entry: anti-entropy exchange of membership, demand and configuration.
+
+    :param sender: membership entry of the sender
+    :param whole: whether ``members`` has all members that send heartbeats to the sender
+    :param members: members that send heartbeats to the sender
+    :param demand: team, tasks per second and running tasks at the sender, for teams that have a
+        quota; a team whose demand has ended is listed with zeros
+    :param in_force: failure domains that the sender serves, each with the lowest configuration
+        revision applied there
+    :param config_revision: newest configuration revision of the sender
+    :param documents: configuration documents that the receiver lacks
     :param reply: whether the receiver should answer with its own digest
-    :param all_demand: whether ``demand`` has all teams and not the changed ones alone
+    :param all_demand: whether ``demand`` lists all teams instead of only the changed ones
     """
 
     sender: Member
@@ -373,7 +417,11 @@
 
 
 class Record(NamedTuple):
-    """A finished job, handed over when its home leaves."""
+    """A finished job, handed over when its home leaves.
+
+    :param digest: hash of the job's body
+    :param answer: final outcome of the job
+    """
 
     ticket: str
     digest: bytes
@@ -381,12 +429,13 @@
 
 
 class Handover(NamedTuple):
-    """Leaving home to a peer: keep these records, run nothing.
+    """Leaving home to a peer: keep these records of finished jobs; there is nothing to run.
 
-    :param home: whose records these are
-    :param watermark_ms: issue time up to which records may be missing
-    :param watermark_job: random number that breaks ties at that time
-    :param last: whether the archive is whole after this message
+    :param home: process that owned the records
+    :param batch: number of this batch, repeated in its :class:`HandoverReceipt`
+    :param watermark_ms: latest issue time of a ticket whose record may be missing
+    :param watermark_job: random number of that ticket, the tie-breaker at the same time
+    :param last: whether the archive is complete after this message
     """
 
     home: Peer
@@ -398,25 +447,31 @@
 
 
 class HandoverReceipt(NamedTuple):
-    """Peer to the leaving home: this batch is kept."""
+    """Peer to the leaving home: acknowledges that a batch is stored."""
 
     home: Peer
     batch: int
 
 
 class Drain(NamedTuple):
-    """Entry to any process: an operator asks you to leave gracefully."""
+    """Entry to any process: an operator requests a graceful shutdown.
+
+    :param who: operator who requested it
+    :param why: reason given by the operator
+    """
 
     who: str
     why: str
 
 
 class ShortHeartbeat(NamedTuple):
-    """Agent to the entry that answered its last heartbeat: only my load has changed.
+    """Agent to the entry that answered its last heartbeat: only the load has changed.
 
-    :param version: the member's version, by which the entry sees whether it missed one
-    :param roster_version: newest roster change known
-    :param config_revision: newest configuration revision in force
+    :param version: version of the agent's membership entry; the entry compares it with its own
+        copy to detect a missed update
+    :param roster_version: newest roster version that the agent knows
+    :param config_revision: newest configuration revision that the agent has applied
+    :param load: current load of the agent
     """
 
     version: int
@@ -426,10 +481,12 @@
 
 
 class Envelope(NamedTuple):
-    """What every message travels in.
+    """Wire format of every message: routing header and encoded body.
 
     :param kind: number of the message type
-    :param receiver: incarnation meant, or ``ANY_INCARNATION``
+    :param sender: the sending process
+    :param receiver: incarnation of the intended receiver, or ``ANY_INCARNATION``
+    :param body: encoded message
     """
 
     kind: int
@@ -440,7 +497,8 @@
 
 Message: TypeAlias = NamedTuple
 
-_KINDS: tuple[type, ...] = (
+# The index of a type is its kind number on the wire, so the order must not change.
+_MESSAGE_TYPES: tuple[type, ...] = (
     Submit,
     Decline,
     Inquire,
@@ -473,15 +531,16 @@
     FenceJobs,
     JobsFenced,
 )
-_KIND_OF = {kind: number for number, kind in enumerate(_KINDS)}
+_KIND_BY_TYPE = {message_type: number for number, message_type in enumerate(_MESSAGE_TYPES)}
 _ENCODER = msgspec.msgpack.Encoder()
-_ENVELOPE = msgspec.msgpack.Decoder(Envelope)
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
 
 
 class Delivery(NamedTuple):
     """A decoded message with its sender.
 
-    :param receiver: incarnation it was meant for
+    :param receiver: incarnation of the intended receiver, or ``ANY_INCARNATION``
+    :param kind: number of the message type
     """
 
     sender: Peer
@@ -491,44 +550,47 @@
 
 
 @functools.cache
-def _decoder_of(kind: int) -> msgspec.msgpack.Decoder:
-    """Return the decoder of a kind, made when it is first needed: a process hears few kinds."""
-    return msgspec.msgpack.Decoder(_KINDS[kind])
+def _decoder_for(kind: int) -> msgspec.msgpack.Decoder:
+    """Return the decoder of a message kind.
+
+    It is created on first use, because each process receives only a few kinds.
+    """
+    return msgspec.msgpack.Decoder(_MESSAGE_TYPES[kind])
 
 
 def kind_of(message_type: type) -> int:
-    """Return the number of a message type."""
-    return _KIND_OF[message_type]
+    """Return the kind number of a message type."""
+    return _KIND_BY_TYPE[message_type]
 
 
 def name_kind(kind: int) -> str:
-    """Return the type name of a message kind, for logs and metrics."""
-    return _KINDS[kind].__name__
+    """Return the type name of a kind number, for logs and metrics."""
+    return _MESSAGE_TYPES[kind].__name__
 
 
 def encode(sender: Peer, receiver: int, message: Message) -> bytes:
-    """Return the wire form of a message.
+    """Return the encoded form of a message, envelope included.
 
     :param sender: the sending process
-    :param receiver: the incarnation meant, or ``ANY_INCARNATION``
-    :param message: one of the message types of this module
+    :param receiver: incarnation of the intended receiver, or ``ANY_INCARNATION``
+    :param message: instance of a registered message type
     """
-    kind = _KIND_OF[type(message)]
+    kind = _KIND_BY_TYPE[type(message)]
     body = msgspec.Raw(_ENCODER.encode(message))
     return _ENCODER.encode(Envelope(kind, sender, receiver, body))
 
 
 def decode(data: bytes) -> Delivery:
-    """Return the message in ``data``.
+    """Decode the output of :func:`encode`.
 
-    :param data: what :func:`encode` returned
-    :raises MalformedMessage: if it is anything else
+    :param data: the encoded message
+    :raises MalformedMessage: if ``data`` is not a valid encoding of a registered type
     """
     try:
-        envelope = _ENVELOPE.decode(data)
-        if not 0 <= envelope.kind < len(_KINDS):
-            raise MalformedMessage(f"unknown kind {envelope.kind}")
-        message = _decoder_of(envelope.kind).decode(envelope.body)
+        envelope = _ENVELOPE_DECODER.decode(data)
+        if not 0 <= envelope.kind < len(_MESSAGE_TYPES):
+            raise MalformedMessage(f"unknown message kind {envelope.kind}")
+        message = _decoder_for(envelope.kind).decode(envelope.body)
     except msgspec.MsgspecError as error:
         raise MalformedMessage(str(error)) from error
     return Delivery(envelope.sender, envelope.receiver, envelope.kind, message)
--- a/geraniumspool/reply.py
+++ b/geraniumspool/reply.py
@@ -1,4 +1,4 @@
-"""Replies of the HTTP layer, failures among them as problem details."""
+"""HTTP replies; failures are reported as problem details (RFC 9457)."""
 
 import math
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class Reply(NamedTuple):
-    """What a handler answers."""
+    """HTTP reply of a handler."""
 
     status: int
     body: bytes = b""
@@ -28,7 +28,7 @@
 
 
 class ProblemFinding(TypedDict):
-    """One fault of the input inside a :class:`Problem`."""
+    """One error found in the input; see :class:`~geraniumspool.errors.Finding`."""
 
     place: str
     line: int
@@ -37,7 +37,7 @@
 
 
 class Problem(TypedDict):
-    """Problem details of RFC 9457 with this project's members."""
+    """Problem details of RFC 9457 with extension members; see :func:`reply_problem`."""
 
     type: str
     title: str
@@ -53,7 +53,7 @@
 
 
 def retry_after_s(retry_after_ms: float) -> int:
-    """Return whole seconds for a ``Retry-After`` header, rounded up."""
+    """Return the value of a ``Retry-After`` header: whole seconds, rounded up, never negative."""
     return max(0, math.ceil(retry_after_ms / MS_PER_SECOND))
 
 
@@ -61,11 +61,11 @@
     """Return a reply with a JSON body.
 
     :param status: HTTP status
-    :param value: anything that :mod:`msgspec` encodes; ``msgspec.Raw`` is embedded
-    :param headers: further headers, named like ``retry_after``
+    :param value: any value that :mod:`msgspec` can encode; ``msgspec.Raw`` is embedded as it is
+    :param headers: additional headers; ``retry_after`` sets ``Retry-After``
     """
-    named = tuple((name.replace("_", "-").title(), text) for name, text in headers.items())
-    return Reply(status, _ENCODER.encode(value), JSON, named)
+    header_pairs = tuple((name.replace("_", "-").title(), text) for name, text in headers.items())
+    return Reply(status, _ENCODER.encode(value), JSON, header_pairs)
 
 
 def reply_problem(
@@ -79,17 +79,17 @@
     job: str | None = None,
     findings: Iterable[Finding] = (),
 ) -> Reply:
-    """Return a failure as problem details; members without a value are left out.
+    """Return an error reply with problem details; members without a value are omitted.
 
     :param status: HTTP status
-    :param code: stable code that programs may rely on
-    :param detail: what happened, for people
-    :param outcome: ``not_run`` or ``may_have_run`` where the request was for a job
-    :param decision: the decision behind a refusal
-    :param retry_after_ms: when another try may help, in milliseconds
-    :param next_ticket: a fresh ticket for the caller's next job
-    :param job: the ticket of the job that the answer is about
-    :param findings: all faults found in the input
+    :param code: stable, machine-readable error code
+    :param detail: human-readable description of the error
+    :param outcome: ``not_run`` or ``may_have_run`` for a request about a job
+    :param decision: the decision that caused a refusal
+    :param retry_after_ms: time after which a retry may succeed, in milliseconds
+    :param next_ticket: new ticket for the caller's next job
+    :param job: ticket of the job that the reply is about
+    :param findings: all errors found in the input
     """
     problem: Problem = {
         "type": PROBLEM_TYPE + code,
@@ -106,9 +106,9 @@
         problem["job"] = job
     if next_ticket is not None:
         problem["next_ticket"] = next_ticket
-    listed = [ProblemFinding(**finding._asdict()) for finding in findings]
-    if listed:
-        problem["findings"] = listed
+    finding_list = [ProblemFinding(**finding._asdict()) for finding in findings]
+    if finding_list:
+        problem["findings"] = finding_list
     headers: tuple[tuple[str, str], ...] = ()
     if retry_after_ms is not None:
         problem["retry_after_ms"] = retry_after_ms
@@ -117,7 +117,7 @@
 
 
 def reply_error(error: DispatchError) -> Reply:
-    """Return the problem details of a typed error."""
+    """Return an exception of the dispatcher as a reply with problem details."""
     return reply_problem(
         error.status,
         error.code,
--- a/geraniumspool/routes.py
+++ b/geraniumspool/routes.py
@@ -1,4 +1,4 @@
-"""Requests of the HTTP layer, and the routes to their handlers."""
+"""HTTP requests and the routing of their paths to handlers."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
@@ -7,15 +7,16 @@
 from geraniumspool.errors import NotFound
 from geraniumspool.reply import Reply
 
+# Key of the child that matches any segment.
 _PARAMETER = None
 
 
 class Request(NamedTuple):
-    """One request with its body, which was read whole.
+    """HTTP request with its complete body.
 
-    :param path: path as it was sent, without the query
-    :param parameters: values of the route's ``{…}`` segments, in order
-    :param query: query fields; the last one wins where a name is repeated
+    :param path: path as sent (not percent-decoded), without the query
+    :param parameters: values of the route's ``{…}`` segments, percent-decoded, in order
+    :param query: query fields; if a name is repeated, its last value
     :param environ: the WSGI environment
     """
 
@@ -27,7 +28,10 @@
     body: bytes
 
     def header(self, name: str, default: str = "") -> str:
-        """Return a header's value, or ``default`` where it was not sent."""
+        """Return the value of a header, or ``default`` if it was not sent.
+
+        :param name: header name in any case, such as ``Idempotency-Key``
+        """
         key = name.upper().replace("-", "_")
         if key not in ("CONTENT_TYPE", "CONTENT_LENGTH"):
             key = "HTTP_" + key
@@ -35,10 +39,10 @@
 
 
 class Route(NamedTuple):
-    """One method of one path.
+    """Handler of one method of one path.
 
-    :param pattern: path such as ``/v1/jobs/{ticket}``; a literal segment goes
-        before a ``{…}`` one in the same place
+    :param pattern: path such as ``/v1/jobs/{ticket}``; at the same position, a literal
+        segment takes precedence over a ``{…}`` segment
     """
 
     method: str
@@ -47,22 +51,23 @@
 
 
 class Node:
-    """One segment in the tree of routes.
+    """Node of the routing tree, reached by one path segment.
 
-    :ivar handlers: what serves the path that ends here, by method
+    :ivar children: next nodes by literal segment; None is the key of a ``{…}`` segment
+    :ivar handlers: handlers by method of the path that ends here
     """
 
     def __init__(self):
-        """Start without children."""
+        """Create a node without children and handlers."""
         self.children: dict[str | None, Node] = {}
         self.handlers: dict[str, Callable[[Request], Reply]] = {}
 
 
 class Router:
-    """Finds the handlers of a path."""
+    """Looks up the handlers of a path in a tree of its segments."""
 
     def __init__(self, routes: Iterable[Route]):
-        """Take the routes."""
+        """Build the routing tree."""
         self._root = Node()
         for route in routes:
             self._add(route)
@@ -75,9 +80,10 @@
         node.handlers[route.method] = route.handler
 
     def find(self, path: str) -> tuple[Node, tuple[str, ...]]:
-        """Return the end of a path, and the values of its ``{…}`` segments.
+        """Return the node that a path ends at and the values of its ``{…}`` segments.
 
-        :raises NotFound: if no route has that path
+        :param path: path as sent (not percent-decoded), without the query
+        :raises NotFound: if no route matches the path
         """
         node = self._root
         parameters = []
--- a/geraniumspool/scope.py
+++ b/geraniumspool/scope.py
@@ -1,4 +1,4 @@
-"""Which messages cross from one failure domain to another."""
+"""Tells apart messages within a failure domain and messages that cross to another."""
 
 from collections.abc import Callable
 
@@ -8,10 +8,13 @@
 
 
 def scope_by(roster: Roster, domain: str) -> Callable[[Peer], str]:
-    """Return a function that tells whether a peer is in another failure domain.
+    """Return a function that classifies a peer by its failure domain.
 
-    :param roster: where members' failure domains are known
-    :param domain: the own failure domain
+    The function returns ``SCOPE_CROSS`` for a peer in another failure domain, and
+    ``SCOPE_LOCAL`` for any other peer, unknown ones included.
+
+    :param roster: the known members with their failure domains
+    :param domain: failure domain of this process
     """
 
     def scope(peer: Peer) -> str:
--- a/geraniumspool/web.py
+++ b/geraniumspool/web.py
@@ -1,6 +1,6 @@
-"""The WSGI application of the HTTP layer: reads bodies and calls handlers.
+"""WSGI application of the HTTP layer: reads request bodies and calls the route handlers.
 
-Handlers run in the green task of their connection and return a
+Handlers run in the green thread of their connection and return a
 :class:`~geraniumspool.reply.Reply`.
 """
 
@@ -25,11 +25,15 @@
 
 MAX_QUERY_FIELDS = 64
 
-_NO_QUERY: Mapping[str, str] = MappingProxyType({})
+_EMPTY_QUERY: Mapping[str, str] = MappingProxyType({})
 
 
-class _Refused(Exception):
-    """The request ends with this reply before any handler saw it."""
+class _RejectedRequest(Exception):
+    """Ends a request with an error reply before any handler is called.
+
+    :ivar reply: the reply to send
+    :ivar reusable: whether the connection can serve further requests after the reply
+    """
 
     def __init__(self, reply: Reply, reusable: bool = False):
         super().__init__(reply.status)
@@ -38,7 +42,7 @@
 
 
 class Application:
-    """A WSGI callable that hands requests to the handlers of its routes."""
+    """WSGI callable that dispatches requests to the handlers of its routes."""
 
     def __init__(
         self,
@@ -47,12 +51,13 @@
         counters: Counters,
         logger: logging.Logger,
     ):
-        """Take the routes.
+        """Register the routes.
 
-        :param routes: what is served
-        :param max_body_bytes: largest request body; a larger one is refused unread
+        :param routes: the routes to serve
+        :param max_body_bytes: limit of a request body; if ``Content-Length`` exceeds it, the
+            request is rejected without reading the body
         :param counters: where ``http_requests`` is counted by status
-        :param logger: where unexpected exceptions go
+        :param logger: where unexpected exceptions are logged
         """
         self._router = Router(routes)
         self._max_body_bytes = max_body_bytes
@@ -60,14 +65,14 @@
         self._logger = logger
 
     def __call__(self, environ: dict[str, Any], start_response: Callable) -> list[bytes]:
-        """Answer one request, as PEP 3333 says."""
+        """Answer one request according to WSGI (PEP 3333)."""
         connection = environ.get(CONNECTION, UNATTACHED)
         reusable = True
         try:
             body = self._read_body(environ, connection)
             reply = self.handle(environ, body)
-        except _Refused as refused:
-            reply, reusable = refused.reply, refused.reusable
+        except _RejectedRequest as rejected:
+            reply, reusable = rejected.reply, rejected.reusable
         self._counters.add("http_requests", status=str(reply.status))
         connection.begin_reply(reusable)
         headers = [("Content-Type", reply.content_type), *reply.headers]
@@ -77,9 +82,10 @@
         return [reply.body]
 
     def handle(self, environ: dict[str, Any], body: bytes) -> Reply:
-        """Answer a request whose body was read whole; errors become replies.
+        """Answer a request whose body was read completely; turn exceptions into error replies.
 
         :param environ: the WSGI environment
+        :param body: the whole request body
         """
         try:
             return self.dispatch(environ, body)
@@ -87,14 +93,17 @@
             if error.status == HTTPStatus.INTERNAL_SERVER_ERROR:
                 self._logger.error("request failed: %s", error.detail, exc_info=True)
             return reply_error(error)
-        except _Refused:
+        except _RejectedRequest:
             raise
         except (Exception, eventlet.Timeout):
             self._logger.exception("request failed")
             return reply_problem(500, "internal", "the request failed unexpectedly")
 
     def dispatch(self, environ: dict[str, Any], body: bytes) -> Reply:
-        """Find the handler of a request and call it."""
+        """Find the handler of a request and call it.
+
+        :raises NotFound: if no route matches the path
+        """
         path = environ.get("RAW_PATH_INFO") or environ["PATH_INFO"]
         method = environ["REQUEST_METHOD"]
         node, parameters = self._router.find(path)
@@ -109,39 +118,46 @@
         length = environ.get("CONTENT_LENGTH")
         if encoding is not None:
             if encoding.lower() != "chunked":
-                raise _refuse(501, ENCODING_UNSUPPORTED, "only chunked bodies are understood")
+                raise _reject(
+                    501,
+                    ENCODING_UNSUPPORTED,
+                    f"transfer encoding {encoding!r} is not supported, only chunked is",
+                )
             size = None
         elif not length:
             return b""
         else:
-            size = self._check_length(length, environ)
+            size = self._parse_content_length(length, environ)
             if size == 0:
                 return b""
         connection.begin_body()
-        body = _read(environ["wsgi.input"], self._max_body_bytes + 1 if size is None else size)
+        body = _read_stream(
+            environ["wsgi.input"], self._max_body_bytes + 1 if size is None else size
+        )
         connection.begin_work()
         if size is None and len(body) > self._max_body_bytes:
-            raise self._too_large()
+            raise self._body_too_large()
         if size is not None and len(body) < size:
-            raise _refuse(400, BODY_INCOMPLETE, f"the body ended after {len(body)} of {size} bytes")
+            raise _reject(400, BODY_INCOMPLETE, f"body ended after {len(body)} of {size} bytes")
         return body
 
-    def _check_length(self, length: str, environ: dict[str, Any]) -> int:
+    def _parse_content_length(self, length: str, environ: dict[str, Any]) -> int:
         repeated = sum(name.lower() == "content-length" for name, _ in environ["headers_raw"]) > 1
         if repeated or not (length.isascii() and length.isdigit()):
-            raise _refuse(400, BODY_INCOMPLETE, "Content-Length is not one plain number")
-        # A number of absurd length is not converted: its digits alone say enough.
+            raise _reject(400, BODY_INCOMPLETE, "Content-Length must be a single decimal number")
+        # The number of digits is checked first: a very long number is too large in any case, and
+        # int() raises ValueError for thousands of digits.
         if len(length) > len(str(self._max_body_bytes)) + 8 or int(length) > self._max_body_bytes:
-            raise self._too_large()
+            raise self._body_too_large()
         return int(length)
 
-    def _too_large(self) -> _Refused:
-        error = PayloadTooLarge(f"a body may have {self._max_body_bytes} bytes")
-        return _Refused(reply_error(error))
+    def _body_too_large(self) -> _RejectedRequest:
+        error = PayloadTooLarge(f"body exceeds the limit of {self._max_body_bytes} bytes")
+        return _RejectedRequest(reply_error(error))
 
 
-def _refuse(status: int, code: str, detail: str, reusable: bool = False) -> _Refused:
-    return _Refused(reply_problem(status, code, detail), reusable)
+def _reject(status: int, code: str, detail: str, reusable: bool = False) -> _RejectedRequest:
+    return _RejectedRequest(reply_problem(status, code, detail), reusable)
 
 
 def _reply_method_not_allowed(method: str, node: Node) -> Reply:
@@ -152,15 +168,15 @@
 
 def _parse_query(text: str | None) -> Mapping[str, str]:
     if not text:
-        return _NO_QUERY
+        return _EMPTY_QUERY
     try:
         return dict(parse_qsl(text, keep_blank_values=True, max_num_fields=MAX_QUERY_FIELDS))
     except ValueError as error:
-        raise _refuse(400, QUERY_INVALID, str(error), reusable=True) from error
+        raise _reject(400, QUERY_INVALID, str(error), reusable=True) from error
 
 
-def _read(source: Any, limit: int) -> bytes:
+def _read_stream(source: Any, limit: int) -> bytes:
     try:
         return source.read(limit)
     except (OSError, ValueError) as error:
-        raise _refuse(400, BODY_INCOMPLETE, f"the body could not be read: {error}") from error
+        raise _reject(400, BODY_INCOMPLETE, f"body could not be read: {error}") from error
--- a/geraniumspool/webserver.py
+++ b/geraniumspool/webserver.py
@@ -1,4 +1,4 @@
-"""The HTTP server: accepts connections, and drains them in order."""
+"""HTTP server that accepts connections and drains them at shutdown."""
 
 import errno
 from collections.abc import Callable
@@ -14,36 +14,42 @@
 from geraniumspool.connection import Connection, Limits
 from geraniumspool.contracts import Clock
 
+# Connections that the kernel queues until they are accepted.
 BACKLOG = 1024
 MAX_HEADER_BYTES = 16 << 10
+# Interval of the check for connections past their time limit.
 SWEEP_MS = 500.0
+# Pause after a failed accept.
 ACCEPT_PAUSE_S = 0.05
+# Rounds of the hub that a drain waits, so that connections queued by the kernel are accepted.
 SETTLE_TURNS = 5
+# Time that idle connections stay open during a drain, for requests already on their way.
 IDLE_GRACE_MS = 250.0
 
 
-class _Listener:
-    """A listening socket whose ``accept`` outlives faults of single callers."""
+class _ResilientListener:
+    """Socket wrapper whose ``accept`` retries after errors that must not end the server."""
 
-    def __init__(self, listening: Any):
-        self._listening = listening
-        self.family = listening.family
+    def __init__(self, listen_socket: Any):
+        self._listen_socket = listen_socket
+        self.family = listen_socket.family
 
     def accept(self) -> tuple[Any, Any]:
         while True:
             try:
-                return self._listening.accept()
+                return self._listen_socket.accept()
             except OSError as error:
                 if error.errno == errno.ESHUTDOWN:
                     raise
-                # Out of descriptors, or the caller gave up: others still wait.
+                # Out of file descriptors, or the caller aborted the connection: retry after a
+                # pause for the callers still waiting.
                 eventlet.sleep(ACCEPT_PAUSE_S)
 
     def getsockname(self) -> Any:
-        return self._listening.getsockname()
+        return self._listen_socket.getsockname()
 
     def close(self) -> None:
-        self._listening.close()
+        self._listen_socket.close()
 
 
 class WebServer:
@@ -60,13 +66,13 @@
         body_timeout_ms: float = Limits().body_ms,
         idle_timeout_ms: float = Limits().idle_ms,
     ):
-        """Prepare to serve.
+        """Configure the server without binding its address.
 
         :param application: the WSGI callable
-        :param listen: ``host:port`` to bind; port 0 takes a free one
+        :param listen: ``host:port`` to bind; port 0 picks a free port
         :param clock: source of time for limits and drain
-        :param max_connections: connections served at once; more wait unaccepted
-        :param max_header_bytes: longest request head; a longer one is refused
+        :param max_connections: limit of concurrent connections; others wait in the backlog
+        :param max_header_bytes: limit of a request's head (request line and headers)
         :param header_timeout_ms: see :class:`Limits`
         :param body_timeout_ms: see :class:`Limits`
         :param idle_timeout_ms: see :class:`Limits`
@@ -80,67 +86,67 @@
         self.address = listen
         self._application = application
         self._pool = eventlet.GreenPool(max_connections)
-        self._listening: Any = None
-        self._task: Any = None
+        self._listen_socket: Any = None
+        self._server_task: Any = None
         self._finished = Event()
-        self._sweep_timer: Any = None
+        self._expiry_timer: Any = None
 
     def start(self) -> None:
-        """Bind and begin to serve; ``address`` says where.
+        """Bind and start to serve; set ``address`` to the bound address.
 
         :raises OSError: if the address cannot be bound
         """
-        self._listening = _listen(self.address)
-        host, port = self._listening.getsockname()[:2]
+        self._listen_socket = _listen(self.address)
+        host, port = self._listen_socket.getsockname()[:2]
         self.address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        self._task = eventlet.spawn(self._serve)
+        self._server_task = eventlet.spawn(self._serve)
         eventlet.sleep(0)
-        self._sweep()
+        self._expire_connections()
 
     def retire(self) -> None:
-        """Go on serving, but close each connection after its next reply."""
+        """Keep serving, but close each connection after its next reply."""
         self.retiring = True
 
     def drain(self, limit_ms: float) -> bool:
-        """Refuse new connections and let the requests in flight finish.
+        """Stop accepting connections and wait for the requests in flight.
 
-        A request that arrives on a kept connection within a short grace is
-        answered too; connections that stay idle are closed after it.
+        Requests that arrive on a keep-alive connection within a short grace
+        period are answered as well; after it, idle connections are closed.
 
         :param limit_ms: longest wait in milliseconds
-        :returns: whether all of them finished
+        :returns: whether all requests finished in time
         """
-        if self._task is None:
+        if self._server_task is None:
             return True
         if not self.draining:
-            # Requests that reached this host already are taken in first.
+            # First accept the connections that the kernel has queued already.
             for _ in range(SETTLE_TURNS):
                 eventlet.sleep(0)
-            self._refuse_connections()
+            self._stop_accepting()
             self.clock.after(min(IDLE_GRACE_MS, limit_ms / 2), self._close_idle)
         return self.clock.wait(self._finished, limit_ms)
 
     def stop(self) -> None:
-        """Close everything at once, also requests in flight."""
-        if self._task is None:
+        """Close everything immediately, aborting requests in flight."""
+        if self._server_task is None:
             return
         if not self.draining:
-            self._refuse_connections()
+            self._stop_accepting()
         for task in list(self._pool.coroutines_running):
             task.kill()
-        self._sweep_timer.cancel()
+        self._expiry_timer.cancel()
 
-    def _refuse_connections(self) -> None:
+    def _stop_accepting(self) -> None:
         self.draining = True
         with suppress(OSError):
-            self._listening.shutdown(socket.SHUT_RDWR)
-        self._task.kill(OSError(errno.ESHUTDOWN, "draining"))
-        self._listening.close()
+            self._listen_socket.shutdown(socket.SHUT_RDWR)
+        self._server_task.kill(OSError(errno.ESHUTDOWN, "draining"))
+        self._listen_socket.close()
 
     def _serve(self) -> None:
         try:
             wsgi.server(
-                _Listener(self._listening),
+                _ResilientListener(self._listen_socket),
                 self._application,
                 protocol=partial(Connection, self),
                 custom_pool=self._pool,
@@ -155,26 +161,27 @@
         for connection in list(self.connections):
             connection.close_idle()
 
-    def _sweep(self) -> None:
+    def _expire_connections(self) -> None:
         now = self.clock.now()
         for connection in list(self.connections):
             connection.expire(now)
         if not self._finished.ready():
-            self._sweep_timer = self.clock.after(SWEEP_MS, self._sweep)
+            self._expiry_timer = self.clock.after(SWEEP_MS, self._expire_connections)
 
 
 def _listen(address: str) -> Any:
     host, _, port = address.rpartition(":")
     host = host.strip("[]")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    listening = socket.socket(family, socket.SOCK_STREAM)
+    listen_socket = socket.socket(family, socket.SOCK_STREAM)
     try:
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Accepted sockets inherit this; replies of several segments need it.
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        listening.bind((host, int(port)))
-        listening.listen(BACKLOG)
+        listen_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        # Inherited by accepted sockets. With Nagle's algorithm, a reply of several segments would
+        # wait for the peer's acknowledgement.
+        listen_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        listen_socket.bind((host, int(port)))
+        listen_socket.listen(BACKLOG)
     except OSError:
-        listening.close()
+        listen_socket.close()
         raise
-    return listening
+    return listen_socket
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -39,7 +39,7 @@
 
     def test_round_trip(self):
         """Each type comes back equal, with sender, receiver, kind and name."""
-        for number, kind in enumerate(messages._KINDS):
+        for number, kind in enumerate(messages._MESSAGE_TYPES):
             with self.subTest(kind=kind.__name__):
                 message = sample(kind)
                 delivery = decode(encode(SENDER, 5, message))
@@ -51,12 +51,12 @@
     def test_every_message_type_is_known(self):
         """A type that names itself a message is in the codec's list."""
         for name in ("Submit", "Answer", "Offer", "Digest", "Handover", "Drain", "Decline"):
-            self.assertIn(getattr(messages, name), messages._KINDS)
-        self.assertEqual(len(set(messages._KINDS)), len(messages._KINDS))
+            self.assertIn(getattr(messages, name), messages._MESSAGE_TYPES)
+        self.assertEqual(len(set(messages._MESSAGE_TYPES)), len(messages._KINDS))
 
     def test_cut(self):
         """A message cut anywhere, or with more behind it, is malformed."""
-        for kind in messages._KINDS:
+        for kind in messages._MESSAGE_TYPES:
             data = encode(SENDER, ANY_INCARNATION, sample(kind))
             for bad in [data[:length] for length in range(len(data))] + [data + b"\x00"]:
                 with self.subTest(kind=kind.__name__), self.assertRaises(MalformedMessage):
@@ -75,7 +75,7 @@
         for name, data in (
             ("empty", b""),
             ("text", b"GET / HTTP/1.1\r\n\r\n"),
-            ("kind too high", wrap(len(messages._KINDS), ())),
+            ("kind too high", wrap(len(messages._MESSAGE_TYPES), ())),
             ("kind negative", wrap(-1, (1, "t"))),
             ("kind text", wrap("2", (1, "t"))),
             ("wrong type", wrap(inquire, ("1", "t"))),
