--- a/geraniumspool/application.py
+++ b/geraniumspool/application.py
@@ -1,4 +1,4 @@
-"""What every program owns: parts, green tasks, and their life cycle."""
+"""Base class of the programs: background green threads, message handlers and shutdown."""
 
 import logging
 import secrets
@@ -13,6 +13,7 @@
 
 _LOG = logging.getLogger(__name__)
 
+# Leaves 0 free, which stands for any incarnation.
 INCARNATION_BITS = 63
 POLL_MS = 20.0
 
@@ -20,7 +21,14 @@
 
 
 class ReadyLine(TypedDict, total=False):
-    """What a program prints once it is ready: its addresses."""
+    """Line of JSON that a program prints once it is ready: its listen addresses.
+
+    :ivar ready: role of the program
+    :ivar inbox: address for messages of other processes
+    :ivar callers: address of the callers' HTTP interface
+    :ivar operators: address of the operators' HTTP interface
+    :ivar minion: address at which minions announce themselves
+    """
 
     ready: str
     inbox: str
@@ -30,19 +38,23 @@
 
 
 def draw_incarnation() -> int:
-    """Return a random number for one life of a process."""
+    """Return a random number that identifies one run of a process; never 0."""
     return 1 + secrets.randbits(INCARNATION_BITS)
 
 
 class Application:
-    """Base of the programs: owns green tasks and the order of shutdown.
+    """Base of the programs: runs green threads, dispatches messages and controls shutdown.
 
-    :ivar metrics: counts of what the program did
-    :ivar exit_requested: whether an operator asked the process to leave
+    :ivar metrics: counters of the program
+    :ivar exit_requested: whether the process was asked to drain and exit
     """
 
     def __init__(self, clock: Clock, metrics: MemoryCounters):
-        """Own nothing yet."""
+        """Create the program without green threads and message handlers.
+
+        :param clock: source of time for waits
+        :param metrics: counters of the program
+        """
         self._clock = clock
         self.metrics = metrics
         self._handlers: dict[type, Handler] = {}
@@ -50,33 +62,33 @@
         self.exit_requested = False
 
     def start(self) -> None:
-        """Bind listeners and start the green tasks."""
+        """Bind the listeners and start the green threads."""
         raise NotImplementedError
 
     def ready_line(self) -> ReadyLine:
-        """Return the addresses to print once ready."""
+        """Return the addresses to print once the program is ready."""
         raise NotImplementedError
 
     def drain(self) -> bool:
-        """Leave gracefully; return whether everything in flight was finished."""
+        """Shut down gracefully; return whether all work in flight was finished."""
         raise NotImplementedError
 
     def stop(self) -> None:
-        """End the green tasks."""
+        """Kill the green threads."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
 
     def reload(self) -> None:
-        """Take changed settings; by default there are none to take."""
-        _LOG.info("reload asked for")
+        """Apply changed settings; does nothing unless overridden."""
+        _LOG.info("reload requested")
 
     def request_exit(self) -> None:
-        """Ask whoever runs this application to drain and stop it."""
+        """Request that the runner of this application drains and stops it."""
         self.exit_requested = True
 
     def _receive(self, delivery: Delivery) -> None:
-        """Hand a message to the handler of its type."""
+        """Pass a message to the handler registered for its type."""
         handler = self._handlers.get(type(delivery.message))
         if handler is None:
             self.metrics.add("messages_rejected", reason="unexpected")
@@ -84,15 +96,19 @@
         handler(delivery.sender, delivery.message)
 
     def _take_drain(self, _sender: Peer, drain: Drain) -> None:
-        _LOG.info("drain asked for", extra={"fields": (("who", drain.who), ("why", drain.why))})
+        _LOG.info("drain requested", extra={"fields": (("who", drain.who), ("why", drain.why))})
         self.request_exit()
 
     def _run(self, body: Callable[[], None]) -> None:
-        """Run a green task for as long as the application lives."""
+        """Run a function in a green thread that is killed when the application stops."""
         self._tasks.append(eventlet.spawn(body))
 
     def _wait_until(self, condition: Callable[[], bool], limit_ms: float) -> bool:
-        """Wait for a condition; return whether it came true in time."""
+        """Wait for a condition; return whether it became true in time.
+
+        :param condition: checked every ``POLL_MS`` milliseconds
+        :param limit_ms: timeout in milliseconds
+        """
         end = self._clock.now() + limit_ms
         while not condition():
             if self._clock.now() >= end:
--- a/geraniumspool/bounded_log.py
+++ b/geraniumspool/bounded_log.py
@@ -1,4 +1,4 @@
-"""Logs on standard output that never block a process and never flood it."""
+"""Rate-limited, non-blocking logging to a file descriptor such as standard output."""
 
 import logging
 import os
@@ -10,79 +10,96 @@
 from geraniumspool.logs import JsonFormatter
 from geraniumspool.units import MS_PER_SECOND
 
-# A line costs about 40 us: these take at most 2% of a core.
+# A line costs about 40 us of processor time, so this rate takes at most 2% of a core.
 LINES_PER_SECOND = 500
-# Lines of a burst of one second beyond that.
+# Capacity of the token bucket: one second of lines, which a burst may write beyond the rate.
 BURST_LINES = 500
-# Kept of the burst for warnings and errors.
+# Part of the burst that is reserved for warnings and errors.
 RESERVED_LINES = 100
-LEFT_OUT = "lines left out"
+LEFT_OUT = "log lines dropped"
 
 _WRITE = original("os").write
 
 
 class Stream(NamedTuple):
-    """Where lines go.
+    """Destination of log lines.
 
-    :param descriptor: file descriptor, set to never block
+    :param descriptor: file descriptor; the handler makes it non-blocking
     """
 
     descriptor: int
 
 
 class BoundedHandler(logging.Handler):
-    """Writes JSON lines at a bounded rate; what is left out is counted and told."""
+    """Writes JSON lines at a limited rate (token bucket).
+
+    Records above the rate and records that cannot be written without blocking
+    are dropped. The next record that is written is preceded by one with the
+    number of dropped lines.
+
+    :ivar left_out: lines dropped since the last such report
+    """
 
     def __init__(self, stream: Stream, clock: Clock):
-        """Make the stream non-blocking."""
+        """Make the descriptor non-blocking and start with a full token bucket.
+
+        :param stream: destination of the lines
+        :param clock: source of time for the rate
+        """
         super().__init__()
         os.set_blocking(stream.descriptor, False)
         self.setFormatter(JsonFormatter())
         self._descriptor = stream.descriptor
         self._clock = clock
-        self._allowed = float(BURST_LINES)
-        self._counted_ms = clock.now()
+        self._tokens = float(BURST_LINES)
+        self._refilled_ms = clock.now()
         self.left_out = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, or count it as left out."""
+        """Write one record, or drop and count it."""
         self._refill()
-        floor = 1 if record.levelno >= logging.WARNING else RESERVED_LINES
-        if self._allowed < floor:
+        min_tokens = 1 if record.levelno >= logging.WARNING else RESERVED_LINES
+        if self._tokens < min_tokens:
             self.left_out += 1
             return
-        if self.left_out and self._write(self._make_note(record)):
+        if self.left_out and self._write(self._make_drop_record(record)):
             self.left_out = 0
         if not self._write(record):
             self.left_out += 1
 
     def _refill(self) -> None:
         now = self._clock.now()
-        gained = (now - self._counted_ms) * LINES_PER_SECOND / MS_PER_SECOND
-        self._counted_ms = now
-        self._allowed = min(BURST_LINES, self._allowed + gained)
+        gained = (now - self._refilled_ms) * LINES_PER_SECOND / MS_PER_SECOND
+        self._refilled_ms = now
+        self._tokens = min(BURST_LINES, self._tokens + gained)
 
-    def _make_note(self, record: logging.LogRecord) -> logging.LogRecord:
-        note = logging.LogRecord(__name__, logging.WARNING, "", 0, LEFT_OUT, (), None)
-        note.created = record.created
-        note.fields = (("count", self.left_out),)
-        return note
+    def _make_drop_record(self, record: logging.LogRecord) -> logging.LogRecord:
+        drop_record = logging.LogRecord(__name__, logging.WARNING, "", 0, LEFT_OUT, (), None)
+        drop_record.created = record.created
+        drop_record.fields = (("count", self.left_out),)
+        return drop_record
 
     def _write(self, record: logging.LogRecord) -> bool:
         data = self.format(record).encode() + b"\n"
         try:
             written = _WRITE(self._descriptor, data)
         except OSError:
-            # Nobody reads the logs; the count of what is left out says so later.
+            # The reader is gone or too slow. The dropped line is counted and reported later.
             return False
-        self._allowed -= 1
+        self._tokens -= 1
         return written == len(data)
 
 
 def set_up_bounded(level: str, descriptor: int, clock: Clock) -> BoundedHandler:
-    """Send all logs of this process to a descriptor.
+    """Write all logs of this process to a descriptor, at a limited rate.
+
+    Replaces the existing handlers of the root logger.
 
-    :param level: lowest level that is written
+    :param level: lowest level to write, such as ``info``
+    :param descriptor: file descriptor to write to
+    :param clock: source of time for the rate
+    :returns: the new handler
+    :raises ValueError: if the level is unknown
     """
     handler = BoundedHandler(Stream(descriptor), clock)
     root = logging.getLogger()
--- a/geraniumspool/clock.py
+++ b/geraniumspool/clock.py
@@ -1,4 +1,4 @@
-"""Time in milliseconds: the system's clock and one that a test moves."""
+"""Clocks in milliseconds: the system clock and a manual one for tests."""
 
 import heapq
 import itertools
@@ -14,58 +14,58 @@
 
 
 class Timer:
-    """A callback due at some time, which can be cancelled."""
+    """Callback scheduled by a clock, which can be cancelled."""
 
     def __init__(self, callback: Callable[[], None]):
-        """Record the callback.
+        """Create a timer that is not cancelled.
 
-        :param callback: what to call; must not block
+        :param callback: function to call when the timer fires; must not block
         """
         self._callback = callback
         self._cancelled = False
 
     def cancel(self) -> None:
-        """Make sure that the callback is not called any more."""
+        """Prevent the callback from being called."""
         self._cancelled = True
 
     def fire(self) -> None:
-        """Call the callback unless the timer was cancelled."""
+        """Call the callback unless the timer was cancelled or has fired already."""
         if not self._cancelled:
             self._cancelled = True
             self._callback()
 
 
 class BaseClock:
-    """What every clock can do on top of ``now``, ``wall`` and ``after``."""
+    """Base of all clocks: implements waiting with ``now``, ``wall`` and ``after``."""
 
     def now(self) -> float:
         """Return monotonic time in milliseconds."""
         raise NotImplementedError
 
     def wall(self) -> int:
-        """Return milliseconds since the epoch."""
+        """Return wall-clock time in milliseconds since the Unix epoch."""
         raise NotImplementedError
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call ``callback`` once ``delay_ms`` have passed.
+        """Schedule a call of ``callback`` in ``delay_ms`` milliseconds.
 
         :param delay_ms: delay in milliseconds
-        :param callback: what to call; must not block
-        :returns: a timer that can be cancelled
+        :param callback: function to call; must not block
+        :returns: timer with which the call can be cancelled
         """
         raise NotImplementedError
 
     def sleep(self, delay_ms: float) -> None:
-        """Suspend the calling green task for ``delay_ms`` milliseconds."""
+        """Suspend the calling green thread for ``delay_ms`` milliseconds."""
         event = Event()
         self.after(delay_ms, event.send)
         event.wait()
 
     def wait(self, event: Event, timeout_ms: float) -> bool:
-        """Wait until ``event`` is sent or ``timeout_ms`` have passed.
+        """Wait until ``event`` is sent, but at most ``timeout_ms`` milliseconds.
 
-        :param event: the event to wait for; its value is left in place
-        :param timeout_ms: the longest wait in milliseconds
+        :param event: event to wait for; it keeps its value
+        :param timeout_ms: timeout in milliseconds
         :returns: whether the event was sent in time
         """
         if event.ready():
@@ -77,7 +77,7 @@
                 woken.send()
 
         timer = self.after(timeout_ms, wake)
-        waiter = eventlet.spawn(_relay, event, wake)
+        waiter = eventlet.spawn(_wake_after, event, wake)
         woken.wait()
         timer.cancel()
         if not event.ready():
@@ -86,7 +86,7 @@
         return True
 
 
-def _relay(event: Event, wake: Callable[[], None]) -> None:
+def _wake_after(event: Event, wake: Callable[[], None]) -> None:
     try:
         event.wait()
     finally:
@@ -94,77 +94,83 @@
 
 
 class SystemClock(BaseClock):
-    """The machine's clock."""
+    """Clock of the operating system.
+
+    Where supported, its monotonic time also advances while the machine is suspended.
+    """
 
     def now(self) -> float:
         """Return monotonic time in milliseconds."""
         return time.clock_gettime(STEADY_CLOCK) * MS_PER_SECOND
 
     def wall(self) -> int:
-        """Return milliseconds since the epoch."""
+        """Return wall-clock time in milliseconds since the Unix epoch."""
         return int(time.time() * MS_PER_SECOND)
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call ``callback`` from the hub once ``delay_ms`` have passed."""
+        """Schedule a call of ``callback`` by eventlet's hub in ``delay_ms`` milliseconds."""
         timer = Timer(callback)
         hubs.get_hub().schedule_call_global(max(0.0, delay_ms) / MS_PER_SECOND, timer.fire)
         return timer
 
     def sleep(self, delay_ms: float) -> None:
-        """Suspend the calling green task for ``delay_ms`` milliseconds."""
+        """Suspend the calling green thread for ``delay_ms`` milliseconds."""
         eventlet.sleep(delay_ms / MS_PER_SECOND)
 
     def wait(self, event: Event, timeout_ms: float) -> bool:
-        """Return whether ``event`` was sent within ``timeout_ms``."""
+        """Wait for ``event``; return whether it was sent within ``timeout_ms`` milliseconds."""
         event.wait(timeout=max(0.0, timeout_ms) / MS_PER_SECOND)
         return event.ready()
 
 
 class ManualClock(BaseClock):
-    """A clock that moves only when told to."""
+    """Clock for tests whose time changes only by :meth:`advance`.
+
+    :cvar SETTLE_TURNS: maximum number of hub rounds per call of :meth:`settle`
+    """
 
     SETTLE_TURNS = 20
 
     def __init__(self, start_ms: float = 1_000_000.0):
-        """Start at ``start_ms`` milliseconds, monotonic and wall alike."""
+        """Set both the monotonic and the wall-clock time to ``start_ms`` milliseconds."""
         self._now = start_ms
-        self._due: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
+        self._scheduled: list[tuple[float, int, Timer]] = []
+        self._sequence = itertools.count()
 
     def now(self) -> float:
-        """Return the time the clock was moved to, in milliseconds."""
+        """Return the clock's current time in milliseconds."""
         return self._now
 
     def wall(self) -> int:
-        """Return the same time as whole milliseconds."""
+        """Return the same time as :meth:`now`, in whole milliseconds."""
         return int(self._now)
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call ``callback`` when the clock has been moved by ``delay_ms``."""
+        """Schedule ``callback`` for when the clock has advanced by ``delay_ms`` milliseconds."""
         timer = Timer(callback)
         due = self._now + max(0.0, delay_ms)
-        heapq.heappush(self._due, (due, next(self._order), timer))
+        heapq.heappush(self._scheduled, (due, next(self._sequence), timer))
         return timer
 
     def advance(self, delay_ms: float) -> None:
-        """Move the clock, firing timers in order and letting green tasks run.
+        """Advance the clock; fire due timers in order and let green threads run after each.
 
-        :param delay_ms: how far to move, in milliseconds
+        :param delay_ms: time to advance by, in milliseconds
         """
         target = self._now + delay_ms
         self.settle()
-        while self._due and self._due[0][0] <= target:
-            self._now, _, timer = heapq.heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] <= target:
+            self._now, _, timer = heapq.heappop(self._scheduled)
             timer.fire()
             self.settle()
         self._now = target
         self.settle()
 
     def settle(self) -> None:
-        """Let all green tasks that are ready run."""
+        """Let all green threads that are ready run."""
         hub = hubs.get_hub()
         for _ in range(self.SETTLE_TURNS):
             eventlet.sleep(0)
-            # Stopping here halves the time of tests with this clock.
+            # No green thread is ready; the early return halves the run time of tests.
             if not hub.next_timers and (not hub.timers or hub.timers[0][0] > hub.clock()):
                 return
--- a/geraniumspool/errors.py
+++ b/geraniumspool/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the dispatcher, each with a stable code."""
+"""Exceptions of the dispatcher, each with a stable error code."""
 
 from typing import NamedTuple
 
 
 class Finding(NamedTuple):
-    """One fault found in a document, with its place.
+    """One error found in an input document, with its location.
 
-    :param place: file name or document key the fault was found in
-    :param line: line number from 1, or 0 where there is none
-    :param path: path inside the document, such as ``entry.listen``
-    :param text: what is wrong, in one sentence
+    :param place: file name or key of the document
+    :param line: line number from 1, or 0 if unknown
+    :param path: path of the faulty field in the document, such as ``entry.listen``
+    :param text: description of the error
     """
 
     place: str
@@ -23,20 +23,20 @@
 
 
 class DispatchError(Exception):
-    """Base of all errors of the dispatcher.
+    """Base of all exceptions of the dispatcher.
 
-    :cvar code: stable code that scripts may rely on
-    :cvar status: HTTP status that the error is reported with
+    :cvar code: stable error code that scripts may rely on
+    :cvar status: HTTP status with which the error is reported
     """
 
     code = "internal"
     status = 500
 
     def __init__(self, detail: str = "", retry_after_ms: float | None = None):
-        """Record what happened.
+        """Create the error.
 
-        :param detail: what happened, for people
-        :param retry_after_ms: when another try may help, or None
+        :param detail: human-readable description; the code if empty
+        :param retry_after_ms: time after which a retry may succeed, in milliseconds, or None
         """
         super().__init__(detail or self.code)
         self.detail = detail or self.code
@@ -44,43 +44,46 @@
 
 
 class InvalidInput(DispatchError):
-    """Input was rejected; carries every finding at once."""
+    """The input is invalid; reports all errors found in it.
+
+    :ivar findings: all errors found in the input
+    """
 
     code = "invalid_input"
     status = 400
 
     def __init__(self, findings: list[Finding]):
-        """Record the findings.
+        """Create the error with its findings.
 
-        :param findings: all faults found, never empty
+        :param findings: all errors found, never empty
         """
         super().__init__("; ".join(str(finding) for finding in findings))
         self.findings = findings
 
 
 class MalformedTicket(DispatchError):
-    """A ticket could not be parsed."""
+    """The text is not a syntactically valid ticket."""
 
     code = "ticket_malformed"
     status = 400
 
 
 class ForgedTicket(DispatchError):
-    """A ticket's signature matches none of the configured keys."""
+    """The signature of a ticket does not match any configured key."""
 
     code = "ticket_forged"
     status = 403
 
 
 class ForeignService(DispatchError):
-    """A job names another service than its ticket."""
+    """A job was submitted for another service than its ticket was issued for."""
 
     code = "ticket_foreign_service"
     status = 409
 
 
 class JobConflict(DispatchError):
-    """Another job body was already submitted under this ticket."""
+    """A job with a different body was already submitted under the same ticket."""
 
     code = "job_conflict"
     status = 409
@@ -93,27 +96,27 @@
 
 
 class LinkDown(DispatchError):
-    """A peer could not be reached in time."""
+    """A peer process could not be reached in time."""
 
     code = "link_down"
     status = 503
 
 
 class StoreError(DispatchError):
-    """Base of the errors of the platform's store."""
+    """Base of the errors of the key-value store."""
 
     code = "store_error"
     status = 503
 
 
 class StoreUnavailable(StoreError):
-    """The store refused or could not be connected to; nothing was written."""
+    """The store rejected the call or could not be reached; nothing was written."""
 
     code = "store_unavailable"
 
 
 class StoreUnknown(StoreError):
-    """The store did not answer; a write may or may not have taken effect."""
+    """The store did not reply; a write may or may not have taken effect."""
 
     code = "store_unknown"
 
@@ -125,99 +128,103 @@
 
 
 class CompactedRevision(StoreError):
-    """A watch asked for a revision that the store no longer has."""
+    """A watch started at a revision whose later changes the store no longer has."""
 
     code = "store_compacted"
 
 
 class StaleRevision(DispatchError):
-    """A configuration change was based on a revision that is not current."""
+    """A configuration change is based on a revision that is no longer current."""
 
     code = "config_stale_revision"
     status = 409
 
 
 class ChangeUnknown(DispatchError):
-    """It is not known yet whether a configuration change was accepted."""
+    """The outcome of a configuration change is unknown: it may have been accepted."""
 
     code = "config_change_unknown"
     status = 503
 
 
 class NotFound(DispatchError):
-    """The thing asked for does not exist."""
+    """The requested resource does not exist."""
 
     code = "not_found"
     status = 404
 
 
 class Unauthorized(DispatchError):
-    """The operators' token is missing or wrong."""
+    """The operators' access token is missing or wrong."""
 
     code = "unauthorized"
     status = 401
 
 
 class PayloadTooLarge(DispatchError):
-    """A request body is larger than the limit."""
+    """The body of a request exceeds its size limit."""
 
     code = "payload_too_large"
     status = 413
 
 
 class MethodNotAllowed(DispatchError):
-    """The path exists but not with this method."""
+    """The path exists but does not support the request's method."""
 
     code = "method_not_allowed"
     status = 405
 
 
 class NotStarted(DispatchError):
-    """The minion refused the connection: the task never started."""
+    """The minion refused the connection, so the task did not start."""
 
     code = "minion_refused_connection"
 
 
 class TaskFailed(DispatchError):
-    """The minion answered a task with an error."""
+    """The minion reported that a task failed."""
 
     code = "task_failed"
 
 
 class TaskUnknown(DispatchError):
-    """The minion's answer was lost or late: the task may have run."""
+    """The minion's reply was lost or late, so the task may have run."""
 
     code = "task_outcome_unknown"
 
 
 class MinionReplaced(DispatchError):
-    """Another life of the minion answers at its address.
+    """Another process than the expected minion process answers at the minion's address.
 
-    :ivar started_unix_ms: when the life of the same name that answers began, 0 if the name is
-        another
+    :ivar started_unix_ms: start of the process that answers, in milliseconds since the Unix
+        epoch, if it has the name of the expected minion, else 0
     """
 
     code = "minion_replaced"
 
     def __init__(self, detail: str = "", started_unix_ms: int = 0):
-        """Record which life answers, as far as known."""
+        """Create the error.
+
+        :param detail: human-readable description
+        :param started_unix_ms: see the class
+        """
         super().__init__(detail)
         self.started_unix_ms = started_unix_ms
 
 
 class MinionSilent(DispatchError):
-    """The minion did not answer: the call may have been carried out, or may be later."""
+    """The minion did not reply: the call may have taken effect, or may still do so later."""
 
     code = "minion_silent"
 
 
 class MinionDown(MinionSilent):
-    """Nothing listens at the minion's address: its process has ended, and nothing was done."""
+    """The minion's address refuses connections: its process has ended, the call had no effect."""
 
     code = "minion_down"
 
 
 class Fenced(DispatchError):
-    """The minion has seen a higher fencing token."""
+    """The minion rejected a call because it has seen a higher fencing token."""
 
     code = "minion_fenced"
--- a/geraniumspool/etcd.py
+++ b/geraniumspool/etcd.py
@@ -1,6 +1,7 @@
-"""Wire types of the subset of etcd's v3 JSON gateway that the dispatcher uses.
+"""Wire types for the subset of etcd's v3 JSON gateway that the dispatcher uses.
 
-Keys and values are base64 text, 64-bit integers are strings (the proto3 JSON mapping).
+Following the proto3 JSON mapping, keys and values are base64 text and 64-bit
+integers are strings.
 """
 
 import msgspec
@@ -11,17 +12,19 @@
 KEEPALIVE_PATH = "/v3/lease/keepalive"
 WATCH_PATH = "/v3/watch"
 
-# gRPC status codes, as the gateway reports them.
+# gRPC status codes, as reported by the gateway.
 INVALID_ARGUMENT = 3
 NOT_FOUND = 5
 PERMISSION_DENIED = 7
 UNIMPLEMENTED = 12
 UNAVAILABLE = 14
 UNAUTHENTICATED = 16
+# Codes which guarantee that the call had no effect.
 REJECTED = frozenset(
     {INVALID_ARGUMENT, NOT_FOUND, PERMISSION_DENIED, UNIMPLEMENTED, UNAUTHENTICATED}
 )
 
+# Target of a condition that compares the key's modification revision.
 COMPARE_REVISION = "MOD"
 DELETE_EVENT = "DELETE"
 
@@ -29,13 +32,13 @@
 
 
 class Header(msgspec.Struct, omit_defaults=True):
-    """Header of every reply, with the store's revision."""
+    """Header of every reply, with the current revision of the store."""
 
     revision: Int64 = 0
 
 
 class WirePair(msgspec.Struct, omit_defaults=True):
-    """One key as the gateway writes it."""
+    """Key with its value, modification revision and lease (0 for none)."""
 
     key: bytes = b""
     value: bytes = b""
@@ -44,21 +47,21 @@
 
 
 class RangeRequest(msgspec.Struct, omit_defaults=True):
-    """Read of one key, or of all keys from ``key`` up to ``range_end``."""
+    """Read of one key, or of all keys from ``key`` up to but without ``range_end``."""
 
     key: bytes
     range_end: bytes = b""
 
 
 class RangeReply(msgspec.Struct, omit_defaults=True):
-    """Keys found by a read."""
+    """Reply to a read, with the keys found."""
 
     header: Header = msgspec.field(default_factory=Header)
     kvs: list[WirePair] = []
 
 
 class Compare(msgspec.Struct):
-    """Condition of a transaction."""
+    """Condition of a transaction on the modification revision of a key."""
 
     key: bytes
     mod_revision: Int64
@@ -67,7 +70,7 @@
 
 
 class PutRequest(msgspec.Struct, omit_defaults=True):
-    """Write of one key."""
+    """Write of one key, bound to a lease unless ``lease`` is 0."""
 
     key: bytes
     value: bytes = b""
@@ -81,7 +84,7 @@
 
 
 class Operation(msgspec.Struct, omit_defaults=True):
-    """One step of a transaction; exactly one field is set."""
+    """One operation of a transaction; exactly one field is set."""
 
     request_put: PutRequest | None = None
     request_delete_range: DeleteRequest | None = None
@@ -89,7 +92,7 @@
 
 
 class TxnRequest(msgspec.Struct, omit_defaults=True):
-    """Transaction: ``success`` where all conditions hold, ``failure`` otherwise."""
+    """Transaction: runs ``success`` if all conditions hold, else ``failure``."""
 
     compare: list[Compare]
     success: list[Operation] = []
@@ -97,13 +100,13 @@
 
 
 class OperationReply(msgspec.Struct, omit_defaults=True):
-    """Reply to one step of a transaction."""
+    """Reply to one operation of a transaction; only reads have content."""
 
     response_range: RangeReply | None = None
 
 
 class TxnReply(msgspec.Struct, omit_defaults=True):
-    """Which branch of a transaction ran, and its replies."""
+    """Reply to a transaction: whether ``success`` ran, and the replies of its operations."""
 
     header: Header = msgspec.field(default_factory=Header)
     succeeded: bool = False
@@ -111,27 +114,27 @@
 
 
 class Lease(msgspec.Struct, omit_defaults=True):
-    """A lease in requests and replies; its time to live is in seconds."""
+    """Lease in requests and replies, with its time to live in seconds."""
 
     id: Int64 = msgspec.field(default=0, name="ID")
     ttl: Int64 = msgspec.field(default=0, name="TTL")
 
 
 class ErrorReply(msgspec.Struct, omit_defaults=True):
-    """Reply of a call that failed."""
+    """Reply to a failed call, with a gRPC status code."""
 
     code: int = 0
     message: str = ""
 
 
 class KeepAliveLine(msgspec.Struct, omit_defaults=True):
-    """One line of the stream of a lease renewal."""
+    """One line of the response stream of a lease renewal."""
 
     result: Lease
 
 
 class WatchCreate(msgspec.Struct, omit_defaults=True):
-    """What to watch, from ``start_revision`` on."""
+    """Key range to watch, beginning with changes at ``start_revision``."""
 
     key: bytes
     range_end: bytes
@@ -140,20 +143,23 @@
 
 
 class WatchRequest(msgspec.Struct):
-    """Opening of a watch."""
+    """Request that opens a watch."""
 
     create_request: WatchCreate
 
 
 class WatchEvent(msgspec.Struct, omit_defaults=True):
-    """One modification; a write unless ``type`` says ``DELETE``."""
+    """One change of a key: a write, or a deletion if ``type`` is ``DELETE``."""
 
     kv: WirePair
     type: str = "PUT"
 
 
 class WatchReply(msgspec.Struct, omit_defaults=True):
-    """One message of a watch."""
+    """One message of a watch.
+
+    :ivar compact_revision: if not 0, the watch failed because older revisions were compacted
+    """
 
     header: Header = msgspec.field(default_factory=Header)
     created: bool = False
@@ -163,13 +169,13 @@
 
 
 class WatchLine(msgspec.Struct, omit_defaults=True):
-    """One line of the stream of a watch."""
+    """One line of the response stream of a watch."""
 
     result: WatchReply
 
 
 def prefix_range(prefix: str) -> RangeRequest:
-    """Return the range that holds all keys under a prefix."""
+    """Return a request for all keys that begin with a prefix."""
     if not prefix:
         return RangeRequest(b"\0", b"\0")
     key = prefix.encode()
--- a/geraniumspool/etcd_store.py
+++ b/geraniumspool/etcd_store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service through etcd's JSON gateway."""
+"""Client of the platform's key-value store through etcd's JSON gateway."""
 
 import math
 import socket
@@ -59,7 +59,7 @@
 _HTTP_OK = 200
 _HTTP_SERVER_ERROR = 500
 _CONNECTIONS = 16
-# TCP keepalive ends a silent watch whose host vanished.
+# TCP keepalive detects that the host behind a silent watch is gone.
 _SOCKET_OPTIONS = [
     *HTTPConnection.default_socket_options,
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -70,14 +70,16 @@
 
 Reply = TypeVar("Reply")
 
+# Item in a watch's mailbox that reports that the watch was opened.
 _OPENED = object()
 
 
 class EtcdStore:
     """Client for the subset of etcd's v3 JSON gateway that the dispatcher uses.
 
-    No call is retried, except at another address after a refused connection.
-    After any other fault of a member, the next call begins with another one.
+    A call is tried at another address only if the connection was refused. After
+    any other failure of a store member, the call fails and the next call begins
+    with another member.
     """
 
     def __init__(
@@ -88,13 +90,13 @@
         timeout_ms: float = DEFAULT_TIMEOUT_MS,
         poll_ms: float = WATCH_POLL_MS,
     ):
-        """Prepare the client without connecting.
+        """Create the client without connecting.
 
-        :param urls: base addresses of the store's members, in order of preference
+        :param urls: base URLs of the store's members, in order of preference
         :param clock: source of time for watches
         :param counters: where calls and failures are counted
-        :param timeout_ms: longest wait for a connection and for an answer
-        :param poll_ms: how often an idle watch yields None
+        :param timeout_ms: limit for a call, from connecting to the reply, in milliseconds
+        :param poll_ms: interval at which an idle watch yields None, in milliseconds
         """
         self._urls = deque(url.rstrip("/") for url in urls)
         self._clock = clock
@@ -106,12 +108,12 @@
         )
 
     def get(self, key: str) -> KeyValue | None:
-        """Return one key, or None where there is none."""
+        """Return one key, or None if it does not exist."""
         reply = self._call(RANGE, RangeRequest(key.encode()), RangeReply)
         return _first_pair(reply)
 
     def list(self, prefix: str) -> Snapshot:
-        """Return all keys under a prefix at one revision."""
+        """Return all keys that begin with a prefix, at one revision."""
         reply = self._call(RANGE, prefix_range(prefix), RangeReply)
         pairs = tuple(_key_value(pair) for pair in reply.kvs)
         return Snapshot(int(reply.header.revision), pairs)
@@ -119,9 +121,9 @@
     def swap(self, key: str, expected_revision: int, value: bytes, lease: int = 0) -> SwapOutcome:
         """Write ``value`` if the key's revision is ``expected_revision``.
 
-        :param expected_revision: modification revision, 0 where the key must not exist
+        :param expected_revision: modification revision, or 0 if the key must not exist
         :param lease: lease to bind the key to, or 0
-        :raises LeaseExpired: if the lease lapsed; nothing was written
+        :raises LeaseExpired: if the lease has expired; nothing was written
         :raises StoreUnavailable: if nothing was written
         :raises StoreUnknown: if the value may have been written
         """
@@ -129,12 +131,12 @@
         reply = self._transact(key, expected_revision, Operation(request_put=put))
         if reply.succeeded:
             return SwapOutcome(True, int(reply.header.revision), None)
-        return _lost_swap(reply)
+        return _failed_swap(reply)
 
     def delete(self, key: str, expected_revision: int) -> SwapOutcome:
         """Delete the key if its revision is ``expected_revision``.
 
-        :returns: the outcome, with revision 0 where the key was deleted
+        :returns: the outcome, with revision 0 if the key was deleted
         :raises StoreUnavailable: if nothing was deleted
         :raises StoreUnknown: if the key may have been deleted
         """
@@ -142,10 +144,10 @@
         reply = self._transact(key, expected_revision, Operation(request_delete_range=removal))
         if reply.succeeded:
             return SwapOutcome(True, 0, None)
-        return _lost_swap(reply)
+        return _failed_swap(reply)
 
     def grant_lease(self, ttl_ms: float) -> int:
-        """Return a new lease that lapses unless it is kept alive.
+        """Return the id of a new lease that expires unless it is renewed.
 
         :param ttl_ms: time to live in milliseconds, rounded up to whole seconds
         """
@@ -156,29 +158,29 @@
     def keep_alive(self, lease: int) -> float:
         """Renew a lease and return its time to live in milliseconds.
 
-        :raises LeaseExpired: if it lapsed
+        :raises LeaseExpired: if the lease has expired
         """
         reply = self._call(KEEPALIVE, Lease(id=str(lease)), KeepAliveLine)
         seconds = int(reply.result.ttl)
         if seconds <= 0:
-            raise LeaseExpired(f"lease {lease} lapsed")
+            raise LeaseExpired(f"lease {lease} has expired")
         return seconds * MS_PER_SECOND
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change | None]:
-        """Yield changes under a prefix after ``revision``, until a fault.
+        """Yield the changes after ``revision`` of keys with a prefix, until a failure.
 
-        None is yielded while nothing changes. One call is made however long
-        the watch lives.
+        While nothing changes, None is yielded at the poll interval. A watch
+        counts as a single call, however long it is open.
 
-        :raises CompactedRevision: if the store no longer has that revision
-        :raises StoreUnavailable: if the stream breaks
+        :raises CompactedRevision: if the store has discarded changes after ``revision``
+        :raises StoreUnavailable: if the watch cannot be opened or the stream breaks
         """
         self._counters.add("store_calls", kind=WATCH.kind)
         mailbox = Mailbox()
         reader = eventlet.spawn(self._read_watch, prefix, revision, mailbox)
         try:
             if mailbox.take(self._clock, self._timeout_ms) is None:
-                raise StoreUnavailable("the watch was not opened in time")
+                raise StoreUnavailable(f"watch was not opened within {self._timeout_ms:.0f} ms")
             while True:
                 yield mailbox.take(self._clock, self._poll_ms)
         except StoreUnavailable:
@@ -199,20 +201,22 @@
     def _call(self, call: StoreCall, request: msgspec.Struct, reply_type: type[Reply]) -> Reply:
         self._counters.add("store_calls", kind=call.kind)
         try:
-            return self._exchange(call, request, reply_type)
+            return self._post_and_decode(call, request, reply_type)
         except (StoreUnavailable, StoreUnknown):
             self._counters.add("store_failures", kind=call.kind)
             raise
 
-    def _exchange(self, call: StoreCall, request: msgspec.Struct, reply_type: type[Reply]) -> Reply:
+    def _post_and_decode(
+        self, call: StoreCall, request: msgspec.Struct, reply_type: type[Reply]
+    ) -> Reply:
         timeout = urllib3.Timeout(total=self._timeout_ms / MS_PER_SECOND)
         response = self._post(call, request, timeout)
         if response.status != _HTTP_OK:
-            raise _refusal(call, response.status, response.data)
+            raise _error_for_reply(call, response.status, response.data)
         try:
             return msgspec.json.decode(response.data, type=reply_type)
         except msgspec.DecodeError as error:
-            raise call.doubt(f"unreadable answer: {error}") from error
+            raise call.doubt(f"reply could not be decoded: {error}") from error
 
     def _post(self, call: StoreCall, request: msgspec.Struct, timeout: urllib3.Timeout, **options):
         body = msgspec.json.encode(request)
@@ -229,53 +233,55 @@
                     **options,
                 )
             except NewConnectionError:
-                self._demote(url)
+                self._move_to_end(url)
             except ConnectTimeoutError as error:
-                self._demote(url)
-                raise StoreUnavailable(f"no connection in time: {error}") from error
+                self._move_to_end(url)
+                raise StoreUnavailable(f"connection timed out: {error}") from error
             except (HTTPError, OSError) as error:
-                self._demote(url)
-                raise call.doubt(f"no answer: {error}") from error
+                self._move_to_end(url)
+                raise call.doubt(f"no reply: {error}") from error
             else:
                 if response.status >= _HTTP_SERVER_ERROR:
-                    self._demote(url)
+                    self._move_to_end(url)
                 return response
-        raise StoreUnavailable("connections refused")
+        raise StoreUnavailable("connection refused at every address")
 
-    def _demote(self, url: str) -> None:
-        """Let the next call begin with another address."""
+    def _move_to_end(self, url: str) -> None:
+        """Move an address to the end of the list if it is the first."""
         if self._urls[0] == url:
             self._urls.rotate(-1)
 
     def _read_watch(self, prefix: str, revision: int, mailbox: Mailbox) -> None:
-        """Read one watch's stream into its mailbox, error included."""
+        """Read the stream of a watch into its mailbox, the final error included."""
         try:
-            self._follow(prefix, revision, mailbox)
+            self._read_stream(prefix, revision, mailbox)
         except StoreError as error:
             mailbox.put(error)
         except (HTTPError, OSError, ValueError, msgspec.DecodeError) as error:
-            mailbox.put(StoreUnavailable(f"watch broken: {error}"))
+            mailbox.put(StoreUnavailable(f"watch failed: {error}"))
 
-    def _follow(self, prefix: str, revision: int, mailbox: Mailbox) -> None:
-        span = prefix_range(prefix)
-        create = WatchCreate(span.key, span.range_end, str(revision + 1), progress_notify=True)
+    def _read_stream(self, prefix: str, revision: int, mailbox: Mailbox) -> None:
+        key_range = prefix_range(prefix)
+        create = WatchCreate(
+            key_range.key, key_range.range_end, str(revision + 1), progress_notify=True
+        )
         timeout = urllib3.Timeout(connect=self._timeout_ms / MS_PER_SECOND, read=None)
         response = self._post(WATCH, WatchRequest(create), timeout, preload_content=False)
         try:
             if response.status != _HTTP_OK:
-                raise _refusal(WATCH, response.status, response.read())
+                raise _error_for_reply(WATCH, response.status, response.read())
             for line in response:
-                _deliver(msgspec.json.decode(line, type=WatchLine).result, mailbox)
+                _queue_changes(msgspec.json.decode(line, type=WatchLine).result, mailbox)
         finally:
             response.close()
-        raise StoreUnavailable("watch ended")
+        raise StoreUnavailable("watch stream was closed by the store")
 
 
-def _deliver(reply: WatchReply, mailbox: Mailbox) -> None:
+def _queue_changes(reply: WatchReply, mailbox: Mailbox) -> None:
     if int(reply.compact_revision):
-        raise CompactedRevision(f"compacted up to revision {reply.compact_revision}")
+        raise CompactedRevision(f"changes are compacted up to revision {reply.compact_revision}")
     if reply.canceled:
-        raise StoreUnavailable("watch cancelled by the store")
+        raise StoreUnavailable("watch was cancelled by the store")
     if reply.created:
         mailbox.put(_OPENED)
     for event in reply.events:
@@ -283,15 +289,15 @@
         mailbox.put(Change(event.kv.key.decode(), value, int(event.kv.mod_revision)))
 
 
-def _refusal(call: StoreCall, status: int, body: bytes) -> StoreError:
+def _error_for_reply(call: StoreCall, status: int, body: bytes) -> StoreError:
     try:
         reply = msgspec.json.decode(body, type=ErrorReply)
     except msgspec.DecodeError:
         reply = ErrorReply()
     if reply.code == NOT_FOUND and "lease" in reply.message:
         return LeaseExpired(reply.message)
-    kind = StoreUnavailable if reply.code in REJECTED else call.doubt
-    return kind(f"HTTP {status}: {reply.message}")
+    error_type = StoreUnavailable if reply.code in REJECTED else call.doubt
+    return error_type(f"HTTP {status}: {reply.message}")
 
 
 def _key_value(pair: WirePair) -> KeyValue:
@@ -302,7 +308,7 @@
     return _key_value(reply.kvs[0]) if reply.kvs else None
 
 
-def _lost_swap(reply: TxnReply) -> SwapOutcome:
-    found = reply.responses[0].response_range if reply.responses else None
-    current = _first_pair(found) if found else None
+def _failed_swap(reply: TxnReply) -> SwapOutcome:
+    range_reply = reply.responses[0].response_range if reply.responses else None
+    current = _first_pair(range_reply) if range_reply else None
     return SwapOutcome(False, current.revision if current else 0, current)
--- a/geraniumspool/logs.py
+++ b/geraniumspool/logs.py
@@ -1,7 +1,7 @@
-"""Logs as JSON lines.
+"""Logging as JSON lines.
 
 Fields are passed as ``extra={"fields": (("key", value), ...)}`` and become
-keys of the line's object.
+keys of the line's JSON object.
 """
 
 import json
@@ -11,27 +11,29 @@
 from datetime import UTC, datetime
 from typing import Any, TextIO
 
+# Longer texts are truncated.
 MAX_TEXT_CHARS = 8000
 RESERVED_KEYS = frozenset({"time", "level", "logger", "message", "exception"})
+# Prepended to the keys of fields that clash with a reserved key.
 FIELD_PREFIX = "field_"
 
 
 class JsonFormatter(logging.Formatter):
     """Formats a log record as one JSON object on one line.
 
-    It never raises: what cannot be shown as JSON is shown as text.
+    It never raises an exception: values without a JSON form are converted to text.
     """
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line of a record.
+        """Return a record as a line of JSON.
 
-        :param record: the record; its ``fields`` may be missing
+        :param record: the record, with or without ``fields``
         """
         line = {
             "time": _format_time(record.created),
             "level": record.levelname.lower(),
             "logger": record.name,
-            "message": _cut(_format_message(record)),
+            "message": _truncate(_format_message(record)),
         }
         for key, value in _read_fields(record):
             line[FIELD_PREFIX + key if key in RESERVED_KEYS else key] = value
@@ -41,14 +43,14 @@
 
 
 def set_up(level: str, stream: TextIO) -> logging.Handler:
-    """Send all logs of this process to ``stream`` as JSON lines.
+    """Write all logs of this process to ``stream`` as JSON lines.
 
-    Handlers that were set up before are replaced.
+    Replaces the existing handlers of the root logger.
 
-    :param level: lowest level that is written, such as ``info``
-    :param stream: where the lines go
-    :returns: the handler in use
-    :raises ValueError: if there is no such level
+    :param level: lowest level to write, such as ``info``
+    :param stream: stream to write to
+    :returns: the new handler
+    :raises ValueError: if the level is unknown
     """
     handler = logging.StreamHandler(stream)
     handler.setFormatter(JsonFormatter())
@@ -72,7 +74,7 @@
 
 def _format_exception(formatter: logging.Formatter, record: logging.LogRecord) -> str:
     try:
-        return _cut(formatter.formatException(record.exc_info))
+        return _truncate(formatter.formatException(record.exc_info))
     except Exception:
         return _to_text(record.exc_info)
 
@@ -97,10 +99,10 @@
 
 def _to_text(value: Any) -> str:
     try:
-        return _cut(value if type(value) is str else str(value))
+        return _truncate(value if type(value) is str else str(value))
     except Exception:
         return f"<{type(value).__name__}>"
 
 
-def _cut(text: str) -> str:
+def _truncate(text: str) -> str:
     return text if len(text) <= MAX_TEXT_CHARS else text[:MAX_TEXT_CHARS] + "..."
--- a/geraniumspool/metrics.py
+++ b/geraniumspool/metrics.py
@@ -1,7 +1,8 @@
 """Counters and gauges of one process, exported through OpenTelemetry.
 
-Counting is a plain dictionary update, so it may be done for every task. The
-OpenTelemetry instruments read the dictionaries only when metrics are rendered.
+Counting is a plain dictionary update, cheap enough to be done for every task.
+The OpenTelemetry instruments read the dictionaries only when metrics are
+rendered.
 """
 
 from collections.abc import Callable, Iterator
@@ -21,21 +22,21 @@
 
 
 class Metrics(MemoryCounters):
-    """Counters and gauges with a Prometheus rendering of their own.
+    """Counters and gauges that are rendered in the Prometheus text format.
 
-    Every instance has its own registry, so several can live in one process.
+    Every instance has its own registry, so a process can have several instances.
     """
 
     def __init__(self, role: str, domain: str, counted: MemoryCounters | None = None):
-        """Create the meter.
+        """Create the OpenTelemetry meter and its registry.
 
         :param role: role of the process, such as ``entry`` or ``agent``
         :param domain: failure domain of the process
-        :param counted: counts to export instead of own ones
+        :param counted: existing counters to export instead of new ones
         """
         super().__init__(counted)
         self._gauges: dict[str, Callable[[], float]] = {}
-        self._exported: set[str] = set()
+        self._registered: set[str] = set()
         self._registry = CollectorRegistry()
         resource = Resource({"role": role, "domain": domain})
         reader = PrometheusMetricReader(
@@ -47,38 +48,38 @@
         )
         self._provider = MeterProvider([reader], resource, shutdown_on_exit=False)
         self._meter = self._provider.get_meter(PREFIX)
-        self._registry.register(_Histograms(self, role, domain))
+        self._registry.register(_HistogramCollector(self, role, domain))
 
     def set_gauge(self, name: str, callback: Callable[[], float]) -> None:
-        """Export a value that is read whenever metrics are rendered.
+        """Register a gauge, replacing an earlier one of the same name.
 
-        :param name: gauge name without prefix; an earlier callback is replaced
-        :param callback: returns the current value; must not block
+        :param name: gauge name without prefix
+        :param callback: returns the current value whenever metrics are rendered; must not block
         """
         self._gauges[name] = callback
 
     def snapshot(self) -> dict[str, float]:
-        """Return the value of each series and gauge."""
+        """Return the values of all counter series and gauges by name."""
         values = super().snapshot()
         values.update((name, float(read())) for name, read in sorted(self._gauges.items()))
         return values
 
     def render(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
-        self._export_new_names()
+        """Return all metrics in the Prometheus text format."""
+        self._register_new_names()
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Shut the meter down; counting still works afterwards."""
+        """Shut down the meter; counting keeps working."""
         self._provider.shutdown()
 
-    def _export_new_names(self) -> None:
-        for name in self.names() - self._exported:
+    def _register_new_names(self) -> None:
+        for name in self.names() - self._registered:
             self._meter.create_observable_counter(name, [self._counter_reader(name)])
-            self._exported.add(name)
-        for name in self._gauges.keys() - self._exported:
+            self._registered.add(name)
+        for name in self._gauges.keys() - self._registered:
             self._meter.create_observable_gauge(name, [self._gauge_reader(name)])
-            self._exported.add(name)
+            self._registered.add(name)
 
     def _counter_reader(self, name: str) -> Callable[[CallbackOptions], Iterator[Observation]]:
         def read(_options: CallbackOptions) -> Iterator[Observation]:
@@ -94,24 +95,29 @@
         return read
 
 
-class _Histograms:
-    """Shows histograms to the registry; OpenTelemetry has none that are read when asked."""
+class _HistogramCollector:
+    """Prometheus collector for the histograms.
+
+    OpenTelemetry has no observable histogram, that is, none read by a callback on rendering.
+    """
 
     def __init__(self, counted: MemoryCounters, role: str, domain: str):
-        self._counted = counted
-        self._process = {"role": role, "domain": domain}
+        self._counters = counted
+        self._process_labels = {"role": role, "domain": domain}
 
     def collect(self) -> Iterator[HistogramMetricFamily]:
-        for name, series in self._counted.histograms().items():
-            labels = sorted({label for key in series for label, _ in key} | self._process.keys())
+        for name, series in self._counters.histograms().items():
+            labels = sorted(
+                {label for key in series for label, _ in key} | self._process_labels.keys()
+            )
             family = HistogramMetricFamily(f"{PREFIX}_{name}", name, labels=labels)
             for key, histogram in series.items():
-                values = self._process | dict(key)
+                values = self._process_labels | dict(key)
                 texts = [values.get(label, "") for label in labels]
-                family.add_metric(texts, _read_buckets(histogram), histogram.total)
+                family.add_metric(texts, _accumulate_buckets(histogram), histogram.total)
             yield family
 
 
-def _read_buckets(histogram: Histogram) -> list[tuple[str, int]]:
+def _accumulate_buckets(histogram: Histogram) -> list[tuple[str, int]]:
     bounds = (*map(str, BUCKETS), "+Inf")
     return list(zip(bounds, accumulate(histogram.counts), strict=True))
--- a/geraniumspool/program.py
+++ b/geraniumspool/program.py
@@ -1,4 +1,4 @@
-"""Running a program until a signal tells it to leave."""
+"""Runs a program until a signal requests its shutdown."""
 
 import gc
 import json
@@ -12,8 +12,10 @@
 
 from geraniumspool.clock import MS_PER_SECOND
 
+# Exit codes.
 OK = 0
 FAILED = 1
+# Thresholds of the three generations of the garbage collector; see gc.set_threshold().
 COLLECTOR_THRESHOLDS = (20_000, 20, 50)
 SIGNAL_POLL_MS = 100.0
 
@@ -21,42 +23,43 @@
 
 
 class Application(Protocol):
-    """A program that :func:`run_application` runs."""
+    """Program that :func:`run_application` can run."""
 
     def start(self) -> None:
-        """Begin to listen and return once the program is ready."""
+        """Start to listen; return when the program is ready."""
 
     def ready_line(self) -> Any:
-        """Return what to print when ready, such as the addresses in use."""
+        """Return the JSON value to print when ready, such as the addresses in use."""
 
     def drain(self) -> bool | None:
-        """Leave gracefully; return False if some work had to be given up."""
+        """Shut down gracefully; return False if some work was abandoned."""
 
     def stop(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately."""
 
     def reload(self) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
 
 
 def run_application(app: Application, output: TextIO | None = None) -> int:
-    """Run a program until SIGTERM or SIGINT, then let it leave gracefully.
+    """Run a program until SIGTERM, SIGINT or its own exit request, then drain and stop it.
 
-    One line of JSON is printed when it is ready. A second signal ends it at once.
+    Prints one line of JSON when the program is ready. SIGHUP reloads the
+    settings. A second SIGTERM or SIGINT aborts the drain.
 
     :param app: the program
-    :param output: where the ready line goes, standard output by default
-    :returns: the exit code, ``FAILED`` if work had to be given up
+    :param output: where the ready line is written, standard output by default
+    :returns: exit code, ``FAILED`` if work was abandoned
     """
     received: list[int] = []
     previous = _watch_signals(lambda number, _frame: received.append(number))
     signal.signal(signal.SIGHUP, lambda _number, _frame: _reload(app))
     try:
         app.start()
-        _calm_collector()
+        _tune_garbage_collector()
         print(json.dumps(app.ready_line()), file=output or sys.stdout, flush=True)
-        _poll(lambda: received or getattr(app, "exit_requested", False))
-        drained = _drain(app, received)
+        _poll_until(lambda: received or getattr(app, "exit_requested", False))
+        drained = _drain_until_signal(app, received)
     finally:
         app.stop()
         _restore_signals(previous)
@@ -64,14 +67,14 @@
 
 
 def _reload(app: Application) -> None:
-    # A handler of a signal may have interrupted anything, so a green task does the work.
+    # A signal handler may interrupt any code, so the reload runs in a green thread.
     eventlet.spawn_n(getattr(app, "reload", lambda: None))
 
 
-def _calm_collector() -> None:
-    """Keep what was loaded at the start out of the garbage collector's rounds.
+def _tune_garbage_collector() -> None:
+    """Exclude objects created at startup from garbage collection and make collections rarer.
 
-    Loading leaves next to no garbage, and to look for it would hold up the first jobs.
+    Startup leaves almost no garbage, and collecting it would delay the first jobs.
     """
     gc.freeze()
     gc.enable()
@@ -87,17 +90,17 @@
         signal.signal(number, handler)
 
 
-def _poll(condition: Callable[[], Any]) -> None:
+def _poll_until(condition: Callable[[], Any]) -> None:
     while not condition():
         eventlet.sleep(SIGNAL_POLL_MS / MS_PER_SECOND)
 
 
-def _drain(app: Application, received: list[int]) -> bool:
+def _drain_until_signal(app: Application, received: list[int]) -> bool:
     before = len(received)
     task = eventlet.spawn(app.drain)
-    _poll(lambda: task.dead or len(received) > before)
+    _poll_until(lambda: task.dead or len(received) > before)
     if task.dead:
         return task.wait() is not False
-    logger.warning("second signal: ending at once")
+    logger.warning("second signal received, aborting drain")
     task.kill()
     return False
--- a/geraniumspool/store.py
+++ b/geraniumspool/store.py
@@ -1,4 +1,4 @@
-"""What both clients of the platform's store share: its calls and a watch's queue."""
+"""Shared parts of the store's clients: kinds of calls, and the queue of a watch."""
 
 from collections import deque
 from typing import NamedTuple
@@ -9,15 +9,17 @@
 from geraniumspool.errors import StoreError, StoreUnavailable, StoreUnknown
 from geraniumspool.etcd import GRANT_PATH, KEEPALIVE_PATH, RANGE_PATH, TXN_PATH, WATCH_PATH
 
+# Interval at which an idle watch yields None.
 WATCH_POLL_MS = 1_000.0
 
 
 class StoreCall(NamedTuple):
     """One kind of call to the store.
 
-    :param kind: name in the counters
-    :param path: path of the gateway
-    :param doubt: error where no answer tells what came of it
+    :param kind: label value in the counters
+    :param path: path at etcd's JSON gateway
+    :param doubt: error type to raise if there is no reply: ``StoreUnknown`` for a call that may
+        have taken effect
     """
 
     kind: str
@@ -33,25 +35,33 @@
 
 
 class Mailbox:
-    """Queue from a watch's writers to its one reader."""
+    """Queue of a watch: any number of writers, one reader.
+
+    :ivar prefix: prefix of the watched keys
+    """
 
     def __init__(self, prefix: str = ""):
-        """Start empty.
+        """Create an empty queue.
 
-        :param prefix: what the watch's keys begin with
+        :param prefix: prefix of the watched keys
         """
         self.prefix = prefix
         self._items: deque = deque()
         self._woken = Event()
 
     def put(self, item) -> None:
-        """Add an item, or the error that ends the watch."""
+        """Append a change, or the error that ends the watch."""
         self._items.append(item)
         if not self._woken.ready():
             self._woken.send()
 
     def take(self, clock: Clock, timeout_ms: float):
-        """Return the next item, raise it if it is an error, or None on timeout."""
+        """Return the next item, or None on timeout.
+
+        :param clock: source of time for the timeout
+        :param timeout_ms: longest wait for an item, in milliseconds
+        :raises StoreError: if the next item is an error
+        """
         if not clock.wait(self._woken, timeout_ms):
             return None
         item = self._items.popleft()
--- a/geraniumspool/units.py
+++ b/geraniumspool/units.py
@@ -1,3 +1,3 @@
-"""Units of measure shared by all parts; imports nothing."""
+"""Conversion factors between units; imports no other module, so any module may import it."""
 
 MS_PER_SECOND = 1000.0
