--- a/geraniumspool/application.py
+++ b/geraniumspool/application.py
@@ -23,7 +23,7 @@
 class ReadyLine(TypedDict, total=False):
     """Line of JSON that a program prints once it is ready: its listen addresses.
 
-    :ivar ready: role of the program
+    :ivar ready: role or configured name of the program
     :ivar inbox: address for messages of other processes
     :ivar callers: address of the callers' HTTP interface
     :ivar operators: address of the operators' HTTP interface
--- a/geraniumspool/link.py
+++ b/geraniumspool/link.py
@@ -27,7 +27,7 @@
 )
 
 # nng runs callbacks on its own threads, which share locks with the main thread. With eventlet's
-# green locks they deadlocked one process in twenty of a soak test, so pynng gets the real
+# green locks, one process in twenty of a soak test hung for good, so pynng gets the original
 # threading module.
 pynng.nng.threading = original("threading")
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the dispatcher on loopback, for tests and benchmarks."""
+"""Starts the dispatcher's programs as processes on loopback, for tests and benchmarks."""
 
 import json
 import os
@@ -19,14 +19,20 @@
 
 
 class Program:
-    """One process, started and ended by its id.
+    """A process that runs ``geraniumspool``.
 
-    :ivar ready: the ready line that it printed
-    :ivar domain: failure domain it was started in, or empty
+    :ivar process: the process
+    :ivar ready: decoded line that the program printed when it was ready
+    :ivar domain: failure domain of the program, or empty
     """
 
     def __init__(self, *arguments: str, log: str = os.devnull, domain: str = ""):
-        """Start ``geraniumspool`` with these arguments and wait until it is ready."""
+        """Start ``geraniumspool`` with arguments and wait until it is ready.
+
+        :param log: file to which standard error is appended
+        :param domain: failure domain of the program, or empty
+        :raises RuntimeError: if the program ends before it is ready
+        """
         self.domain = domain
         self._log = open(log, "ab")  # noqa: SIM115
         self.process = subprocess.Popen(
@@ -37,25 +43,30 @@
         line = self.process.stdout.readline()
         if not line:
             self.process.wait(READY_LIMIT_S)
-            raise RuntimeError(f"{arguments} ended with {self.process.returncode}")
+            raise RuntimeError(
+                f"{arguments} exited with code {self.process.returncode} before it was ready"
+            )
         self.ready = json.loads(line)
 
     def send(self, number: int) -> None:
-        """Send a signal to the process."""
+        """Send a signal to the process.
+
+        :param number: signal number
+        """
         os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         if self.process.poll() is None:
             self.process.kill()
-        self._wait()
+        self._wait_for_exit()
 
     def terminate(self) -> int:
-        """Ask the process to leave gracefully and return its exit code."""
+        """Request a graceful shutdown (SIGTERM) and return the exit code."""
         self.send(signal.SIGTERM)
-        return self._wait()
+        return self._wait_for_exit()
 
-    def _wait(self) -> int:
+    def _wait_for_exit(self) -> int:
         code = self.process.wait(STOP_LIMIT_S)
         self.process.stdout.close()
         self._log.close()
@@ -63,11 +74,13 @@
 
 
 class Fleet:
-    """A whole system of real processes.
+    """A complete system, each part a process of its own.
 
-    :ivar entries: programs by start order
-    :ivar agents: programs by start order
-    :ivar minions: programs by start order, one per agent
+    :ivar slots: slots of each minion
+    :ivar store: stand-in for the key-value store
+    :ivar entries: entries in the order of their start
+    :ivar agents: agents in the order of their start
+    :ivar minions: minions in the order of their start, one per agent
     """
 
     def __init__(
@@ -79,15 +92,18 @@
         agent_settings: dict | None = None,
         log_folder: str | None = None,
     ):
-        """Start everything.
+        """Start all processes.
 
-        :param agents_per_domain: number of agents in each domain
+        :param domains: names of the failure domains
+        :param agents_per_domain: number of agents in each failure domain
+        :param entries_per_domain: number of entries in each failure domain
+        :param slots: slots of each minion
         :param agent_settings: further settings of every agent
-        :param log_folder: where the processes' logs go, else nowhere
+        :param log_folder: folder for the logs of the processes; without it they are discarded
         """
         self._folder = tempfile.TemporaryDirectory()
-        self._logs = log_folder
-        self._count = 0
+        self._log_folder = log_folder
+        self._started = 0
         self._agent_settings = agent_settings or {}
         self.slots = slots
         self.http = urllib3.PoolManager(retries=False, maxsize=64)
@@ -97,12 +113,12 @@
         self.agents: list[Program] = []
         self.minions: list[Program] = []
         try:
-            self._populate(domains, agents_per_domain, entries_per_domain)
+            self._start_members(domains, agents_per_domain, entries_per_domain)
         except BaseException:
             self.stop()
             raise
 
-    def _populate(self, domains: list[str], agents: list[int], entries: int) -> None:
+    def _start_members(self, domains: list[str], agents: list[int], entries: int) -> None:
         for domain in domains:
             for _ in range(entries):
                 self.add_entry(domain)
@@ -111,7 +127,7 @@
                 self.add_agent(domain)
 
     def add_entry(self, domain: str) -> Program:
-        """Start one more entry."""
+        """Start another entry in a failure domain."""
         settings = {
             "role": "entry",
             "domain": domain,
@@ -122,12 +138,12 @@
             "heartbeat_timeout_ms": 2000,
             "registration_ttl_ms": 3000,
         }
-        entry = self._start("entry", self._write(settings), domain=domain)
+        entry = self._start("entry", self._write_settings(settings), domain=domain)
         self.entries.append(entry)
         return entry
 
     def add_agent(self, domain: str, with_minion: bool = True) -> Program:
-        """Start one more agent, with a minion beside it."""
+        """Start another agent in a failure domain, with or without a minion."""
         settings = {
             "role": "agent",
             "domain": domain,
@@ -135,14 +151,14 @@
             "heartbeat_period_ms": 500,
             **self._agent_settings,
         }
-        agent = self._start("agent", self._write(settings), domain=domain)
+        agent = self._start("agent", self._write_settings(settings), domain=domain)
         self.agents.append(agent)
         if with_minion:
             self.minions.append(self.add_minion(agent))
         return agent
 
     def add_minion(self, agent: Program) -> Program:
-        """Start a minion that announces itself to an agent."""
+        """Start a minion that registers with an agent."""
         return self._start(
             "standin",
             "minion",
@@ -153,11 +169,11 @@
         )
 
     def callers(self) -> list[str]:
-        """Return the callers' addresses of all entries."""
+        """Return the addresses of all entries' interfaces for callers."""
         return [entry.ready["callers"] for entry in self.entries]
 
     def ask(self, entry: Program, path: str, method: str = "GET", body=None):
-        """Call an entry's operators' interface and return status and document."""
+        """Send a request to the operators' interface of an entry; return status and document."""
         reply = self.http.request(
             method,
             f"http://{entry.ready['operators']}{path}",
@@ -168,12 +184,12 @@
         return reply.status, reply.json()
 
     def ready_agents(self, entry: Program) -> int:
-        """Return how many agents an entry knows to be ready."""
+        """Return the number of agents that are ready according to an entry."""
         _, status = self.ask(entry, "/v1/status")
         return sum(domain["ready"] for domain in status["domains"])
 
     def starts(self) -> dict[str, int]:
-        """Return the minions' counts of starts, added up."""
+        """Return the counts of task starts, summed over the running minions."""
         total: dict[str, int] = {}
         for minion in self.minions:
             if minion.process.poll() is not None:
@@ -183,24 +199,24 @@
         return total
 
     def count_starts(self, minion: Program) -> dict[str, int]:
-        """Return one minion's counts of starts."""
+        """Return the counts of task starts at one minion."""
         return self.http.request("GET", f"{minion.ready['minion']}/starts", timeout=10).json()
 
     def stop(self) -> None:
-        """End every process that is left."""
+        """Kill all processes that still run."""
         for program in [*self.entries, *self.minions, *self.agents, self.store]:
             program.kill()
         self._folder.cleanup()
 
     def _start(self, *arguments: str, domain: str = "") -> Program:
-        self._count += 1
+        self._started += 1
         log = os.devnull
-        if self._logs:
-            log = os.path.join(self._logs, f"{self._count}-{arguments[0]}.log")
+        if self._log_folder:
+            log = os.path.join(self._log_folder, f"{self._started}-{arguments[0]}.log")
         return Program(*arguments, log=log, domain=domain)
 
-    def _write(self, settings: dict) -> str:
-        path = os.path.join(self._folder.name, f"{self._count}.yaml")
+    def _write_settings(self, settings: dict) -> str:
+        path = os.path.join(self._folder.name, f"{self._started}.yaml")
         with open(path, "w", encoding="utf-8") as file:
             yaml.safe_dump(settings, file)
         return path
--- a/tests/small.py
+++ b/tests/small.py
@@ -1,4 +1,4 @@
-"""A small whole system in one process over loopback, for interface tests."""
+"""A complete small system in one process over loopback, for tests of its HTTP interfaces."""
 
 import contextlib
 import io
@@ -28,28 +28,34 @@
 DOMAINS = ("north", "south")
 SLOTS, ALL_SLOTS = 2, 2 * len(DOMAINS)
 WAIT_S, POLL_S = 20.0, 0.02
-BEAT = {"heartbeat_period_ms": 200}
+HEARTBEAT = {"heartbeat_period_ms": 200}
 Answered = namedtuple("Answered", "status headers body")
 
 
 def make_task(value, run_ms: float = 0) -> dict:
-    """Return a task that answers ``value`` after ``run_ms``."""
+    """Return a task that yields ``value`` after ``run_ms`` milliseconds."""
     return {"payload": {"value": value, "run_ms": run_ms}, "run_ms": run_ms}
 
 
 def make_job(tasks: list[dict], **fields) -> dict:
-    """Return the body of a job."""
+    """Return the request body of a job.
+
+    :param fields: further fields, or other values of the default ones
+    """
     return {"service": SERVICE, "team": TEAM, "deadline_ms": 15_000, "tasks": tasks} | fields
 
 
 def make_change(expected, body, change_id, **fields) -> dict:
-    """Return the body of a configuration change."""
+    """Return the request body of a configuration change.
+
+    :param expected: revision that the change is based on
+    """
     change = {"change_id": change_id, "expected_revision": expected, "body": body}
     return change | {"who": "tester", "why": "a test"} | fields
 
 
 def point_commands(test: unittest.TestCase, address: str, token: str) -> None:
-    """Let operators' commands of one test ask an entry."""
+    """Set the environment variables that direct operators' commands to an entry, for one test."""
     variables = {ENTRY_VARIABLE: address, TOKEN_VARIABLE: token}
     patch = mock.patch.dict(os.environ, variables)
     patch.start()
@@ -57,14 +63,14 @@
 
 
 def run_command(*argv: str) -> tuple[int, str, str]:
-    """Return exit code, standard output and standard error of a command line."""
+    """Run a command line; return its exit code, standard output and standard error."""
     output, errors = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(errors):
         try:
             cli.main(list(argv))
         except SystemExit as stop:
             return stop.code, output.getvalue(), errors.getvalue()
-    raise AssertionError("main returned")
+    raise AssertionError("main() returned instead of exiting")
 
 
 def serve(test: unittest.TestCase, application) -> str:
@@ -77,48 +83,67 @@
 
 
 def wait_until(condition, limit_s: float = WAIT_S) -> None:
-    """Wait for a condition; fail where it stays false."""
+    """Wait until a condition is true; fail if it is still false after ``limit_s`` seconds."""
     end = time.monotonic() + limit_s
     while not condition():
-        assert time.monotonic() < end, "the condition did not come true"
+        assert time.monotonic() < end, "condition is still false at the time limit"
         eventlet.sleep(POLL_S)
 
 
 class Small:
-    """In each failure domain an entry and an agent with its minion, and one store."""
+    """A store, and in each failure domain an entry and an agent with its minion.
+
+    :ivar store: stand-in for the key-value store
+    :ivar entries: entries in the order of ``DOMAINS``
+    :ivar agents: agents in the order of ``DOMAINS``
+    :ivar minions: stand-in minions in the order of their agents
+    """
 
     def __init__(self, **settings):
-        """Start everything, entries with further settings, and wait until all know each other."""
+        """Start all parts and wait until they know each other.
+
+        :param settings: further settings of the entries
+        """
         logging.disable(logging.CRITICAL)
         self.store = StandinStore(SystemClock())
         urls = ("http://{}:{}".format(*self.store.start("127.0.0.1")),)
-        patient = BEAT | {"heartbeat_timeout_ms": 10_000} | settings
-        entries = (EntrySettings(name, TOKEN, (TICKET_KEY,), urls, **patient) for name in DOMAINS)
+        entry_settings = HEARTBEAT | {"heartbeat_timeout_ms": 10_000} | settings
+        entries = (
+            EntrySettings(name, TOKEN, (TICKET_KEY,), urls, **entry_settings) for name in DOMAINS
+        )
         self.entries = [build_entry(values) for values in entries]
-        agents = (AgentSettings(name, urls, peer_timeout_ms=10_000, **BEAT) for name in DOMAINS)
+        agents = (
+            AgentSettings(name, urls, peer_timeout_ms=10_000, **HEARTBEAT) for name in DOMAINS
+        )
         self.agents = [build_agent(values) for values in agents]
         self.minions = [StandinMinion(SERVICE, SLOTS, 64, SystemClock()) for _ in DOMAINS]
         for part in [*self.entries, *self.agents, *self.minions]:
             part.start()
         for agent, minion in zip(self.agents, self.minions, strict=True):
             minion.announce(agent.minion_url)
-        wait_until(self._is_whole)
+        wait_until(self._is_connected)
 
-    def _is_whole(self) -> bool:
-        # An agent's roster has the other agents alone.
+    def _is_connected(self) -> bool:
+        # The roster of an agent lacks the agent itself.
         peers = [1 + len(agent.roster.agents(SERVICE)) for agent in self.agents]
         agents = [len(entry.roster.agents(SERVICE)) for entry in self.entries]
         entries = [len(entry.roster.entries()) for entry in self.entries]
         return min(peers + agents + entries) == len(DOMAINS)
 
     def stop(self) -> None:
-        """End every process, all at once."""
+        """Stop all parts concurrently."""
         parts = [*self.minions, *self.agents, *self.entries, self.store]
         list(eventlet.GreenPool().imap(lambda part: part.stop(), parts))
         logging.disable(logging.NOTSET)
 
     def call(self, method: str, path: str, body=None, entry=0, to="callers", **headers) -> Answered:
-        """Ask an interface of an entry; a body of bytes is sent as it is."""
+        """Send a request to an HTTP interface of an entry and return the reply.
+
+        :param body: value to send as JSON, or bytes to send unchanged
+        :param entry: index of the entry
+        :param to: interface, ``callers`` or ``operators``
+        :param headers: request headers, with underscores for hyphens
+        """
         url = f"http://{self.entries[entry].ready_line()[to]}{path}"
         data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
         headers = {name.replace("_", "-"): text for name, text in headers.items()}
@@ -128,44 +153,47 @@
         return Answered(reply.status, reply.headers, reply.json() if is_json else reply.data)
 
     def operate(self, method: str, path: str, body=None, entry=0, token=TOKEN) -> Answered:
-        """Ask the operators' interface of an entry."""
+        """Send a request to the operators' interface of an entry and return the reply."""
         headers = {} if token is None else {"Authorization": f"Bearer {token}"}
         return self.call(method, path, body, entry, "operators", **headers)
 
     def ticket(self, agent: int = 0) -> str:
-        """Return a ticket of an agent: an entry chooses homes in its own failure domain."""
+        """Return a new ticket whose home is an agent.
+
+        The ticket comes from the entry in the agent's failure domain, which chooses homes there.
+        """
         order = {"service": SERVICE, "team": TEAM}
         return self.call("POST", "/v1/tickets", order, agent).body["tickets"][0]
 
     def put(self, ticket: str, tasks: list[dict], entry: int = 0, **fields) -> Answered:
-        """Submit a job under a ticket."""
+        """Submit a job under a ticket and return the reply."""
         return self.call("PUT", f"/v1/jobs/{ticket}", make_job(tasks, **fields), entry)
 
     def block(self, tasks: int = ALL_SLOTS) -> str:
-        """Start a job whose tasks run until :meth:`unblock`, in all slots; return its ticket."""
+        """Occupy all slots with a job whose tasks run until :meth:`unblock`; return its ticket."""
         ticket = self.ticket()
         eventlet.spawn(self.put, ticket, [make_task(0, 60_000)] * tasks, deadline_ms=600_000)
         wait_until(lambda: self.running() == ALL_SLOTS)
         return ticket
 
     def unblock(self, ticket: str) -> None:
-        """Cancel a blocking job and wait until its tasks have stopped."""
+        """Cancel a job of :meth:`block` and wait until its tasks have stopped."""
         self.call("DELETE", f"/v1/jobs/{ticket}")
         wait_until(lambda: self.running() == 0)
 
     def running(self) -> int:
-        """Return how many tasks the minions run."""
+        """Return the number of tasks that run at the minions."""
         return sum(minion.running for minion in self.minions)
 
     def starts(self) -> int:
-        """Return how many tasks the minions started."""
+        """Return the number of tasks that the minions have started."""
         return sum(minion.report()["starts"] for minion in self.minions)
 
     def leave(self, number: int) -> None:
-        """Let an agent that was asked to leave do so, and wait until both entries know."""
+        """Drain and stop an agent that was asked to leave, and wait until the entries know."""
         agent = self.agents[number]
         wait_until(lambda: agent.exit_requested)
-        assert agent.drain(), "work was given up"
+        assert agent.drain(), "drain abandoned work"
         agent.stop()
         peer = Peer(agent.ready_line()["inbox"], agent.describe().incarnation)
         for entry in self.entries:
@@ -173,7 +201,10 @@
 
 
 class SystemTest(unittest.TestCase):
-    """Base: one system for all tests of a class."""
+    """Base class of tests that share one system per class.
+
+    :cvar SETTINGS: further settings of the entries
+    """
 
     SETTINGS: dict = {}
 
@@ -184,7 +215,7 @@
         cls.addClassCleanup(cls.small.stop)
 
     def assert_problem(self, answered, status, code, outcome=None):
-        """Check a failure's status, code, type and outcome."""
+        """Check status, code, type and outcome of an error reply."""
         self.assertEqual((answered.status, answered.body.get("code")), (status, code), answered)
         self.assertEqual(answered.headers["Content-Type"], "application/problem+json")
         self.assertEqual(answered.body["type"], f"urn:geraniumspool:{code}")
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Tests of the links between processes, over loopback."""
+"""Tests of the nng messenger over loopback."""
 
 import logging
 import time
@@ -22,150 +22,150 @@
 )
 
 LIMIT_S = 10.0
-ANY = "tcp://127.0.0.1:0"
+ANY_PORT = "tcp://127.0.0.1:0"
 
 
 class Counts(dict):
-    """Counters whose names join the labels' values."""
+    """Counters keyed by the counter's name and its label values, joined by slashes."""
 
     def add(self, name, value=1, **labels):
-        """Count."""
+        """Increment a counter."""
         key = "/".join([name, *labels.values()])
         self[key] = self.get(key, 0) + value
 
 
 class LinkTest(unittest.TestCase):
-    """Two messengers in one process."""
+    """Message exchange between messengers that run in one process."""
 
     def setUp(self):
-        """Start with two that know each other."""
+        """Start two messengers."""
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.clock = SystemClock()
         self.messengers = []
         self.addCleanup(self.stop_all)
-        self.got = {}
+        self.deliveries = {}
         self.counts = {}
         self.one = self.start(11)
         self.two = self.start(22)
 
-    def start(self, incarnation, listen=ANY, receive=None):
+    def start(self, incarnation, listen=ANY_PORT, receive=None):
         """Start a messenger that collects what it receives."""
         counts = self.counts[incarnation] = Counts()
         messenger = NngMessenger(listen, incarnation, self.clock, counts)
-        received = self.got[incarnation] = []
+        received = self.deliveries[incarnation] = []
         messenger.start(receive or received.append)
         self.messengers.append(messenger)
         return messenger
 
     def stop_all(self):
-        """Stop every messenger, all at once."""
+        """Stop all messengers concurrently."""
         list(eventlet.GreenPool().imap(lambda messenger: messenger.stop(), self.messengers))
 
     def wait(self, condition):
-        """Wait until a condition holds."""
+        """Wait until a condition is true; fail after the time limit."""
         end = time.monotonic() + LIMIT_S
         while not condition():
-            self.assertLess(time.monotonic(), end, (self.got, self.counts))
+            self.assertLess(time.monotonic(), end, (self.deliveries, self.counts))
             eventlet.sleep(0.01)
 
     def requests(self, incarnation):
-        """Return the numbers of the inquiries received."""
-        return [delivery.message.request for delivery in self.got[incarnation]]
+        """Return the request numbers of the inquiries that a messenger received."""
+        return [delivery.message.request for delivery in self.deliveries[incarnation]]
 
     def assert_alive(self, messenger):
         """Check that a messenger still receives."""
-        before = len(self.got[messenger.me.incarnation])
+        before = len(self.deliveries[messenger.me.incarnation])
         sender = self.one if messenger is not self.one else self.two
         self.assertTrue(sender.send(messenger.me, Inquire(99, "alive")))
-        self.wait(lambda: len(self.got[messenger.me.incarnation]) > before)
+        self.wait(lambda: len(self.deliveries[messenger.me.incarnation]) > before)
 
     def send_raw(self, messenger, *items):
-        """Send bytes as a stranger would."""
-        with pynng.Push0() as stranger:
-            stranger.dial(messenger.me.address, block=True)
+        """Send raw bytes to a messenger from a plain socket."""
+        with pynng.Push0() as sender:
+            sender.dial(messenger.me.address, block=True)
             for data in items:
-                stranger.send(data)
+                sender.send(data)
             eventlet.sleep(0.2)
 
-    def test_both_ways_in_order(self):
-        """Many messages arrive whole and in order, with their sender."""
+    def test_messages_arrive_in_order_in_both_directions(self):
+        """Messages arrive complete and in order, with their sender, in both directions."""
         for number in range(500):
             self.assertTrue(self.one.send(self.two.me, Inquire(number, "t" * number)))
         self.two.send(self.one.me, Inquire(7, "back"))
-        self.wait(lambda: len(self.got[22]) == 500 and self.got[11])
+        self.wait(lambda: len(self.deliveries[22]) == 500 and self.deliveries[11])
         self.assertEqual(self.requests(22), list(range(500)))
-        self.assertEqual(self.got[22][0][:2], (self.one.me, 22))
-        self.assertEqual(self.got[11][0].sender, self.two.me)
+        self.assertEqual(self.deliveries[22][0][:2], (self.one.me, 22))
+        self.assertEqual(self.deliveries[11][0].sender, self.two.me)
 
-    def test_to_itself(self):
-        """A message to itself arrives without a socket, later."""
+    def test_message_to_own_address(self):
+        """A message to the sender itself bypasses the sockets and is delivered asynchronously."""
         self.one.send(self.one.me, Inquire(1, "t"))
-        self.assertEqual(self.got[11], [])
-        self.wait(lambda: self.got[11])
-        self.assertEqual(self.got[11][0].message, Inquire(1, "t"))
+        self.assertEqual(self.deliveries[11], [])
+        self.wait(lambda: self.deliveries[11])
+        self.assertEqual(self.deliveries[11][0].message, Inquire(1, "t"))
 
     def test_wrong_incarnation(self):
-        """It is answered with what was meant, and not handed over."""
+        """A message for another incarnation is not delivered but answered with a rejection."""
         self.one.send(Peer(self.two.me.address, 21), Inquire(5, "t"))
-        self.wait(lambda: self.got[11])
-        self.assertEqual(self.got[11][0].message, WrongIncarnation(kind_of(Inquire), 5, 21))
-        self.assertEqual(self.got[11][0].sender, self.two.me)
-        self.assertEqual(self.got[22], [])
+        self.wait(lambda: self.deliveries[11])
+        self.assertEqual(self.deliveries[11][0].message, WrongIncarnation(kind_of(Inquire), 5, 21))
+        self.assertEqual(self.deliveries[11][0].sender, self.two.me)
+        self.assertEqual(self.deliveries[22], [])
         self.assertEqual(self.counts[22]["messages_rejected/wrong_incarnation"], 1)
 
-    def test_rejections_do_not_circle(self):
-        """A rejection for another incarnation is dropped."""
+    def test_rejection_is_not_rejected_again(self):
+        """A rejection that itself has the wrong incarnation is dropped, not rejected again."""
         self.one.send(Peer(self.two.me.address, 21), WrongIncarnation(0, 1, 1))
         self.wait(lambda: "messages_rejected/wrong_incarnation" in self.counts[22])
         self.assert_alive(self.two)
-        self.assertEqual(self.got[11], [])
+        self.assertEqual(self.deliveries[11], [])
 
-    def test_any_incarnation(self):
-        """A message for any incarnation is handed over."""
+    def test_message_to_any_incarnation(self):
+        """A message for any incarnation is delivered."""
         self.one.send(Peer(self.two.me.address, ANY_INCARNATION), Inquire(3, "t"))
-        self.wait(lambda: self.got[22])
-        self.assertEqual(self.got[22][0].receiver, ANY_INCARNATION)
+        self.wait(lambda: self.deliveries[22])
+        self.assertEqual(self.deliveries[22][0].receiver, ANY_INCARNATION)
 
     def test_malformed_bytes(self):
-        """They are counted and dropped; what follows arrives."""
+        """Malformed messages are counted and dropped; the next valid one is delivered."""
         good = encode(self.one.me, 22, Inquire(1, "abcd"))
         wrong = good.replace(b"abcd", b"\xff\xff\xff\xff")
         self.send_raw(self.two, b"\xc1", good[:-1], b"x" * 100_000, wrong, good)
-        self.wait(lambda: self.got[22])
+        self.wait(lambda: self.deliveries[22])
         self.assertEqual(self.requests(22), [1])
         self.assertEqual(self.counts[22]["messages_rejected/malformed"], 4)
 
     def test_unusable_sender_address(self):
-        """A whole message with an address that cannot be dialled ends nothing."""
+        """A valid message whose sender address cannot be dialled does not stop the receiver."""
         for address in ("nonsense", "", "tcp://127.0.0.1:99999", "tcp://127.0.0.1:1\0"):
             with self.subTest(address=address):
                 self.send_raw(self.two, encode(Peer(address, 1), 21, Inquire(1, "t")))
                 self.assert_alive(self.two)
 
     def test_send_to_unusable_address(self):
-        """Sending there is refused or lost, never an exception."""
+        """Sending to an invalid address returns False and raises no exception."""
         for address in ("nonsense", "", "tcp://"):
             with self.subTest(address=address):
                 self.assertFalse(self.one.send(Peer(address, 1), Inquire(1, "t")))
         self.assert_alive(self.one)
 
-    def test_handler_fault_keeps_inbox(self):
-        """One message whose handler fails does not deafen the process."""
+    def test_inbox_survives_exception_in_handler(self):
+        """An exception in the handler of one message does not stop the inbox."""
         received = []
 
         def receive(delivery):
             received.append(delivery)
             if delivery.message.request == 1:
-                raise RuntimeError("a handler's fault")
+                raise RuntimeError("handler failed")
 
         three = self.start(33, receive=receive)
         for number in (1, 2):
             self.one.send(three.me, Inquire(number, "t"))
         self.wait(lambda: len(received) == 2)
 
-    def test_handler_that_waits(self):
-        """Messages that arrive meanwhile are handed over after it, in order."""
+    def test_suspended_handler_keeps_order(self):
+        """Messages that arrive while the handler is suspended are delivered later, in order."""
         received = []
 
         def receive(delivery):
@@ -179,8 +179,8 @@
         self.wait(lambda: len(received) == 5)
         self.assertEqual(received, list(range(5)))
 
-    def test_most_links(self):
-        """Beyond the most links the one used longest ago goes, if it is idle."""
+    def test_least_recently_used_link_is_evicted(self):
+        """At the limit of links, the least recently used one is closed if it is idle."""
         others = [self.start(number) for number in (33, 44)]
         peers = [self.two.me, *(other.me for other in others)]
         for min_idle_ms, expected in ((-1.0, peers[1:]), (60_000.0, peers)):
@@ -190,28 +190,28 @@
                 with patches:
                     for number, peer in enumerate(peers):
                         one.send(peer, Inquire(number, "t"))
-                        self.wait(lambda peer=peer: self.got[peer.incarnation])
+                        self.wait(lambda peer=peer: self.deliveries[peer.incarnation])
                 self.assertEqual(list(one._links), [peer.address for peer in expected])
                 for peer in peers:
-                    self.got[peer.incarnation].clear()
+                    self.deliveries[peer.incarnation].clear()
 
-    def test_absent_then_present(self):
-        """Messages to a peer that is not up yet arrive once it is."""
+    def test_messages_to_absent_peer_arrive_later(self):
+        """Messages to a peer that does not listen yet are delivered once it does."""
         address = self.two.me.address
         self.two.stop()
         for number in range(3):
             self.one.send(Peer(address, 23), Inquire(number, "t"))
         eventlet.sleep(0.3)
         self.start(23, address)
-        self.wait(lambda: len(self.got[23]) == 3)
+        self.wait(lambda: len(self.deliveries[23]) == 3)
         self.assertEqual(self.requests(23), [0, 1, 2])
 
-    def test_a_peer_that_ends_leaves_a_broken_link(self):
-        """The link is broken from the end of a process until another one answers."""
+    def test_link_is_broken_after_peer_ended(self):
+        """A link is broken after its peer ended, until another process listens there."""
         old = self.two.me
         self.assertFalse(self.one.is_broken(old))
         self.one.send(old, Inquire(1, "t"))
-        self.wait(lambda: self.got[22])
+        self.wait(lambda: self.deliveries[22])
         self.assertFalse(self.one.is_broken(old))
         self.two.stop()
         self.wait(lambda: self.one.is_broken(old))
@@ -219,26 +219,26 @@
         self.wait(lambda: not self.one.is_broken(old))
 
     def test_restart_at_the_same_address(self):
-        """The old life's messages are refused, the new one's arrive."""
+        """After a restart, messages to the old incarnation are rejected, to the new delivered."""
         old = self.two.me
         self.one.send(old, Inquire(1, "t"))
-        self.wait(lambda: self.got[22])
+        self.wait(lambda: self.deliveries[22])
         self.two.stop()
         new = self.start(23, old.address)
         self.wait(lambda: self.send_until_refused(old))
-        self.assertEqual(self.got[23], [])
-        self.assertEqual(self.got[11][0].sender, new.me)
+        self.assertEqual(self.deliveries[23], [])
+        self.assertEqual(self.deliveries[11][0].sender, new.me)
         self.one.send(new.me, Inquire(3, "t"))
-        self.wait(lambda: self.got[23])
+        self.wait(lambda: self.deliveries[23])
         self.assertEqual(self.requests(23), [3])
 
     def send_until_refused(self, old):
-        """Send to the old life; return whether the new one said so."""
+        """Send to the old incarnation; return whether a rejection has arrived."""
         self.one.send(old, Inquire(2, "t"))
-        return bool(self.got[11])
+        return bool(self.deliveries[11])
 
-    def test_full_link(self):
-        """A peer that never comes costs bounded memory, and the rest goes on."""
+    def test_queue_of_link_is_bounded(self):
+        """A peer that never listens costs bounded memory; other links are unaffected."""
         address = self.two.me.address
         self.two.stop()
         total = 3 * link.LINK_MESSAGES
@@ -248,12 +248,12 @@
         self.assertEqual(self.counts[11]["messages_dropped/link_full"], total - sum(sent))
         three = self.start(33)
         self.one.send(three.me, Inquire(1, "t"))
-        self.wait(lambda: self.got[33])
+        self.wait(lambda: self.deliveries[33])
 
     def test_counts_by_kind(self):
-        """Messages are counted by kind and scope, with their bytes."""
+        """Messages sent and received are counted by kind, with scope and bytes."""
         self.one.send(self.two.me, Inquire(1, "t"))
-        self.wait(lambda: self.got[22])
+        self.wait(lambda: self.deliveries[22])
         self.assertEqual(self.counts[11]["messages_sent/Inquire/local"], 1)
         size = len(encode(self.one.me, 22, Inquire(1, "t")))
         self.assertEqual(self.counts[11]["message_bytes_sent/Inquire"], size)
@@ -261,9 +261,14 @@
 
 
 class ForeignThreadsTest(unittest.TestCase):
-    """nng calls back on threads of its own."""
+    """Locks that the main thread shares with nng's own threads."""
 
-    def test_locks_shared_with_them_are_no_green_ones(self):
-        """A green lock that two threads want at once switches between their greenlets."""
+    def test_locks_are_native(self):
+        """The locks of pynng are not eventlet's green ones.
+
+        nng calls back on its own threads. If a green lock is contended between
+        threads, eventlet switches between greenlets of different threads, and the
+        process hangs.
+        """
         with pynng.Pull0() as inbox:
             self.assertNotIsInstance(inbox._pipe_notify_lock, GreenLock)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of logs as JSON lines."""
+"""Tests of logging as JSON lines."""
 
 import io
 import json
@@ -10,7 +10,7 @@
 
 
 class Unprintable:
-    """Raises whenever it is shown."""
+    """Raises an exception when converted to text."""
 
     def __str__(self):
         raise ValueError("no text")
@@ -32,7 +32,7 @@
     def read_lines(self):
         return [json.loads(line) for line in self.stream.getvalue().splitlines()]
 
-    def test_line(self):
+    def test_fields_become_keys(self):
         self.logger.debug("not written")
         self.logger.info("took %d\nlines", 2, extra={"fields": (("job", "ab"), ("wait_ms", 1.5))})
         (line,) = self.read_lines()
@@ -56,7 +56,7 @@
         (line,) = self.read_lines()
         self.assertIn("KeyError: 'gone'", line["exception"])
 
-    def test_odd_values(self):
+    def test_values_without_json_form(self):
         for fields, expected in (
             ((("bytes", b"\xff"),), {"bytes": "b'\\xff'"}),
             ((("bad", Unprintable()),), {"bad": "<Unprintable>"}),
@@ -74,12 +74,12 @@
                 (line,) = self.read_lines()
                 self.assertEqual(line | expected, line)
 
-    def test_odd_messages(self):
+    def test_messages_that_cannot_be_formatted(self):
         self.logger.info("%d", "no number")
         self.logger.info("%s", Unprintable())
         self.logger.info(Unprintable())
         self.assertEqual(len(self.read_lines()), 3)
 
-    def test_unknown_level(self):
+    def test_unknown_level_is_rejected(self):
         with self.assertRaises(ValueError):
             logs.set_up("loud", self.stream)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the messages' codec."""
+"""Tests of encoding and decoding messages."""
 
 import typing
 import unittest
@@ -22,7 +22,7 @@
 
 
 def sample(kind):
-    """Return a value of a field's type that differs from every default."""
+    """Return a sample value of a field's type that differs from all defaults."""
     origin, arguments = typing.get_origin(kind), typing.get_args(kind)
     if origin is tuple and arguments[-1] is Ellipsis:
         return (sample(arguments[0]),) * 2
@@ -35,10 +35,10 @@
 
 
 class MessagesTest(unittest.TestCase):
-    """Every message survives its codec; nothing else does."""
+    """All message types can be encoded and decoded; other data is rejected."""
 
     def test_round_trip(self):
-        """Each type comes back equal, with sender, receiver, kind and name."""
+        """Decoding restores each message type with its sender, receiver and kind."""
         for number, kind in enumerate(messages._MESSAGE_TYPES):
             with self.subTest(kind=kind.__name__):
                 message = sample(kind)
@@ -48,14 +48,14 @@
                 self.assertEqual(messages.kind_of(kind), number)
                 self.assertEqual(messages.name_kind(number), kind.__name__)
 
-    def test_every_message_type_is_known(self):
-        """A type that names itself a message is in the codec's list."""
+    def test_message_types_are_registered_once(self):
+        """Message types are registered with the codec, each only once."""
         for name in ("Submit", "Answer", "Offer", "Digest", "Handover", "Drain", "Decline"):
             self.assertIn(getattr(messages, name), messages._MESSAGE_TYPES)
-        self.assertEqual(len(set(messages._MESSAGE_TYPES)), len(messages._KINDS))
+        self.assertEqual(len(set(messages._MESSAGE_TYPES)), len(messages._MESSAGE_TYPES))
 
-    def test_cut(self):
-        """A message cut anywhere, or with more behind it, is malformed."""
+    def test_truncated(self):
+        """A message truncated at any byte, or with a trailing byte, is malformed."""
         for kind in messages._MESSAGE_TYPES:
             data = encode(SENDER, ANY_INCARNATION, sample(kind))
             for bad in [data[:length] for length in range(len(data))] + [data + b"\x00"]:
@@ -63,7 +63,7 @@
                     decode(bad)
 
     def test_malformed(self):
-        """Unknown kinds, wrong types and other data are malformed."""
+        """Messages of unknown kind, with wrong field types, and other data are malformed."""
 
         def wrap(kind, body):
             return msgspec.msgpack.encode(
@@ -82,14 +82,14 @@
             ("missing field", wrap(inquire, (1,))),
             ("map", wrap(inquire, {"request": 1, "ticket": "t"})),
             ("nil", wrap(inquire, None)),
-            ("another's body", wrap(messages.kind_of(messages.Submit), (1, "t"))),
-            ("no UTF-8", whole.replace(b"abcd", b"\xff\xfe\xfd\xfc")),
-            ("deep", b"\x91" * 100_000),
+            ("body of another kind", wrap(messages.kind_of(messages.Submit), (1, "t"))),
+            ("invalid UTF-8", whole.replace(b"abcd", b"\xff\xfe\xfd\xfc")),
+            ("deep nesting", b"\x91" * 100_000),
         ):
             with self.subTest(name=name), self.assertRaises(MalformedMessage):
                 decode(data)
 
-    def test_envelope_names_the_incarnation(self):
-        """The receiver's incarnation can be read before the body."""
+    def test_envelope_is_decoded_without_body(self):
+        """Sender and receiver's incarnation can be decoded without the body."""
         envelope = msgspec.msgpack.decode(encode(SENDER, 9, Inquire(1, "t")), type=Envelope)
         self.assertEqual((envelope.sender, envelope.receiver), (SENDER, 9))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of counters and gauges."""
+"""Tests of counters and gauges, and of their Prometheus rendering."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """Counting and rendering."""
+    """Counting, label sets and rendering."""
 
     def test_get_sums_matching_series(self):
         counters = MemoryCounters()
@@ -40,7 +40,7 @@
         self.assertEqual(counters.get("jobs"), MAX_SERIES + 50)
         self.assertEqual(counters.get("jobs", overflow="true"), 50)
 
-    def test_render_follows_counts(self):
+    def test_render_shows_current_counts(self):
         metrics = Metrics("entry", "Sukhbaatar")
         metrics.add("jobs", code="a")
         metrics.set_gauge("queued", lambda: 7)
@@ -54,7 +54,7 @@
         self.assertIn('geraniumspool_queued{domain="Sukhbaatar",role="entry"} 7.0', text)
         self.assertIn("# TYPE geraniumspool_jobs_total counter", text)
 
-    def test_instances_are_separate(self):
+    def test_instances_do_not_share_counts(self):
         one, other = Metrics("entry", "a"), Metrics("agent", "b")
         one.add("jobs")
         self.assertIn(b"geraniumspool_jobs_total", one.render())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Contract tests of the store: one body for the memory store and the etcd client."""
+"""Contract tests that run against all implementations of the key-value store."""
 
 import json
 import socket
@@ -31,7 +31,7 @@
 
 
 def take(changes, count):
-    """Return the next changes of a watch, without its pauses."""
+    """Return the next ``count`` changes of a watch, skipping the None items."""
     found = []
     with eventlet.Timeout(GUARD_S):
         while len(found) < count:
@@ -42,6 +42,7 @@
 
 
 def error_of(call):
+    """Return the type of the store error that a call raises, or None."""
     try:
         call()
     except StoreError as error:
@@ -50,7 +51,13 @@
 
 
 class StoreContract:
-    """What every store does; ``backing`` is the memory store whose faults are switched."""
+    """Behaviour that all stores have in common.
+
+    A subclass's ``open`` sets ``store``, the store under test, and ``backing``, the memory store
+    behind it (or itself), in which faults are injected.
+
+    :cvar refused_write: error that a write raises while the backing store is down
+    """
 
     refused_write: type[StoreError]
 
@@ -142,7 +149,7 @@
             take(watch, 1)
         self.assertEqual(self.counters.get("store_failures", kind="watch"), 1)
 
-    def test_idle_watch_yields_none(self):
+    def test_watch_without_changes_yields_none(self):
         watch = self.store.watch("p/", 1)
         waiting = eventlet.spawn(next, watch)
         with eventlet.Timeout(GUARD_S):
@@ -182,7 +189,7 @@
             self.store.swap("a", 0, b"3", lease)
         self.assertIsNone(self.store.get("a"))
 
-    def test_lost_answer_is_settled_by_reading_back(self):
+    def test_lost_reply_is_resolved_by_reading_back(self):
         self.backing.lose_answers = 2
         with self.assertRaises(StoreUnknown):
             self.store.swap("a", 0, b"mine")
@@ -267,7 +274,7 @@
 
 
 class MemoryStoreTest(StoreContract, unittest.TestCase):
-    """The contract on the store in memory."""
+    """Runs the contract tests against the in-memory store."""
 
     refused_write = StoreUnavailable
 
@@ -277,7 +284,7 @@
 
 
 class EtcdStoreTest(StoreContract, unittest.TestCase):
-    """The contract on the client, against the stand-in over loopback."""
+    """Runs the contract tests against the etcd client and the stand-in server over loopback."""
 
     refused_write = StoreUnknown
 
@@ -306,7 +313,7 @@
                 with self.assertRaises(StoreUnavailable):
                     write("b", 0, b"1")
 
-    def test_only_a_refused_connection_is_tried_elsewhere(self):
+    def test_only_a_refused_connection_is_retried_at_another_address(self):
         other = StandinStore(self.clock)
         host, port = other.start(LOOPBACK)
         self.addCleanup(other.stop)
@@ -318,7 +325,7 @@
         self.assertIsNone(store.get("a"))
         self.assertEqual(other.store.calls, {"range": 1})
 
-    def test_closed_stream_ends_the_watch(self):
+    def test_watch_fails_when_its_stream_is_closed(self):
         self.store.swap("a", 0, b"1")
         watch = self.store.watch("", 1)
         take(watch, 1)
@@ -328,13 +335,13 @@
 
 
 class GatewayAnswersTest(unittest.TestCase):
-    """What the client makes of a gateway's other answers."""
+    """Maps error replies and invalid replies of a gateway to store errors."""
 
     def answer(self, _environ, start_response):
         start_response(self.status, [])
         return [self.body]
 
-    def test_answers(self):
+    def test_error_of_each_reply(self):
         url = f"http://{serve(self, self.answer)}"
         store = EtcdStore([url], SystemClock(), MemoryCounters(), TIMEOUT_MS)
         rows = [
@@ -356,7 +363,7 @@
 
 
 class StandinStoreTest(unittest.TestCase):
-    """The stand-in's own interface, by plain HTTP."""
+    """HTTP interface of the stand-in server."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -370,7 +377,7 @@
         response = self.http.request(method, self.url + path, body=body, timeout=GUARD_S)
         return response.status, json.loads(response.data)
 
-    def test_published_format(self):
+    def test_replies_have_etcd_format(self):
         compare = '"compare":[{"target":"MOD","result":"EQUAL","key":"Zm9v","mod_revision":"0"}]'
         put = '"success":[{"request_put":{"key":"Zm9v","value":"YmFy"}}]'
         other = '"success":[{"request_put":{"key":"YQ==","value":"YmFy"}}]'
@@ -400,7 +407,7 @@
                 if path.startswith("/v3/kv") and status == 200:
                     self.assertEqual(reply["header"], header)
 
-    def test_faults_are_switched(self):
+    def test_faults_are_set_by_request(self):
         store = self.standin.store
         store.swap("a", 0, b"1", store.grant_lease(TTL_MS))
         faults = {"down": True, "slow_ms": 5, "lose_answers": 2, "refuse_leases": True}
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP layer, over raw sockets."""
+"""Tests of the HTTP server and its request dispatch, over raw sockets."""
 
 import logging
 import socket
@@ -22,7 +22,7 @@
 
 
 class FakeCounters:
-    """Counts in a dictionary."""
+    """Counters in a dictionary, keyed by name and label values."""
 
     def __init__(self):
         self.counts = Counter()
@@ -44,7 +44,7 @@
     raise InvalidInput([Finding("body", 3, "tasks", "is empty"), Finding("body", 4, "x", "y")])
 
 
-def fail_badly(_request):
+def fail_unexpectedly(_request):
     raise KeyError("secret")
 
 
@@ -63,7 +63,7 @@
 
 
 def read_reply(stream):
-    """Return status, headers and decoded body of one answer, or None at the end."""
+    """Return status, headers and decoded body of a reply, or None at the end of the stream."""
     line = stream.readline()
     if not line:
         return None
@@ -91,7 +91,7 @@
 
 
 def put_head(size):
-    """Return a request whose head has ``size`` bytes."""
+    """Return a request whose head has exactly ``size`` bytes."""
     short = len(put("/v1/jobs/t1", "X-Kind: "))
     return put("/v1/jobs/t1", "X-Kind: " + "x" * (size - short))
 
@@ -100,7 +100,12 @@
 
 
 class RequestTest(unittest.TestCase):
-    """Each request gets its answer, and the next caller a good one."""
+    """Requests on one connection, valid and invalid.
+
+    A case is name, request data, expected status (None: closed without a reply), expected error
+    code, and whether the connection can be reused. After each case another caller's request
+    must succeed.
+    """
 
     CASES = (
         ("good", put("/v1/jobs/t1", "Content-Length: 3", body=b"abc"), 200, None, True),
@@ -216,7 +221,7 @@
         ("nothing", b"", None, None, False),
     )
 
-    def test_table(self):
+    def test_each_case(self):
         server, _ = make_server(SystemClock(), Route("PUT", "/v1/jobs/{ticket}", echo))
         self.addCleanup(server.stop)
         good = put("/v1/jobs/t2", "Content-Length: 2", body=b"ok")
@@ -249,7 +254,7 @@
         routes = [
             Route("GET", "/busy", fail_busy),
             Route("GET", "/invalid", fail_invalid),
-            Route("GET", "/broken", fail_badly),
+            Route("GET", "/broken", fail_unexpectedly),
             Route("POST", "/busy", echo),
         ]
         server, _ = make_server(SystemClock(), *routes)
@@ -289,7 +294,10 @@
 
 
 class SlowCallerTest(unittest.TestCase):
-    """Slow callers lose their connection, however they spread their bytes."""
+    """The time limit of each phase closes the connection of a slow caller.
+
+    Further bytes within a phase do not extend its limit, and other callers are unaffected.
+    """
 
     CASES = (
         ("silent", b"", 700, None),
@@ -298,7 +306,7 @@
         ("in the body", put("/v1/jobs/t1", "Content-Length: 9", body=b"a"), 400, 400),
     )
 
-    def test_slow_beside_good(self):
+    def test_slow_caller_beside_normal_one(self):
         for name, data, limit_ms, status in self.CASES:
             with self.subTest(name):
                 clock = ManualClock()
@@ -320,9 +328,9 @@
 
 
 class StopTest(unittest.TestCase):
-    """Stop needs no time to pass, and may come at any moment."""
+    """Stopping does not wait, and works in any state of the server."""
 
-    def test_open_connection(self):
+    def test_stop_closes_open_connection(self):
         server, _ = make_server(ManualClock(), Route("PUT", "/fast", echo))
         with connect(server) as idle, idle.makefile("rb") as stream:
             idle.sendall(put("/fast"))
@@ -332,12 +340,12 @@
         server.stop()
         self.assertTrue(server.drain(0))
 
-    def test_never_started(self):
+    def test_stop_before_start(self):
         server = WebServer(echo, "127.0.0.1:0", ManualClock())
         server.stop()
         self.assertTrue(server.drain(0))
 
-    def test_at_once(self):
+    def test_stop_right_after_start(self):
         server, _ = make_server(ManualClock())
         server.stop()
         with self.assertRaises(ConnectionRefusedError):
@@ -345,11 +353,11 @@
 
 
 class DrainTest(unittest.TestCase):
-    """Drain refuses new callers and cuts off none in flight."""
+    """Draining refuses new connections and completes the requests in flight."""
 
     def setUp(self):
         self.entered = Event()
-        self.go_on = Event()
+        self.may_finish = Event()
         route = Route("PUT", "/slow", self.handle_slowly)
         self.server, _ = make_server(SystemClock(), route, Route("PUT", "/fast", echo))
         self.addCleanup(self.server.stop)
@@ -357,10 +365,10 @@
     def handle_slowly(self, _request):
         if not self.entered.ready():
             self.entered.send()
-        self.go_on.wait()
+        self.may_finish.wait()
         return reply_json(200, "finished")
 
-    def test_in_flight_finishes(self):
+    def test_request_in_flight_finishes(self):
         with (
             connect(self.server) as busy,
             busy.makefile("rb") as busy_stream,
@@ -376,36 +384,36 @@
             with self.assertRaises(ConnectionRefusedError):
                 connect(self.server)
             self.assertFalse(drain.dead)
-            self.go_on.send()
+            self.may_finish.send()
             status, headers, body = read_reply(busy_stream)
             self.assertEqual((status, headers["Connection"], body), (200, "close", "finished"))
             self.assertTrue(drain.wait())
 
     def test_requests_already_sent_are_served(self):
-        """Neither a connection not accepted yet nor a request unread is lost."""
-        with connect(self.server) as known, known.makefile("rb") as known_stream:
-            known.sendall(put("/fast"))
-            self.assertEqual(read_reply(known_stream)[0], 200)
+        """Connections not yet accepted and requests not yet read are served before closing."""
+        with connect(self.server) as kept_open, kept_open.makefile("rb") as kept_open_stream:
+            kept_open.sendall(put("/fast"))
+            self.assertEqual(read_reply(kept_open_stream)[0], 200)
             with connect(self.server) as fresh, fresh.makefile("rb") as fresh_stream:
-                known.sendall(put("/fast"))
+                kept_open.sendall(put("/fast"))
                 fresh.sendall(put("/fast"))
                 self.assertTrue(self.server.drain(10_000))
-                self.assertEqual(read_reply(known_stream)[0], 200)
+                self.assertEqual(read_reply(kept_open_stream)[0], 200)
                 self.assertEqual(read_reply(fresh_stream)[0], 200)
 
-    def test_kept_connection_is_answered_during_grace(self):
-        with connect(self.server) as known, known.makefile("rb") as stream:
-            known.sendall(put("/fast"))
+    def test_idle_connection_is_served_during_grace_period(self):
+        with connect(self.server) as kept_open, kept_open.makefile("rb") as stream:
+            kept_open.sendall(put("/fast"))
             self.assertEqual(read_reply(stream)[0], 200)
             drain = eventlet.spawn(self.server.drain, 10_000)
             while not self.server.draining:
                 eventlet.sleep(0)
-            known.sendall(put("/fast"))
+            kept_open.sendall(put("/fast"))
             status, headers, _ = read_reply(stream)
             self.assertEqual((status, headers["Connection"]), (200, "close"))
             self.assertTrue(drain.wait())
 
-    def test_limit_passes(self):
+    def test_drain_returns_false_after_its_limit(self):
         with connect(self.server) as busy, busy.makefile("rb") as stream:
             busy.sendall(put("/slow"))
             self.entered.wait()
