--- a/geraniumspool/connection.py
+++ b/geraniumspool/connection.py
@@ -98,9 +98,9 @@
     :ivar last: last line read; an empty line if the head is complete
     """
 
-    def __init__(self, source: Any, left: int):
+    def __init__(self, source: Any, remaining: int):
         self._source = source
-        self._remaining = left
+        self._remaining = remaining
         self.last = b""
 
     def readline(self, size: int) -> bytes:
@@ -238,8 +238,8 @@
     def parse_request(self) -> bool:
         """Read a request's head; return whether it is complete and valid."""
         # Read below eventlet's own limits, so that only the configured limit applies.
-        left = self._server.max_header_bytes - len(self.raw_requestline)
-        lines = self.rfile = _BoundedHeadReader(self.rfile.fp, left)
+        remaining = self._server.max_header_bytes - len(self.raw_requestline)
+        lines = self.rfile = _BoundedHeadReader(self.rfile.fp, remaining)
         try:
             if not super().parse_request():
                 return False
@@ -276,12 +276,12 @@
         try:
             self.wfile.flush()
             self.connection.shutdown(socket.SHUT_WR)
-            left = LINGER_BYTES
-            while left > 0:
+            remaining = LINGER_BYTES
+            while remaining > 0:
                 data = self.connection.recv(64 << 10)
                 if not data:
                     return
-                left -= len(data)
+                remaining -= len(data)
         except OSError:
             return
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,13 +27,13 @@
 TTL_MS = 3_000.0
 LATER_MS = 60_000.0
 HISTORY_LIMIT = 8
-GUARD_S = 10
+TEST_TIMEOUT_S = 10
 
 
 def take(changes, count):
     """Return the next ``count`` changes of a watch, skipping the None items."""
     found = []
-    with eventlet.Timeout(GUARD_S):
+    with eventlet.Timeout(TEST_TIMEOUT_S):
         while len(found) < count:
             change = next(changes)
             if change is not None:
@@ -41,7 +41,7 @@
     return found
 
 
-def error_of(call):
+def store_error_type(call):
     """Return the type of the store error that a call raises, or None."""
     try:
         call()
@@ -145,14 +145,14 @@
         self.assertEqual(self.counters.get("store_calls", kind="watch"), 1)
         self.backing.down = True
         self.backing.down = False
-        with self.assertRaises(StoreUnavailable), eventlet.Timeout(GUARD_S):
+        with self.assertRaises(StoreUnavailable), eventlet.Timeout(TEST_TIMEOUT_S):
             take(watch, 1)
         self.assertEqual(self.counters.get("store_failures", kind="watch"), 1)
 
     def test_watch_without_changes_yields_none(self):
         watch = self.store.watch("p/", 1)
         waiting = eventlet.spawn(next, watch)
-        with eventlet.Timeout(GUARD_S):
+        with eventlet.Timeout(TEST_TIMEOUT_S):
             while not waiting.dead:
                 self.clock.advance(TIMEOUT_MS)
         self.assertIsNone(waiting.wait())
@@ -240,11 +240,11 @@
                     "grant": lambda: self.store.grant_lease(TTL_MS),
                     "keepalive": lambda lease=lease: self.store.keep_alive(lease),
                 }
-                self.switch(faults)
-                attempt = eventlet.spawn(error_of, calls[name])
+                self.set_faults(faults)
+                attempt = eventlet.spawn(store_error_type, calls[name])
                 self.clock.advance(TIMEOUT_MS)
                 self.assertIs(attempt.wait(), error)
-                self.switch(dict.fromkeys(faults, 0))
+                self.set_faults(dict.fromkeys(faults, 0))
                 self.clock.advance(LATER_MS)
                 wait_until(lambda value=value: self.value_of("k") == value)
                 self.assertEqual(self.store.list("").revision, 2 if value == old else 3)
@@ -264,7 +264,7 @@
         counted = {f"store_calls{{kind={kind}}}": count for kind, count in expected.items()}
         self.assertEqual(self.counters.snapshot(), counted)
 
-    def switch(self, faults):
+    def set_faults(self, faults):
         for name, value in faults.items():
             setattr(self.backing, name, value)
 
@@ -293,19 +293,19 @@
         self.backing = self.standin.store
         host, port = self.standin.start(LOOPBACK)
         self.url = f"http://{host}:{port}"
-        self.store = self.client([self.url])
+        self.store = self.make_client([self.url])
 
     def close(self):
         self.standin.stop()
 
-    def client(self, urls):
+    def make_client(self, urls):
         return EtcdStore(urls, SystemClock(), self.counters, TIMEOUT_MS, poll_ms=20)
 
     def test_refused_connections(self):
         with socket.socket() as bound:
             bound.bind((LOOPBACK, 0))
             refusing = f"http://{LOOPBACK}:{bound.getsockname()[1]}"
-            store = self.client([refusing, self.url])
+            store = self.make_client([refusing, self.url])
             self.assertTrue(store.swap("a", 0, b"1").swapped)
             self.assertEqual(self.backing.calls["txn"], 1)
             self.standin.stop()
@@ -317,7 +317,7 @@
         other = StandinStore(self.clock)
         host, port = other.start(LOOPBACK)
         self.addCleanup(other.stop)
-        store = self.client([self.url, f"http://{host}:{port}"])
+        store = self.make_client([self.url, f"http://{host}:{port}"])
         self.backing.down = True
         with self.assertRaises(StoreUnavailable):
             store.get("a")
@@ -357,9 +357,9 @@
         for status, body, on_write, on_read in rows:
             with self.subTest(status):
                 self.status, self.body = status, body
-                self.assertIs(error_of(lambda: store.swap("a", 0, b"1")), on_write)
-                self.assertIs(error_of(lambda: store.get("a")), on_read)
-                self.assertIs(error_of(lambda: next(store.watch("a", 0))), StoreUnavailable)
+                self.assertIs(store_error_type(lambda: store.swap("a", 0, b"1")), on_write)
+                self.assertIs(store_error_type(lambda: store.get("a")), on_read)
+                self.assertIs(store_error_type(lambda: next(store.watch("a", 0))), StoreUnavailable)
 
 
 class StandinStoreTest(unittest.TestCase):
@@ -374,7 +374,7 @@
         self.http = urllib3.PoolManager(retries=False)
 
     def send(self, method, path, body=""):
-        response = self.http.request(method, self.url + path, body=body, timeout=GUARD_S)
+        response = self.http.request(method, self.url + path, body=body, timeout=TEST_TIMEOUT_S)
         return response.status, json.loads(response.data)
 
     def test_replies_have_etcd_format(self):
