--- a/geraniumspool/application.py
+++ b/geraniumspool/application.py
@@ -13,7 +13,6 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Leaves 0 free, which stands for any incarnation.
 INCARNATION_BITS = 63
 POLL_MS = 20.0
 
@@ -38,7 +37,10 @@
 
 
 def draw_incarnation() -> int:
-    """Return a random number that identifies one run of a process; never 0."""
+    """Return a random number that identifies one run of a process.
+
+    It is never 0, which stands for any incarnation in messages.
+    """
     return 1 + secrets.randbits(INCARNATION_BITS)
 
 
--- a/geraniumspool/messages.py
+++ b/geraniumspool/messages.py
@@ -3,8 +3,8 @@
 Each message is a ``NamedTuple`` encoded as a MessagePack array. An
 :class:`Envelope` names the sender's and the receiver's incarnation, so a
 process that reuses an address rejects messages for its predecessor there.
-Times are in milliseconds; only durations are sent, never timestamps, because
-the clocks of different hosts are not synchronized.
+Times are in milliseconds. Deadlines and limits are sent as durations, never
+as points in time.
 
 Two roles appear in the messages about jobs: an *entry* accepts requests from
 callers, and an agent is the *home* of a job: it keeps the job's state and
@@ -30,11 +30,12 @@
 from geraniumspool.job_messages import DispatcherReport, DropJobs, ForwardedEnd, ForwardJob
 from geraniumspool.run_messages import RenewRuns, StartRuns, StopRuns, WorkerReport
 
+# As the receiver of a message: any run of the process at the address may handle it.
 ANY_INCARNATION = 0
 
 
 class Peer(NamedTuple):
-    """A process, identified by its address and by one run of it.
+    """One run of a process, identified by its address and its incarnation.
 
     :param address: inbox address, such as ``tcp://127.0.0.1:7000``
     :param incarnation: random 64-bit number chosen when the process starts
@@ -162,6 +163,7 @@
     decision: str = ""
 
 
+# States of a job in an Answer.
 STATE_UNKNOWN = "unknown"
 STATE_RUNNING = "running"
 STATE_COMPLETE = "complete"
@@ -323,6 +325,7 @@
     version: int = 0
 
 
+# States of a Member.
 MEMBER_STARTING = "starting"
 MEMBER_READY = "ready"
 MEMBER_EJECTED = "ejected"
--- a/tests/small.py
+++ b/tests/small.py
@@ -26,6 +26,7 @@
 from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN
 
 DOMAINS = ("north", "south")
+# Slots of each minion, and of all minions together.
 SLOTS, ALL_SLOTS = 2, 2 * len(DOMAINS)
 WAIT_S, POLL_S = 20.0, 0.02
 HEARTBEAT = {"heartbeat_period_ms": 200}
