--- a/geraniumspool/program.py
+++ b/geraniumspool/program.py
@@ -45,7 +45,7 @@
     """Run a program until SIGTERM, SIGINT or its own exit request, then drain and stop it.
 
     Prints one line of JSON when the program is ready. SIGHUP reloads the
-    settings. A second SIGTERM or SIGINT aborts the drain.
+    settings. Another SIGTERM or SIGINT during the drain aborts it.
 
     :param app: the program
     :param output: where the ready line is written, standard output by default
@@ -101,6 +101,6 @@
     _poll_until(lambda: task.dead or len(received) > before)
     if task.dead:
         return task.wait() is not False
-    logger.warning("second signal received, aborting drain")
+    logger.warning("signal received during drain, aborting")
     task.kill()
     return False
