--- a/geraniumspool/connection.py
+++ b/geraniumspool/connection.py
@@ -121,7 +121,7 @@
     def readline(self, size: int = MAX_CHUNK_LINE) -> bytes:
         line = self._source.readline(size)
         if len(line) >= MAX_CHUNK_LINE:
-            raise wsgi.ChunkReadError(f"chunk header line exceeds {MAX_CHUNK_LINE} bytes")
+            raise wsgi.ChunkReadError("a chunk's line is too long")
         return line
 
 
@@ -244,9 +244,7 @@
             if not super().parse_request():
                 return False
         except _HeadTooLarge:
-            self._send_problem(
-                431, f"request head exceeds the limit of {self._server.max_header_bytes} bytes"
-            )
+            self._send_problem(431, f"a head may have {self._server.max_header_bytes} bytes")
             return False
         if lines.last in (b"\r\n", b"\n") and self.request_version != "HTTP/0.9":
             return True
@@ -287,7 +285,7 @@
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
         """Reply to a request that could not be parsed, then close the connection."""
-        self._send_problem(code, "request could not be parsed")
+        self._send_problem(code, "the request could not be parsed")
 
     def _send_problem(self, code: int, detail: str) -> None:
         self.close_connection = True
--- a/geraniumspool/web.py
+++ b/geraniumspool/web.py
@@ -118,11 +118,7 @@
         length = environ.get("CONTENT_LENGTH")
         if encoding is not None:
             if encoding.lower() != "chunked":
-                raise _reject(
-                    501,
-                    ENCODING_UNSUPPORTED,
-                    f"transfer encoding {encoding!r} is not supported, only chunked is",
-                )
+                raise _reject(501, ENCODING_UNSUPPORTED, "only chunked bodies are understood")
             size = None
         elif not length:
             return b""
@@ -138,13 +134,13 @@
         if size is None and len(body) > self._max_body_bytes:
             raise self._body_too_large()
         if size is not None and len(body) < size:
-            raise _reject(400, BODY_INCOMPLETE, f"body ended after {len(body)} of {size} bytes")
+            raise _reject(400, BODY_INCOMPLETE, f"the body ended after {len(body)} of {size} bytes")
         return body
 
     def _parse_content_length(self, length: str, environ: dict[str, Any]) -> int:
         repeated = sum(name.lower() == "content-length" for name, _ in environ["headers_raw"]) > 1
         if repeated or not (length.isascii() and length.isdigit()):
-            raise _reject(400, BODY_INCOMPLETE, "Content-Length must be a single decimal number")
+            raise _reject(400, BODY_INCOMPLETE, "Content-Length is not one plain number")
         # The number of digits is checked first: a very long number is too large in any case, and
         # int() raises ValueError for thousands of digits.
         if len(length) > len(str(self._max_body_bytes)) + 8 or int(length) > self._max_body_bytes:
@@ -152,7 +148,7 @@
         return int(length)
 
     def _body_too_large(self) -> _RejectedRequest:
-        error = PayloadTooLarge(f"body exceeds the limit of {self._max_body_bytes} bytes")
+        error = PayloadTooLarge(f"a body may have {self._max_body_bytes} bytes")
         return _RejectedRequest(reply_error(error))
 
 
@@ -179,4 +175,4 @@
     try:
         return source.read(limit)
     except (OSError, ValueError) as error:
-        raise _reject(400, BODY_INCOMPLETE, f"body could not be read: {error}") from error
+        raise _reject(400, BODY_INCOMPLETE, f"the body could not be read: {error}") from error
