--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Contract tests of the store: one body for the memory store and the etcd client."""
+"""Contract tests that run against all implementations of the key-value store."""
 
 import json
 import socket
@@ -27,13 +27,13 @@
 TTL_MS = 3_000.0
 LATER_MS = 60_000.0
 HISTORY_LIMIT = 8
-GUARD_S = 10
+TEST_TIMEOUT_S = 10
 
 
 def take(changes, count):
-    """Return the next changes of a watch, without its pauses."""
+    """Return the next ``count`` changes of a watch, skipping the None items."""
     found = []
-    with eventlet.Timeout(GUARD_S):
+    with eventlet.Timeout(TEST_TIMEOUT_S):
         while len(found) < count:
             change = next(changes)
             if change is not None:
@@ -41,7 +41,8 @@
     return found
 
 
-def error_of(call):
+def store_error_type(call):
+    """Return the type of the store error that a call raises, or None."""
     try:
         call()
     except StoreError as error:
@@ -50,7 +51,13 @@
 
 
 class StoreContract:
-    """What every store does; ``backing`` is the memory store whose faults are switched."""
+    """Behaviour that all stores have in common.
+
+    A subclass's ``open`` sets ``store``, the store under test, and ``backing``, the memory store
+    behind it (or itself), in which faults are injected.
+
+    :cvar refused_write: error that a write raises while the backing store is down
+    """
 
     refused_write: type[StoreError]
 
@@ -138,14 +145,14 @@
         self.assertEqual(self.counters.get("store_calls", kind="watch"), 1)
         self.backing.down = True
         self.backing.down = False
-        with self.assertRaises(StoreUnavailable), eventlet.Timeout(GUARD_S):
+        with self.assertRaises(StoreUnavailable), eventlet.Timeout(TEST_TIMEOUT_S):
             take(watch, 1)
         self.assertEqual(self.counters.get("store_failures", kind="watch"), 1)
 
-    def test_idle_watch_yields_none(self):
+    def test_watch_without_changes_yields_none(self):
         watch = self.store.watch("p/", 1)
         waiting = eventlet.spawn(next, watch)
-        with eventlet.Timeout(GUARD_S):
+        with eventlet.Timeout(TEST_TIMEOUT_S):
             while not waiting.dead:
                 self.clock.advance(TIMEOUT_MS)
         self.assertIsNone(waiting.wait())
@@ -182,7 +189,7 @@
             self.store.swap("a", 0, b"3", lease)
         self.assertIsNone(self.store.get("a"))
 
-    def test_lost_answer_is_settled_by_reading_back(self):
+    def test_lost_reply_is_resolved_by_reading_back(self):
         self.backing.lose_answers = 2
         with self.assertRaises(StoreUnknown):
             self.store.swap("a", 0, b"mine")
@@ -233,11 +240,11 @@
                     "grant": lambda: self.store.grant_lease(TTL_MS),
                     "keepalive": lambda lease=lease: self.store.keep_alive(lease),
                 }
-                self.switch(faults)
-                attempt = eventlet.spawn(error_of, calls[name])
+                self.set_faults(faults)
+                attempt = eventlet.spawn(store_error_type, calls[name])
                 self.clock.advance(TIMEOUT_MS)
                 self.assertIs(attempt.wait(), error)
-                self.switch(dict.fromkeys(faults, 0))
+                self.set_faults(dict.fromkeys(faults, 0))
                 self.clock.advance(LATER_MS)
                 wait_until(lambda value=value: self.value_of("k") == value)
                 self.assertEqual(self.store.list("").revision, 2 if value == old else 3)
@@ -257,7 +264,7 @@
         counted = {f"store_calls{{kind={kind}}}": count for kind, count in expected.items()}
         self.assertEqual(self.counters.snapshot(), counted)
 
-    def switch(self, faults):
+    def set_faults(self, faults):
         for name, value in faults.items():
             setattr(self.backing, name, value)
 
@@ -267,7 +274,7 @@
 
 
 class MemoryStoreTest(StoreContract, unittest.TestCase):
-    """The contract on the store in memory."""
+    """Runs the contract tests against the in-memory store."""
 
     refused_write = StoreUnavailable
 
@@ -277,7 +284,7 @@
 
 
 class EtcdStoreTest(StoreContract, unittest.TestCase):
-    """The contract on the client, against the stand-in over loopback."""
+    """Runs the contract tests against the etcd client and the stand-in server over loopback."""
 
     refused_write = StoreUnknown
 
@@ -286,19 +293,19 @@
         self.backing = self.standin.store
         host, port = self.standin.start(LOOPBACK)
         self.url = f"http://{host}:{port}"
-        self.store = self.client([self.url])
+        self.store = self.make_client([self.url])
 
     def close(self):
         self.standin.stop()
 
-    def client(self, urls):
+    def make_client(self, urls):
         return EtcdStore(urls, SystemClock(), self.counters, TIMEOUT_MS, poll_ms=20)
 
     def test_refused_connections(self):
         with socket.socket() as bound:
             bound.bind((LOOPBACK, 0))
             refusing = f"http://{LOOPBACK}:{bound.getsockname()[1]}"
-            store = self.client([refusing, self.url])
+            store = self.make_client([refusing, self.url])
             self.assertTrue(store.swap("a", 0, b"1").swapped)
             self.assertEqual(self.backing.calls["txn"], 1)
             self.standin.stop()
@@ -306,11 +313,11 @@
                 with self.assertRaises(StoreUnavailable):
                     write("b", 0, b"1")
 
-    def test_only_a_refused_connection_is_tried_elsewhere(self):
+    def test_only_a_refused_connection_is_retried_at_another_address(self):
         other = StandinStore(self.clock)
         host, port = other.start(LOOPBACK)
         self.addCleanup(other.stop)
-        store = self.client([self.url, f"http://{host}:{port}"])
+        store = self.make_client([self.url, f"http://{host}:{port}"])
         self.backing.down = True
         with self.assertRaises(StoreUnavailable):
             store.get("a")
@@ -318,7 +325,7 @@
         self.assertIsNone(store.get("a"))
         self.assertEqual(other.store.calls, {"range": 1})
 
-    def test_closed_stream_ends_the_watch(self):
+    def test_watch_fails_when_its_stream_is_closed(self):
         self.store.swap("a", 0, b"1")
         watch = self.store.watch("", 1)
         take(watch, 1)
@@ -328,13 +335,13 @@
 
 
 class GatewayAnswersTest(unittest.TestCase):
-    """What the client makes of a gateway's other answers."""
+    """Maps error replies and invalid replies of a gateway to store errors."""
 
     def answer(self, _environ, start_response):
         start_response(self.status, [])
         return [self.body]
 
-    def test_answers(self):
+    def test_error_of_each_reply(self):
         url = f"http://{serve(self, self.answer)}"
         store = EtcdStore([url], SystemClock(), MemoryCounters(), TIMEOUT_MS)
         rows = [
@@ -350,13 +357,13 @@
         for status, body, on_write, on_read in rows:
             with self.subTest(status):
                 self.status, self.body = status, body
-                self.assertIs(error_of(lambda: store.swap("a", 0, b"1")), on_write)
-                self.assertIs(error_of(lambda: store.get("a")), on_read)
-                self.assertIs(error_of(lambda: next(store.watch("a", 0))), StoreUnavailable)
+                self.assertIs(store_error_type(lambda: store.swap("a", 0, b"1")), on_write)
+                self.assertIs(store_error_type(lambda: store.get("a")), on_read)
+                self.assertIs(store_error_type(lambda: next(store.watch("a", 0))), StoreUnavailable)
 
 
 class StandinStoreTest(unittest.TestCase):
-    """The stand-in's own interface, by plain HTTP."""
+    """HTTP interface of the stand-in server."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -367,10 +374,10 @@
         self.http = urllib3.PoolManager(retries=False)
 
     def send(self, method, path, body=""):
-        response = self.http.request(method, self.url + path, body=body, timeout=GUARD_S)
+        response = self.http.request(method, self.url + path, body=body, timeout=TEST_TIMEOUT_S)
         return response.status, json.loads(response.data)
 
-    def test_published_format(self):
+    def test_replies_have_etcd_format(self):
         compare = '"compare":[{"target":"MOD","result":"EQUAL","key":"Zm9v","mod_revision":"0"}]'
         put = '"success":[{"request_put":{"key":"Zm9v","value":"YmFy"}}]'
         other = '"success":[{"request_put":{"key":"YQ==","value":"YmFy"}}]'
@@ -400,7 +407,7 @@
                 if path.startswith("/v3/kv") and status == 200:
                     self.assertEqual(reply["header"], header)
 
-    def test_faults_are_switched(self):
+    def test_faults_are_set_by_request(self):
         store = self.standin.store
         store.swap("a", 0, b"1", store.grant_lease(TTL_MS))
         faults = {"down": True, "slow_ms": 5, "lose_answers": 2, "refuse_leases": True}
