--- a/geraniumspool/backlog.py
+++ b/geraniumspool/backlog.py
@@ -1,4 +1,4 @@
-"""Tasks that wait at their home for a place, ordered by when they are due."""
+"""Backlog of a home: tasks that are offered to no worker yet, ordered by due time."""
 
 import heapq
 import itertools
@@ -8,9 +8,12 @@
 
 
 class Waiting(NamedTuple):
-    """One task without a place.
+    """A task that is offered to no worker.
 
-    :param due: latest start for its job to be in time; earlier goes first
+    :param due: latest start time for its job to finish when due; earlier tasks go first
+    :param order: sequence number that breaks ties, so that older tasks go first
+    :param job: the task's job
+    :param index: position of the task in its job
     """
 
     due: float
@@ -25,13 +28,13 @@
 
 
 class Backlog:
-    """Waiting tasks, in one queue for each width of job.
+    """Priority queues of waiting tasks, one for each width of job.
 
     :ivar count: number of waiting tasks
     """
 
     def __init__(self):
-        """Start empty."""
+        """Create an empty backlog."""
         self._queues: dict[Width, list[Waiting]] = {width: [] for width in Width}
         self._order = itertools.count()
         self.count = 0
@@ -39,11 +42,14 @@
 
     @property
     def work_ms(self) -> float:
-        """Return the estimated run times of all waiting tasks, added up."""
+        """Return the sum of the estimated run times of all waiting tasks, in milliseconds."""
         return sum(self._work_ms.values())
 
     def push(self, job: Job, index: int) -> None:
-        """Add a task."""
+        """Add a task.
+
+        :param index: position of the task in its job
+        """
         estimate = job.estimates[index]
         self.count += 1
         self._work_ms[job.width] += estimate
@@ -51,25 +57,28 @@
         heapq.heappush(self._queues[job.width], waiting)
 
     def pop(self, width: Width) -> Waiting | None:
-        """Remove and return the task of jobs of a width that is due first, or None."""
+        """Remove and return the task that is due first among jobs of a width, or None."""
         queue = self._queues[width]
         if not queue:
             return None
         waiting = heapq.heappop(queue)
-        self._uncount(waiting)
+        self._subtract(waiting)
         return waiting
 
     def size(self, width: Width) -> int:
-        """Return how many tasks of jobs of a width wait."""
+        """Return the number of waiting tasks of jobs of a width."""
         return len(self._queues[width])
 
     @property
     def narrow_work_ms(self) -> float:
-        """Return the estimated run times of narrow jobs' waiting tasks, added up."""
+        """Return the sum of the estimated run times of narrow jobs' waiting tasks."""
         return self._work_ms[Width.NARROW]
 
     def count_late(self, width: Width, now: float, most: int) -> int:
-        """Return how many tasks of jobs of a width should have started, at most ``most``."""
+        """Return how many tasks of jobs of a width are past their latest start time.
+
+        :param most: largest number to return
+        """
         queue = self._queues[width]
         if not queue or queue[0].due > now:
             return 0
@@ -82,13 +91,13 @@
         if not dropped:
             return
         for waiting in dropped:
-            self._uncount(waiting)
+            self._subtract(waiting)
         kept = [waiting for waiting in queue if waiting.job is not job]
         heapq.heapify(kept)
         self._queues[job.width] = kept
 
-    def _uncount(self, waiting: Waiting) -> None:
+    def _subtract(self, waiting: Waiting) -> None:
         self.count -= 1
         job = waiting.job
-        left = self._work_ms[job.width] - job.estimates[waiting.index]
-        self._work_ms[job.width] = max(0.0, left)
+        left_ms = self._work_ms[job.width] - job.estimates[waiting.index]
+        self._work_ms[job.width] = max(0.0, left_ms)
--- a/geraniumspool/estimate.py
+++ b/geraniumspool/estimate.py
@@ -1,17 +1,27 @@
-"""Estimates of run times, learnt from what tasks took."""
+"""Run-time estimates, learned from the run times of finished tasks."""
 
 import math
 
+# Least weight of a new sample in a running mean.
 LEARNING_RATE = 0.05
+# Estimate before any task has finished.
 INITIAL_MS = 300.0
+# Least estimate, and least time in a logarithm or ratio.
 MIN_MS = 1.0
+# Declared times to learn from before any is followed.
 MIN_LEARNT = 50
+# Least slope of the regression with which declared times are followed.
 MIN_SLOPE = 0.5
+# Least variance of the logarithms of declared times with which a slope is computed.
 MIN_VARIANCE = 0.01
 
 
 class _Mean:
-    """A running mean that forgets slowly."""
+    """An exponentially weighted moving average.
+
+    The first samples are averaged with equal weights, so that the initial
+    value has no lasting influence.
+    """
 
     def __init__(self, initial: float = 0.0):
         self.value = initial
@@ -26,29 +36,33 @@
 class RunTimes:
     """Run-time estimates of one service.
 
-    A regression of the logarithm of the actual time on that of the declared
-    one tells how far declared times are worth following: a slope of 1 where
-    they are right, near 0 where they say nothing. Below ``MIN_SLOPE``, and
-    until enough is learnt, the mean is taken.
+    A linear regression of the logarithm of the actual time on that of the
+    declared time shows how well declared times predict actual ones: the slope
+    is 1 if they are exact or off by a constant factor, and near 0 if they are
+    unrelated. With a slope below ``MIN_SLOPE``, or fewer than ``MIN_LEARNT``
+    samples, declared times are ignored and the mean run time is the estimate.
     """
 
     def __init__(self, initial_ms: float = INITIAL_MS):
-        """Start from ``initial_ms`` until something is learnt."""
+        """Start without samples.
+
+        :param initial_ms: estimate before the first sample, in milliseconds
+        """
         self._mean_ms = _Mean(initial_ms)
-        self._learnt = 0
-        self._actual = _Mean()
-        self._declared = _Mean()
-        self._square = _Mean()
+        self._samples = 0
+        self._log_actual = _Mean()
+        self._log_declared = _Mean()
+        self._declared_square = _Mean()
         self._product = _Mean()
         self._bias = _Mean(1.0)
 
     @property
     def slope(self) -> float:
-        """Return how far declared times are followed, 0 or from ``MIN_SLOPE`` to 1."""
-        if self._learnt < MIN_LEARNT:
+        """Return the weight of declared times: 0, or from ``MIN_SLOPE`` to 1."""
+        if self._samples < MIN_LEARNT:
             return 0.0
-        variance = self._square.value - self._declared.value**2
-        covariance = self._product.value - self._declared.value * self._actual.value
+        variance = self._declared_square.value - self._log_declared.value**2
+        covariance = self._product.value - self._log_declared.value * self._log_actual.value
         if variance < MIN_VARIANCE:
             return 0.0
         slope = covariance / variance
@@ -57,33 +71,33 @@
     def estimate(self, declared_ms: float = 0.0) -> float:
         """Return the expected run time of a task in milliseconds.
 
-        :param declared_ms: what its caller declared, or 0
+        :param declared_ms: run time that the caller declared, or 0
         """
         if declared_ms <= 0 or self.slope == 0:
             return max(MIN_MS, self._mean_ms.value)
         return max(MIN_MS, self._predict(declared_ms) * self._bias.value)
 
     def learn(self, declared_ms: float, actual_ms: float) -> None:
-        """Take what one task took.
+        """Learn from the run time of a finished task.
 
-        :param declared_ms: what its caller declared, or 0
-        :param actual_ms: what it took, in milliseconds
+        :param declared_ms: run time that the caller declared, or 0
+        :param actual_ms: actual run time, in milliseconds
         """
         self._mean_ms.add(actual_ms)
         if declared_ms <= 0:
             return
-        if self._learnt >= MIN_LEARNT:
+        if self._samples >= MIN_LEARNT:
             self._bias.add(max(MIN_MS, actual_ms) / self._predict(declared_ms))
-        self._learnt += 1
+        self._samples += 1
         declared, actual = _log(declared_ms), _log(actual_ms)
-        self._declared.add(declared)
-        self._actual.add(actual)
-        self._square.add(declared * declared)
+        self._log_declared.add(declared)
+        self._log_actual.add(actual)
+        self._declared_square.add(declared * declared)
         self._product.add(declared * actual)
 
     def _predict(self, declared_ms: float) -> float:
-        distance = _log(declared_ms) - self._declared.value
-        return math.exp(self._actual.value + self.slope * distance)
+        deviation = _log(declared_ms) - self._log_declared.value
+        return math.exp(self._log_actual.value + self.slope * deviation)
 
 
 def _log(time_ms: float) -> float:
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -1,7 +1,9 @@
-"""The home: runs the jobs whose tickets name this process, each task once.
+"""The home of a job: the process that its ticket names and that coordinates its tasks.
 
-At most one offer is open for a task. The next one goes out only after a
-worker's word that the task has not started and never will under the old one.
+A home admits jobs, offers their tasks to workers, collects the results and
+keeps the answers. Each task runs at most once: at most one offer is open for
+it, and the next one is sent only after the worker has confirmed that the task
+has not started under the previous offer and never will.
 """
 
 import contextlib
@@ -51,10 +53,15 @@
 from geraniumspool.ticket import Ticket, read_ticket
 from geraniumspool.worker import OpenOffer, Worker
 
+# Largest part of its deadline by which a job is put off in favour of others.
 DUE_SHARE = 0.3
+# How long a failed job waits for workers to confirm its revoked offers.
 REVOKE_WAIT_MS = 1_000.0
+# How long a departed member's open offers are kept before they are given up.
 LEFT_GRACE_MS = 500.0
+# Decisions stored with the record of a finished job.
 KEPT_DECISIONS = 20
+# Remaining work of a team that counts as none; absorbs rounding errors.
 NEGLIGIBLE_MS = 0.001
 
 CODE_TASK_FAILED = "task_failed"
@@ -65,7 +72,12 @@
 
 
 class Home:
-    """Jobs of this process: admission, placement, answers, records."""
+    """Coordinates the jobs of this process: admission, placement, answers, records.
+
+    :ivar archives: records taken over from homes that left
+    :ivar service: service of the minion beside this process
+    :ivar leaving: whether new jobs are refused because the process is leaving
+    """
 
     def __init__(
         self,
@@ -81,10 +93,14 @@
         domain: str,
         peer_timeout_ms: float,
     ):
-        """Start with no job.
+        """Start without any job.
 
+        :param runner: runs tasks on the minion beside this process
+        :param records: stores the answers of finished jobs
+        :param placement: chooses the workers for waiting tasks
+        :param domain: failure domain of this process
         :param peer_timeout_ms: silence after which a worker with open offers
-            counts as lost
+            counts as lost, in milliseconds
         """
         self._messenger = messenger
         self._clock = clock
@@ -95,8 +111,8 @@
         self._runner = runner
         self._records = records
         self._jobs: dict[int, Job] = {}
-        self._held_bytes = 0
-        self._team_work: Counter[str] = Counter()
+        self._payload_bytes = 0
+        self._team_work_ms: Counter[str] = Counter()
         self._offers = Offers(messenger, clock, counters, decisions, runner, self, peer_timeout_ms)
         self._placer = Placer(
             Place(messenger.me, domain),
@@ -109,16 +125,16 @@
             placement,
         )
         self._backlog = self._placer.backlog
-        self._times = RunTimes()
+        self._run_times = RunTimes()
         self.archives = Archives()
         self.service = ""
         self.leaving = False
         runner.measure_backlog = lambda: self._backlog.work_ms
-        roster.subscribe(self._member_changed)
+        roster.subscribe(self._handle_member_change)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no job is running here."""
+        """Return whether no job is running here."""
         return not self._jobs
 
     @property
@@ -127,58 +143,58 @@
         return self._messenger.me
 
     def load(self) -> Load:
-        """Return what this process has to offer, and the work that waits here."""
+        """Return the free capacity of this process and the work queued in it."""
         return self._runner.load()
 
     def take_submit(self, sender: Peer, submit: Submit) -> None:
-        """Run a job, join it, or refuse it."""
+        """Handle a submission: accept the job, join a known one, or refuse it."""
         waiter = Waiter(sender, submit.request)
-        ticket = self._find(waiter, submit.ticket, submit.digest)
+        ticket = self._answer_if_known(waiter, submit.ticket, submit.digest)
         if ticket is None:
             return
         job = Job(ticket, submit)
         if self.leaving:
-            detail = "the home is leaving; a new ticket names another"
+            detail = "the home is leaving; request a new ticket, which names another home"
             code = codes.JOB_REFUSED_LEAVING
             self._refuse(waiter, job, code, detail, NEW_TICKET_RETRY_MS)
             return
-        self._estimate(job)
-        verdict = self._judge(job)
+        self._estimate_run_times(job)
+        verdict = self._check_admission(job)
         if verdict.code:
             self._refuse(waiter, job, verdict.code, verdict.detail, verdict.retry_after_ms)
             return
         self._accept(waiter, job, verdict.wait_ms)
 
     def take_decline(self, sender: Peer, decline: Decline) -> None:
-        """Refuse a job for good on an entry's word, unless it is known."""
+        """Record an entry's refusal of a job as final, unless the job is known here."""
         waiter = Waiter(sender, decline.request)
-        ticket = self._find(waiter, decline.ticket, decline.digest)
+        ticket = self._answer_if_known(waiter, decline.ticket, decline.digest)
         if ticket is None:
             return
         job = Job(ticket, Submit(decline.request, decline.ticket, "", "", 0.0, decline.digest, ()))
         self._refuse(waiter, job, decline.code, decline.detail, decline.retry_after_ms)
 
     def take_inquire(self, sender: Peer, inquire: Inquire) -> None:
-        """Tell a job's state, and its decisions where asked for."""
+        """Answer an inquiry with a job's state and, if requested, its decisions."""
         answer = self._look_up(inquire.ticket)
         if inquire.explain:
-            answer = answer._replace(decisions=self._explain(inquire.ticket))
+            answer = answer._replace(decisions=self._encode_decisions(inquire.ticket))
         self._messenger.send(sender, answer._replace(request=inquire.request, load=self.load()))
 
     def take_cancel(self, sender: Peer, cancel: Cancel) -> None:
-        """Cancel a job; one that is not known never runs any more."""
+        """Cancel a job; an unknown one is recorded as cancelled, so that it never runs."""
         waiter = Waiter(sender, cancel.request)
-        ticket = self._find(waiter, cancel.ticket, None)
+        ticket = self._answer_if_known(waiter, cancel.ticket, None)
         if ticket is None:
-            job = self._job_of(cancel.ticket)
+            job = self._find_job(cancel.ticket)
             if job is not None:
-                self._end(job, CODE_CANCELLED, "cancelled by its caller")
+                self._abort(job, CODE_CANCELLED, "cancelled by its caller")
             return
         job = Job(ticket, Submit(cancel.request, cancel.ticket, "", "", 0.0, b"", ()))
         self._refuse(waiter, job, CODE_CANCELLED, "cancelled before it was submitted", 0.0)
 
     def take_results(self, sender: Peer, results: Results) -> None:
-        """Take what became of offered tasks."""
+        """Handle a worker's results and refusals of offered tasks."""
         worker = self._offers.find(sender)
         if worker is None:
             self._counters.add("answers_dropped", len(results.done) + len(results.refused))
@@ -197,18 +213,18 @@
         self._placer.schedule()
 
     def take_revoked(self, sender: Peer, revoked: Revoked) -> None:
-        """Take a worker's word on revoked offers."""
+        """Handle a worker's reply to a revocation of offers."""
         worker = self._offers.find(sender)
         if worker is not None:
             self._offers.take_revoked(worker, revoked)
             self._placer.schedule()
 
     def take_rejection(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        """Learn that another process has taken over a worker's address."""
+        """Drop a worker whose address now belongs to another process."""
         self._offers.drop(Peer(sender.address, rejection.meant))
 
     def take_back(self, offer: OpenOffer, code: str) -> None:
-        """Take a task back that has not started; see :class:`~offers.OfferOwner`."""
+        """Requeue a task that has not started; see :class:`~offers.OfferOwner`."""
         job = offer.job
         self._counters.add("tasks_taken_back", code=code)
         decision = codes.TASK_REVOKED if code == CODE_REVOKED else codes.TASK_REFUSED
@@ -216,16 +232,16 @@
         if job.is_final:
             return
         if job.ending:
-            self._check_ending(job)
+            self._finish_if_settled(job)
         else:
             self._backlog.push(job, offer.index)
             self._placer.schedule()
 
     def note_started(self, offer: OpenOffer) -> None:
-        """Learn that a task has started; see :class:`~offers.OfferOwner`."""
+        """Note that a task has started; see :class:`~offers.OfferOwner`."""
         offer.job.started = True
         if offer.job.ending:
-            self._check_ending(offer.job)
+            self._finish_if_settled(offer.job)
 
     def lose(self, offer: OpenOffer, code: str) -> None:
         """Fail a job whose task may have run; see :class:`~offers.OfferOwner`."""
@@ -236,51 +252,61 @@
         self._decisions.record(
             codes.TASK_OUTCOME_UNKNOWN, job.subject, task=offer.index, reason=code
         )
-        self._end(job, code, f"task {offer.index} may have run; its result is lost")
-        self._check_ending(job)
+        self._abort(job, code, f"task {offer.index} may have run, but its result is lost")
+        self._finish_if_settled(job)
 
     def expire_records(self) -> None:
-        """Let go of records that are too old."""
+        """Evict records that exceed the maximum age."""
         self._records.expire()
 
     def forget_workers(self) -> None:
-        """Let go of workers that are no members any more, once nothing is open there."""
+        """Forget workers that are no longer members and have no open offers."""
         self._offers.forget_strangers(
             lambda peer: peer == self.me or self._roster.get(peer) is not None
         )
 
     def leave(self) -> None:
-        """Take no new jobs; those that run go on."""
+        """Refuse new jobs from now on; running jobs continue."""
         self.leaving = True
 
     def abandon(self) -> None:
-        """End every job that still runs, since the process stops."""
+        """Fail every running job because the process is stopping."""
         for job in list(self._jobs.values()):
-            self._end(job, CODE_STOPPED, "the home stopped before the job was done")
+            self._abort(job, CODE_STOPPED, "the home stopped before the job finished")
 
     @property
     def watermark(self) -> Watermark:
-        """Return the point up to which records may be missing."""
+        """Return the ticket position up to which records may have been evicted."""
         return self._records.watermark
 
     def records(self) -> list[Record]:
-        """Return the records of finished jobs, each with the latest decisions on it."""
+        """Return the records of finished jobs, each with its latest decisions."""
         return [self._with_decisions(record) for record in self._records.all()]
 
     def hint(self, peer: Peer, load: Load) -> None:
-        """Take a worker's load that the membership passed on."""
+        """Update a worker's load from an indirect report.
+
+        :param peer: the worker
+        :param load: its load as relayed by the membership or sent with an offer
+        """
         self._offers.hint(peer, load)
 
     def peers_lateness(self) -> float:
-        """Return the median lateness of the other workers, 0 where none is known."""
+        """Return the median lateness of the other workers, or 0 if none is known."""
         return self._offers.peers_lateness()
 
     def schedule_place(self) -> None:
-        """Place waiting tasks soon, since something may have changed."""
+        """Schedule a placement run for the waiting tasks."""
         self._placer.schedule()
 
-    def _find(self, waiter: Waiter, text: str, digest: bytes | None) -> Ticket | None:
-        """Answer from what is known; return the ticket where nothing is."""
+    def _answer_if_known(self, waiter: Waiter, text: str, digest: bytes | None) -> Ticket | None:
+        """Answer a request if its job is known or cannot run here.
+
+        :param text: the ticket as it was sent
+        :param digest: digest of the submitted body, or None if the request has none
+        :returns: the parsed ticket if the job is new, None once an answer was
+            sent or the request joined a running job
+        """
         try:
             ticket = read_ticket(text)
         except MalformedTicket as error:
@@ -293,9 +319,9 @@
         record = self._find_record(ticket)
         if record is not None:
             self._counters.add("jobs_rejoined")
-            self._send(waiter, _conflict_or(record.answer, record.digest, digest))
+            self._send(waiter, _answer_or_conflict(record.answer, record.digest, digest))
             return None
-        missing = self._judge_missing(ticket, text)
+        missing = self._answer_missing(ticket, text)
         if missing is not None:
             self._send(waiter, missing)
             return None
@@ -306,11 +332,11 @@
             return self._records.find(ticket)
         return self.archives.find(ticket)
 
-    def _judge_missing(self, ticket: Ticket, text: str) -> Answer | None:
+    def _answer_missing(self, ticket: Ticket, text: str) -> Answer | None:
         if ticket.home != self.me:
             return self.archives.judge_missing(ticket, text)
         if self._records.may_have_evicted(ticket):
-            detail = "the ticket is older than what is still remembered"
+            detail = "the record of the job may have been evicted"
             return Answer(0, text, STATE_MAY_HAVE_RUN, CODE_EVICTED, detail)
         return None
 
@@ -324,15 +350,15 @@
         record = self._find_record(ticket)
         if record is not None:
             return record.answer
-        return self._judge_missing(ticket, text) or Answer(0, text, STATE_UNKNOWN)
+        return self._answer_missing(ticket, text) or Answer(0, text, STATE_UNKNOWN)
 
-    def _job_of(self, text: str) -> Job | None:
+    def _find_job(self, text: str) -> Job | None:
         try:
             return self._jobs.get(read_ticket(text).job)
         except MalformedTicket:
             return None
 
-    def _explain(self, subject: str) -> bytes:
+    def _encode_decisions(self, subject: str) -> bytes:
         decision = self._decisions.get(subject)
         if decision is not None:
             return encode_decisions([decision])
@@ -357,14 +383,14 @@
         self._decisions.record(codes.JOB_JOINED, job.subject, entry=waiter.entry.address)
         job.waiters.add(waiter)
 
-    def _estimate(self, job: Job) -> None:
-        job.estimates = [self._times.estimate(task.run_ms) for task in job.tasks]
+    def _estimate_run_times(self, job: Job) -> None:
+        job.estimates = [self._run_times.estimate(task.run_ms) for task in job.tasks]
         job.work_ms = sum(job.estimates)
 
-    def _judge(self, job: Job) -> Verdict:
+    def _check_admission(self, job: Job) -> Verdict:
         narrow_tasks = self._configuration.service(self.service).narrow_tasks
         job.width = classify(len(job.tasks), narrow_tasks)
-        ahead = Ahead(self._backlog.count, self._backlog.narrow_work_ms, self._held_bytes)
+        ahead = Ahead(self._backlog.count, self._backlog.narrow_work_ms, self._payload_bytes)
         return judge(job, self._placer.list_workers(), ahead)
 
     def _refuse(self, waiter: Waiter, job: Job, code: str, detail: str, retry_ms: float) -> None:
@@ -379,10 +405,10 @@
     def _accept(self, waiter: Waiter, job: Job, wait_ms: float) -> None:
         self._counters.add("jobs_accepted")
         self._jobs[job.ticket.job] = job
-        self._held_bytes += job.size_bytes
-        self._team_work[job.team] += job.work_ms
+        self._payload_bytes += job.size_bytes
+        self._team_work_ms[job.team] += job.work_ms
         job.waiters.add(waiter)
-        job.due = self._due(job)
+        job.due = self._compute_due(job)
         self._decisions.record(
             codes.JOB_ACCEPTED,
             job.subject,
@@ -392,26 +418,28 @@
             team=job.team,
         )
         detail = "the deadline passed"
-        expire = self._clock.after(job.deadline_ms, lambda: self._end(job, CODE_EXPIRED, detail))
+        expire = self._clock.after(job.deadline_ms, lambda: self._abort(job, CODE_EXPIRED, detail))
         job.timers.append(expire)
         for index in range(len(job.tasks)):
             self._backlog.push(job, index)
         self._placer.schedule()
 
-    def _due(self, job: Job) -> float:
-        """Return when a job is due: small ones soon, so that they overtake large ones.
+    def _compute_due(self, job: Job) -> float:
+        """Return the time by which a job should finish, the key of its priority.
 
-        A large job gains on new small ones as time passes.
+        The more work a job has, the later it is due, so small jobs overtake
+        large ones. The time is fixed at admission, so a large job is not
+        overtaken for ever.
         """
-        patience_ms = job.work_ms / max(1, self._runner.slots) * self._crowding(job.team)
-        latest_ms = job.deadline_ms * DUE_SHARE
-        return self._clock.now() + min(patience_ms, latest_ms) + job.longest_ms
+        delay_ms = job.work_ms / max(1, self._runner.slots) * self._excess_share(job.team)
+        max_delay_ms = job.deadline_ms * DUE_SHARE
+        return self._clock.now() + min(delay_ms, max_delay_ms) + job.longest_ms
 
-    def _crowding(self, team: str) -> float:
-        """Return how far a team's work exceeds its fair share, at least 1."""
+    def _excess_share(self, team: str) -> float:
+        """Return the ratio of a team's work to its weighted fair share, at least 1."""
         shares = {
             name: work / self._configuration.team(name).weight
-            for name, work in self._team_work.items()
+            for name, work in self._team_work_ms.items()
             if work > 0
         }
         if len(shares) < 2:
@@ -424,9 +452,9 @@
         declared = job.tasks[index].run_ms
         if result.ok:
             worker.note_pace(result.run_ms, offer.run_ms, self._clock.now())
-            # What a slow minion took would make every other task's estimate too long.
+            # Run times of a slow minion would inflate the estimates for all others.
             if not self._seems_slow(worker):
-                self._times.learn(declared, result.run_ms)
+                self._run_times.learn(declared, result.run_ms)
         if job.is_final:
             return
         if not result.ok:
@@ -434,13 +462,13 @@
                 codes.TASK_FAILED, job.subject, task=index, worker=worker.peer.address
             )
             detail = f"task {index}: {result.body[:200].decode(errors='replace')}"
-            self._end(job, result.code or CODE_TASK_FAILED, detail)
+            self._abort(job, result.code or CODE_TASK_FAILED, detail)
             return
         job.take_result(index, result.body)
         if job.left == 0 and not job.ending:
             self._complete(job)
         elif job.ending:
-            self._check_ending(job)
+            self._finish_if_settled(job)
 
     def _seems_slow(self, worker: Worker) -> bool:
         lateness = worker.load.lateness
@@ -452,8 +480,13 @@
         results = tuple(job.results)
         self._finish(job, Answer(0, job.text, STATE_COMPLETE, results=results))
 
-    def _end(self, job: Job, code: str, detail: str) -> None:
-        """Fail a job: at once where a task started, else when that is known."""
+    def _abort(self, job: Job, code: str, detail: str) -> None:
+        """Abort a job and revoke its open offers.
+
+        Its answer is sent as soon as it is known whether any task has started.
+
+        :param code: reason code of the abort
+        """
         if job.is_final or job.ending:
             return
         job.ending = code
@@ -461,10 +494,10 @@
         self._counters.add("jobs_failed", code=code)
         self._backlog.drop(job)
         self._offers.revoke(job)
-        job.timers.append(self._clock.after(REVOKE_WAIT_MS, lambda: self._give_up(job)))
-        self._check_ending(job)
+        job.timers.append(self._clock.after(REVOKE_WAIT_MS, lambda: self._finish_unsettled(job)))
+        self._finish_if_settled(job)
 
-    def _check_ending(self, job: Job) -> None:
+    def _finish_if_settled(self, job: Job) -> None:
         if job.is_final:
             return
         if job.started:
@@ -472,7 +505,7 @@
         elif not job.open_offers:
             self._finish_failed(job, STATE_NOT_RUN)
 
-    def _give_up(self, job: Job) -> None:
+    def _finish_unsettled(self, job: Job) -> None:
         if not job.is_final:
             self._finish_failed(job, STATE_MAY_HAVE_RUN)
 
@@ -491,10 +524,10 @@
         job.is_final = True
         job.cancel_timers()
         if self._jobs.pop(job.ticket.job, None) is not None:
-            self._held_bytes -= job.size_bytes
-            self._team_work[job.team] -= job.work_ms
-            if self._team_work[job.team] <= NEGLIGIBLE_MS:
-                del self._team_work[job.team]
+            self._payload_bytes -= job.size_bytes
+            self._team_work_ms[job.team] -= job.work_ms
+            if self._team_work_ms[job.team] <= NEGLIGIBLE_MS:
+                del self._team_work_ms[job.team]
         self._records.keep(job.ticket, Record(job.text, job.digest, answer))
         for waiter in job.waiters:
             self._send(waiter, answer)
@@ -504,7 +537,7 @@
         message = answer._replace(request=waiter.request, load=self.load())
         self._messenger.send(waiter.entry, message)
 
-    def _member_changed(self, member: Member) -> None:
+    def _handle_member_change(self, member: Member) -> None:
         peer = Peer(member.address, member.incarnation)
         worker = self._offers.find(peer)
         if worker is not None:
@@ -512,12 +545,16 @@
         if member.state == MEMBER_DEAD:
             self._offers.suspect(peer)
         if member.state in (MEMBER_DEAD, MEMBER_LEFT):
-            self._clock.after(LEFT_GRACE_MS, lambda: self._member_gone(peer))
+            self._clock.after(LEFT_GRACE_MS, lambda: self._handle_member_gone(peer))
         if member.state in (MEMBER_READY, MEMBER_EJECTED):
             self._placer.schedule()
 
-    def _member_gone(self, peer: Peer) -> None:
-        """Give up a member that left; one that only fell silent is probed."""
+    def _handle_member_gone(self, peer: Peer) -> None:
+        """Give up the offers at a member that left.
+
+        A member that is only dead by silence keeps its open offers: they are
+        probed instead, since it may still be running.
+        """
         member = self._roster.get(peer)
         if member is None or member.state == MEMBER_LEFT:
             self._offers.drop(peer)
@@ -526,8 +563,13 @@
             self._offers.forget_idle(peer)
 
 
-def _conflict_or(answer: Answer, kept: bytes, digest: bytes | None) -> Answer:
-    """Return the kept answer, or a conflict where another body was sent."""
+def _answer_or_conflict(answer: Answer, kept: bytes, digest: bytes | None) -> Answer:
+    """Return the kept answer, or a conflict if the submitted body differs.
+
+    :param answer: answer of the finished job
+    :param kept: digest of the body that the job was submitted with, or empty
+    :param digest: digest of the body submitted now, or None without one
+    """
     if digest is not None and kept and digest != kept:
         return Answer(0, answer.ticket, STATE_CONFLICT)
     return answer
--- a/geraniumspool/job.py
+++ b/geraniumspool/job.py
@@ -1,4 +1,4 @@
-"""A job at its home, while it runs."""
+"""State of a job at its home while it runs."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -9,21 +9,26 @@
 
 
 class Width(IntEnum):
-    """How wide a job is; narrow ones go first and may use every slot."""
+    """Class of a job by its number of tasks.
+
+    Tasks of narrow jobs are placed first and may use every slot, those kept
+    for narrow jobs included.
+    """
 
     NARROW = 0
     MEDIUM = 1
     WIDE = 2
 
 
+# Most tasks of a medium job.
 MEDIUM_TASKS = 40
 
 
 def classify(tasks: int, narrow_tasks: int) -> Width:
-    """Return how wide a job is.
+    """Return the width of a job.
 
-    :param tasks: number of its tasks
-    :param narrow_tasks: most tasks of a narrow job of its service
+    :param tasks: number of tasks of the job
+    :param narrow_tasks: most tasks that a narrow job of its service may have
     """
     if tasks <= narrow_tasks:
         return Width.NARROW
@@ -31,10 +36,10 @@
 
 
 class Waiter(NamedTuple):
-    """Who waits for the job's answer.
+    """A request that waits for the job's answer.
 
-    :param entry: the entry to answer
-    :param request: the number it asked under
+    :param entry: the entry that sent the request
+    :param request: request number, repeated in the answer
     """
 
     entry: Peer
@@ -42,19 +47,31 @@
 
 
 class Job:
-    """One job: its tasks, what is known of each, and who waits for it.
-
-    :ivar due: time by which it should be finished; earlier goes first
-    :ivar results: JSON texts by task index, None where not done
-    :ivar open_offers: offers by number with the worker that has each
+    """A job with its tasks, their results and the requests that wait for it.
+
+    :ivar text: the ticket as it was sent
+    :ivar ticket: the parsed ticket
+    :ivar digest: digest of the submitted body
+    :ivar deadline_ms: longest time from admission to the answer
+    :ivar results: JSON texts by task index, None for unfinished tasks
+    :ivar estimates: estimated run times by task index, in milliseconds
+    :ivar left: number of unfinished tasks
+    :ivar open_offers: workers by the number of the open offer each one holds
     :ivar started: whether a task is known to have started
-    :ivar ending: reason code once the job can no longer complete
+    :ivar ending: reason code of the abort, empty while the job may complete
+    :ivar detail: text that explains ``ending``
     :ivar is_final: whether the answer was given
-    :ivar width: how wide it is
+    :ivar width: class of the job by its number of tasks
+    :ivar due: time by which the job should finish; earlier ones are placed first
+    :ivar work_ms: sum of the estimated run times
+    :ivar timers: timers to cancel once the job is final
     """
 
     def __init__(self, ticket: Ticket, submit: Submit):
-        """Take a job as it was submitted."""
+        """Create the state of a submitted job.
+
+        :param ticket: the parsed ticket of ``submit``
+        """
         self.text = submit.ticket
         self.ticket = ticket
         self.team = submit.team
@@ -77,21 +94,24 @@
 
     @property
     def subject(self) -> str:
-        """Return the name that decisions on this job are kept under."""
+        """Return the subject under which decisions on this job are recorded."""
         return f"{self.ticket.job:x}"
 
     @property
     def size_bytes(self) -> int:
-        """Return the bytes of all payloads."""
+        """Return the total size of all payloads in bytes."""
         return sum(len(task.payload) for task in self.tasks)
 
     @property
     def longest_ms(self) -> float:
-        """Return the longest estimated run time of its tasks."""
+        """Return the longest estimated run time of its tasks, in milliseconds."""
         return max(self.estimates)
 
     def take_result(self, index: int, body: bytes) -> None:
-        """Record one task's result."""
+        """Record the result of a task.
+
+        :param body: JSON text
+        """
         self.results[index] = body
         self.left -= 1
         self.started = True
