--- a/geraniumspool/ledger.py
+++ b/geraniumspool/ledger.py
@@ -1,4 +1,4 @@
-"""What a runner remembers of each home's offers until they are settled."""
+"""State that a runner keeps of each home's offers until the home has settled them."""
 
 from collections import Counter
 
@@ -12,18 +12,23 @@
 
 
 class Entry:
-    """What the runner knows of one offer.
+    """State of one offer.
 
-    :ivar task: the offered task, or None for a tombstone
+    :ivar ledger: the ledger that the entry belongs to
+    :ivar task: the offered task, or None for a tombstone, which records that
+        the offer was refused
     :ivar state: one of the constants of this module
-    :ivar result: the task's result, while it is kept
-    :ivar is_stopped: whether the minion was asked to stop it
+    :ivar result: the task's result while it is kept, else None
+    :ivar is_stopped: whether the minion was asked to stop the task
     """
 
     __slots__ = ("task", "state", "result", "ledger", "is_stopped")
 
     def __init__(self, ledger: "Ledger", task: OfferedTask | None, state: str):
-        """Record the offer."""
+        """Create the state of an offer.
+
+        :param state: one of the constants of this module
+        """
         self.ledger = ledger
         self.task = task
         self.state = state
@@ -32,18 +37,21 @@
 
 
 class Ledger:
-    """Offers of one home that are not settled yet, and what it must be told.
-
-    :ivar floor: offers below this number are settled
-    :ivar open_tasks: tasks per job that wait or run here
-    :ivar more: whether the home said that more tasks wait there
-    :ivar done: results not sent yet
-    :ivar refused: refusals not sent yet
-    :ivar hold: timer that sends them at the latest, or None
+    """Unsettled offers of one home, and the outcomes to be sent to it.
+
+    :ivar home: address and incarnation of the home
+    :ivar floor: lowest offer number that the home may still need; lower ones are settled
+    :ivar entries: states of offers by number
+    :ivar open_tasks: number of tasks that wait or run here, by job
+    :ivar queued: number of tasks that wait here
+    :ivar more: whether the home reported further tasks waiting there
+    :ivar done: results that are not sent yet
+    :ivar refused: refusals that are not sent yet
+    :ivar hold: timer that sends held results at the latest, or None
     """
 
     def __init__(self, home: Peer):
-        """Start with nothing known of ``home``."""
+        """Create an empty ledger for a home."""
         self.home = home
         self.floor = 0
         self.entries: dict[int, Entry] = {}
@@ -55,14 +63,14 @@
         self.hold = None
 
     def queued_below(self, floor: int) -> list[Entry]:
-        """Return the offers below ``floor`` that wait for a slot; the home gave them up."""
+        """Return the queued offers below a new floor, which the home has given up."""
         if floor <= self.floor or not self.queued:
             return []
-        rows = self.entries.items()
-        return [entry for offer, entry in rows if offer < floor and entry.state == QUEUED]
+        entries = self.entries.items()
+        return [entry for offer, entry in entries if offer < floor and entry.state == QUEUED]
 
     def raise_floor(self, floor: int) -> list[Entry]:
-        """Forget settled offers below ``floor`` and return them."""
+        """Raise the floor; drop and return finished offers below it."""
         if floor <= self.floor:
             return []
         self.floor = floor
@@ -74,11 +82,11 @@
         return [self.entries.pop(offer) for offer in settled]
 
     def highest(self) -> int:
-        """Return the highest offer known, or 0."""
+        """Return the highest offer number, or 0 if there is no entry."""
         return max(self.entries, default=0)
 
     def close_task(self, task: OfferedTask) -> None:
-        """Count one task of a job as no longer open here."""
+        """Subtract a task that no longer waits or runs here from its job's count."""
         self.open_tasks[task.job] -= 1
         if self.open_tasks[task.job] <= 0:
             del self.open_tasks[task.job]
--- a/geraniumspool/offers.py
+++ b/geraniumspool/offers.py
@@ -1,4 +1,4 @@
-"""Offers of one home that are open at workers, until each is settled."""
+"""Tracks the open offers of one home at its workers until each is settled."""
 
 import math
 import random
@@ -23,20 +23,30 @@
 from geraniumspool.runner import Runner
 from geraniumspool.worker import OpenOffer, Worker, expect
 
+# Interval at which the open offers of a worker are checked.
 WATCH_MS = 100.0
+# Least time before the first probe of a worker; doubles with each unanswered one.
 PROBE_MS = 250.0
+# How long a suspected worker is offered nothing.
 SUSPECT_MS = 2_000.0
+# Silence of a worker with open offers after which relayed loads are believed.
 HINT_AFTER_MS = 500.0
+# Longest interval between messages to a worker that was given up.
 MAX_SEEK_MS = 10_000.0
+# Unanswered probes after which a worker is suspected. It is given up only after
+# as many, however long it has been silent.
 MIN_PROBES = 2
+# Most workers whose lateness is compared; a sample of them if there are more.
 MAX_COMPARED = 64
 
 
 class PlacedTask(NamedTuple):
-    """A task on its way to a worker.
+    """A task that is about to be offered to a worker.
 
+    :param index: position of the task in its job
+    :param due: latest start time for its job to finish when due
     :param any_slot: whether it may use the slots kept for narrow jobs
-    :param patience_ms: wait beyond which the worker is to refuse it, 0 for none
+    :param patience_ms: predicted wait beyond which the worker should refuse it, 0 for no limit
     """
 
     job: Job
@@ -47,16 +57,22 @@
 
 
 class OfferOwner(Protocol):
-    """Who is told what became of offers without a result."""
+    """Receives the outcomes of offers that end without a result."""
 
     def take_back(self, offer: OpenOffer, code: str) -> None:
-        """Take a task back that has not started and never will there."""
+        """Handle a task that has not started under an offer and never will.
+
+        :param code: reason code
+        """
 
     def note_started(self, offer: OpenOffer) -> None:
-        """Learn that a task has started."""
+        """Handle the report that a task has started."""
 
     def lose(self, offer: OpenOffer, code: str) -> None:
-        """Learn that a task may have run and that its result is lost."""
+        """Handle a task that may have run but whose result is lost.
+
+        :param code: reason code
+        """
 
 
 CODE_REVOKED = "offer_revoked"
@@ -65,7 +81,7 @@
 
 
 class Offers:
-    """Open offers by worker: sent, watched, asked back, settled."""
+    """Sends offers to workers, revokes them, and probes workers for overdue results."""
 
     def __init__(
         self,
@@ -77,11 +93,12 @@
         owner: OfferOwner,
         peer_timeout_ms: float,
     ):
-        """Connect the parts.
+        """Start without any worker.
 
-        :param runner: this process's own runner, reached without messages
+        :param runner: this process's own runner, which is called without messages
+        :param owner: receives the outcomes of offers that end without a result
         :param peer_timeout_ms: silence after which a worker with open offers
-            counts as lost
+            counts as lost, in milliseconds
         """
         self._messenger = messenger
         self._clock = clock
@@ -91,15 +108,15 @@
         self._owner = owner
         self._peer_timeout_ms = peer_timeout_ms
         self._workers: dict[Peer, Worker] = {}
-        self._next = 1
-        self._revokes: dict[Peer, set[int]] = {}
+        self._next_number = 1
+        self._pending_revokes: dict[Peer, set[int]] = {}
 
     def find(self, peer: Peer) -> Worker | None:
-        """Return what is known of a worker, or None."""
+        """Return the state of a worker, or None if it is unknown."""
         return self._workers.get(peer)
 
     def worker(self, member: Member) -> Worker:
-        """Return the worker that is this member."""
+        """Return the state of a member as a worker; create it if there is none."""
         peer = Peer(member.address, member.incarnation)
         worker = self._workers.get(peer)
         if worker is None:
@@ -111,11 +128,12 @@
     ) -> None:
         """Offer tasks to a worker, all in one message.
 
-        :param limit_ms: longest run before an outcome counts as unknown
+        :param service: service of the tasks
+        :param limit_ms: run time beyond which the outcome of a task counts as unknown
         :param more: whether further tasks wait at the home
         """
         offered = tuple(self._open(worker, task, service, limit_ms) for task in tasks)
-        message = Offer(worker.floor(self._next), offered, more, self._runner.load())
+        message = Offer(worker.floor(self._next_number), offered, more, self._runner.load())
         self._watch(worker)
         if worker.peer == self._messenger.me:
             self._runner.take_offer(worker.peer, message)
@@ -123,7 +141,11 @@
             self._messenger.send(worker.peer, message)
 
     def settle(self, worker: Worker, number: int) -> OpenOffer | None:
-        """Close an offer and return it; None where it matches nothing."""
+        """Close an offer that has an outcome.
+
+        :param number: number of the offer
+        :returns: the offer, or None if it is not open at this worker
+        """
         offer = worker.open.pop(number, None)
         worker.revoking.discard(number)
         if offer is None:
@@ -133,14 +155,14 @@
         return offer
 
     def revoke(self, job: Job) -> None:
-        """Ask for all open offers of a job back, batched with other jobs'."""
+        """Revoke all open offers of a job, in one message per worker for several jobs."""
         for number, peer in job.open_offers.items():
-            if not self._revokes:
-                eventlet.spawn_n(self._send_revokes)
-            self._revokes.setdefault(peer, set()).add(number)
+            if not self._pending_revokes:
+                eventlet.spawn_n(self._flush_revokes)
+            self._pending_revokes.setdefault(peer, set()).add(number)
 
     def take_revoked(self, worker: Worker, revoked: Revoked) -> None:
-        """Take a worker's word on revoked offers."""
+        """Handle a worker's report on revoked offers."""
         worker.hear(revoked.load, self._clock.now())
         for number in revoked.not_started:
             offer = self.settle(worker, number)
@@ -154,36 +176,39 @@
                 self._owner.lose(offer, CODE_RESULT_LOST)
 
     def suspect(self, peer: Peer) -> None:
-        """Offer a worker nothing for a while, and ask what became of its offers."""
+        """Suspend offers to a worker for a while, and ask for the state of its open offers."""
         worker = self._workers.get(peer)
         if worker is None:
             return
         worker.suspect_until = max(worker.suspect_until, self._clock.now() + SUSPECT_MS)
         if worker.open and peer != self._messenger.me:
-            self._ask_back(worker, worker.open, False)
+            self._send_revoke(worker, worker.open, False)
 
     def peers_lateness(self) -> float:
-        """Return the median lateness of other workers, 0 where none is known."""
+        """Return the median lateness of the other workers, or 0 if none is known."""
         peers = [worker for worker in self._workers.values() if worker.peer != self._messenger.me]
         if len(peers) > MAX_COMPARED:
             peers = random.sample(peers, MAX_COMPARED)
         return statistics.median_low([0.0, *(worker.load.lateness for worker in peers)])
 
     def forget_idle(self, peer: Peer) -> None:
-        """Forget a worker without open offers."""
+        """Forget a worker if it has no open offers."""
         worker = self._workers.get(peer)
         if worker is not None and not worker.open:
             del self._workers[peer]
 
     def forget_strangers(self, is_known: Callable[[Peer], bool]) -> None:
-        """Forget workers without open offers that are not known any more."""
+        """Forget workers without open offers that are no longer members.
+
+        :param is_known: returns whether a worker is still a member
+        """
         idle = [peer for peer, worker in self._workers.items() if not worker.open]
         for peer in idle:
             if not is_known(peer):
                 del self._workers[peer]
 
     def drop(self, peer: Peer) -> None:
-        """Give up a worker that is gone: what is open there is lost."""
+        """Give up a worker that is gone: its open offers count as lost."""
         worker = self._workers.pop(peer, None)
         if worker is None:
             return
@@ -194,7 +219,11 @@
             self._owner.lose(offer, CODE_WORKER_LOST)
 
     def hint(self, peer: Peer, load: Load) -> None:
-        """Take a worker's load that the membership passed on."""
+        """Update a worker's load from an indirect report.
+
+        It is ignored while the worker has open offers and was heard recently,
+        since the report may then be older than what is known.
+        """
         worker = self._workers.get(peer)
         if worker is None:
             return
@@ -203,8 +232,8 @@
 
     def _open(self, worker: Worker, task: PlacedTask, service: str, limit_ms: float) -> OfferedTask:
         now = self._clock.now()
-        number = self._next
-        self._next += 1
+        number = self._next_number
+        self._next_number += 1
         job, index = task.job, task.index
         run_ms = job.estimates[index]
         overdue = expect(now, worker.load.wait_ms, run_ms)
@@ -236,23 +265,24 @@
         if offer is None:
             return
         worker.revoking.discard(number)
-        # Each time it is asked, it is given as long again as it has taken so far.
+        # Each time the task is reported running, the time until it is overdue
+        # again is the time since it was offered, so that queries become rarer.
         now = self._clock.now()
         overdue = now + max(offer.run_ms, now - offer.sent_ms)
         worker.open[number] = offer._replace(expected_ms=overdue)
         self._owner.note_started(offer)
 
-    def _send_revokes(self) -> None:
-        revokes, self._revokes = self._revokes, {}
-        for peer, offers in revokes.items():
+    def _flush_revokes(self) -> None:
+        pending, self._pending_revokes = self._pending_revokes, {}
+        for peer, offers in pending.items():
             worker = self._workers.get(peer)
             if worker is not None:
-                self._ask_back(worker, offers, True)
+                self._send_revoke(worker, offers, True)
 
-    def _ask_back(self, worker: Worker, offers: Iterable[int], stop: bool) -> None:
+    def _send_revoke(self, worker: Worker, offers: Iterable[int], stop: bool) -> None:
         numbers = tuple(sorted(offers))
         worker.revoking.update(numbers)
-        message = Revoke(worker.floor(self._next), numbers, stop)
+        message = Revoke(worker.floor(self._next_number), numbers, stop)
         self._counters.add("offers_revoked", len(numbers))
         if worker.peer == self._messenger.me:
             self._runner.take_revoke(worker.peer, message)
@@ -266,39 +296,40 @@
             eventlet.spawn_n(self._watch_worker, worker)
 
     def _watch_worker(self, worker: Worker) -> None:
-        """Ask a worker for offers whose results are overdue, until nothing is open.
+        """Revoke overdue offers at a worker, until no offer is open there.
 
-        Tasks that wait there longer than expected come back and may go elsewhere.
+        Tasks that still wait at the worker are thereby returned and can be
+        offered to others; running ones continue.
         """
         while worker.open:
             self._clock.sleep(WATCH_MS)
             now = self._clock.now()
             unanswered = worker.revoking & worker.open.keys()
-            asked = unanswered.union(worker.overdue(now))
-            if asked:
-                self._probe(worker, asked, now)
+            numbers = unanswered.union(worker.overdue(now))
+            if numbers:
+                self._probe(worker, numbers, now)
         worker.is_watched = False
 
-    def _shun(self, member: Member) -> None:
-        """Offer nothing to a worker that was given up until it is heard again."""
+    def _suspend(self, member: Member) -> None:
+        """Suspend offers to a worker that was given up, until it sends a message again."""
         worker = self.worker(member)
         worker.suspect_until = math.inf
-        eventlet.spawn_n(self._seek, worker)
+        eventlet.spawn_n(self._contact_until_heard, worker)
 
-    def _seek(self, worker: Worker) -> None:
+    def _contact_until_heard(self, worker: Worker) -> None:
         pause = SUSPECT_MS
         while self._workers.get(worker.peer) is worker and worker.suspect_until == math.inf:
-            self._messenger.send(worker.peer, Revoke(worker.floor(self._next), ()))
+            self._messenger.send(worker.peer, Revoke(worker.floor(self._next_number), ()))
             self._clock.sleep(pause)
             pause = min(pause * 2, MAX_SEEK_MS)
 
-    def _probe(self, worker: Worker, asked: set[int], now: float) -> None:
-        oldest_sent = min(worker.open[number].sent_ms for number in asked)
+    def _probe(self, worker: Worker, numbers: set[int], now: float) -> None:
+        oldest_sent = min(worker.open[number].sent_ms for number in numbers)
         silent_ms = now - max(worker.heard_ms, oldest_sent)
         if silent_ms > self._peer_timeout_ms and worker.probes >= MIN_PROBES:
             self._decisions.record(WORKER_SILENT, worker.peer.address, silent_ms=round(silent_ms))
             self.drop(worker.peer)
-            self._shun(worker.member)
+            self._suspend(worker.member)
             return
         if now - worker.probed_ms < PROBE_MS * 2**worker.probes:
             return
@@ -307,4 +338,4 @@
         if worker.probes >= MIN_PROBES:
             worker.suspect_until = now + SUSPECT_MS
         self._counters.add("probes_sent")
-        self._ask_back(worker, asked, False)
+        self._send_revoke(worker, numbers, False)
--- a/geraniumspool/placement.py
+++ b/geraniumspool/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which workers the waiting tasks are offered to."""
+"""Placement policies: which workers the waiting tasks are offered to."""
 
 import heapq
 import random
@@ -8,27 +8,37 @@
 from geraniumspool.messages import Peer
 from geraniumspool.worker import Worker
 
+# Usual lookahead: tasks queued at a worker for each of its slots.
 AHEAD_PER_SLOT = 1.0
+# Fewer places than this are not filled at a remote worker without a free slot,
+# unless it has fewer slots, so that messages carry several tasks.
 MIN_REFILL = 4
+# Cost of a message within the failure domain and of one to another domain, as
+# the additional wait in milliseconds that is worth avoiding it.
 LOCAL_MS = 20.0
 CROSS_MS = 60.0
+# Additional cost of a message to a slow worker.
 SLOW_MS = 200.0
+# Reduction of a worker's cost for each free slot that the tasks could use.
 FREE_BONUS_MS = 0.5
+# Slots of a worker kept for narrow jobs, on workers with enough slots.
 RESERVED_SLOTS = 1
 MIN_SLOTS_TO_RESERVE = 4
 
-# How far ahead tasks go: the narrower their job, the further, since they
-# overtake there; furthest those that should have started already.
+# Lookahead by width, as a factor of the usual one. Tasks of narrower jobs may
+# queue further ahead, since they overtake wider ones at the worker; overdue
+# tasks may queue furthest.
 REACH_BY_WIDTH = {Width.NARROW: 3.0, Width.MEDIUM: 2.0, Width.WIDE: 1.0}
 LATE_REACH = 12.0
 
 
 class Demand(NamedTuple):
-    """Tasks that wait for a place.
+    """Tasks to place.
 
-    :param count: how many
-    :param run_ms: estimated mean run time
-    :param reach: how far ahead they may go, by the usual lookahead
+    :param count: number of tasks
+    :param run_ms: mean of their estimated run times
+    :param reach: factor of the usual lookahead, which limits the tasks that
+        may queue at a worker for each of its slots
     :param any_slot: whether they may use the slots reserved for narrow jobs
     """
 
@@ -39,7 +49,7 @@
 
 
 class Allotment(NamedTuple):
-    """A worker and how many tasks to offer it."""
+    """A worker and the number of tasks to offer it."""
 
     worker: Worker
     count: int
@@ -51,39 +61,44 @@
     def allot(
         self, demand: Demand, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
-        """Return where to offer how many tasks, best place first.
+        """Return the number of tasks to offer to each chosen worker.
 
-        :param demand: the tasks; what gets no place waits at the home
-        :param workers: workers that take offers
-        :param own: the home's own process, whose offers cost no message
+        :param demand: the tasks; those that are not allotted wait at the home
+        :param workers: workers that accept offers
+        :param own: the home's own process, which is offered tasks without a message
         :param domain: the home's failure domain
         """
 
     def stays_home(self, demand: Demand, own: Worker) -> bool:
-        """Return whether all tasks go to the home's own worker, whatever else is usable.
+        """Return whether all tasks go to the home's own worker, whatever others are usable.
 
-        :param own: the home's own worker, which takes offers
+        :param own: the home's own worker, which accepts offers
         """
 
 
 def count_reserved(slots: int) -> int:
-    """Return how many slots of a worker are kept for narrow jobs."""
+    """Return how many slots of a worker are kept for narrow jobs.
+
+    :param slots: number of the worker's slots
+    """
     return RESERVED_SLOTS if slots >= MIN_SLOTS_TO_RESERVE else 0
 
 
 class LateBinding:
-    """Offers a task only where a slot is free or about to be.
+    """Late binding: offers a task only to a worker with a free slot or one free soon.
 
-    Each place at a worker has a cost in milliseconds: its predicted wait,
-    and for the first place what a message is worth, more if it crosses
-    between failure domains. The cheapest places are taken first, so tasks
-    go out in few batches. What has no place waits at the home.
+    Each place at a worker, a free slot or a position in its queue, has a cost
+    in milliseconds: its predicted wait and, for the first place, the cost of a
+    message, which is higher between failure domains. The cheapest places are
+    taken first, so tasks are sent in few batches. Tasks without a place wait
+    at the home.
     """
 
     def __init__(self, seed: int | None = None, ahead_per_slot: float = AHEAD_PER_SLOT):
-        """Take a seed to break ties with, and the lookahead.
+        """Create the policy.
 
-        :param ahead_per_slot: tasks offered ahead for each slot of a worker
+        :param seed: seed of the random numbers that break ties
+        :param ahead_per_slot: tasks that may queue at a worker for each of its slots
         """
         self._ahead_per_slot = ahead_per_slot
         self._random = random.Random(seed)
@@ -91,9 +106,9 @@
     def allot(
         self, demand: Demand, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
-        """Return the cheapest places, grouped by worker."""
-        surveys = [self._survey(worker, demand, own, domain) for worker in workers]
-        places = [survey for survey in surveys if survey.has_next]
+        """Return the number of cheapest places taken at each worker."""
+        per_worker = [self._rate_places(worker, demand, own, domain) for worker in workers]
+        places = [candidate for candidate in per_worker if candidate.has_next]
         heapq.heapify(places)
         for _ in range(demand.count):
             if not places:
@@ -104,24 +119,30 @@
                 heapq.heapreplace(places, place)
             else:
                 heapq.heappop(places)
-        return [Allotment(survey.worker, survey.taken) for survey in surveys if survey.taken]
+        return [
+            Allotment(candidate.worker, candidate.taken)
+            for candidate in per_worker
+            if candidate.taken
+        ]
 
     def stays_home(self, demand: Demand, own: Worker) -> bool:
-        """Return whether the own free slots are cheaper than any message."""
+        """Return whether the own free slots suffice and are cheaper than any message."""
         free = _count_free(own, demand)
         return demand.count <= free and demand.count * FREE_BONUS_MS < LOCAL_MS
 
-    def _survey(self, worker: Worker, demand: Demand, own: Peer, domain: str) -> "_Places":
+    def _rate_places(
+        self, worker: Worker, demand: Demand, own: Peer, domain: str
+    ) -> "_WorkerPlaces":
         free = _count_free(worker, demand)
         per_slot = self._ahead_per_slot * demand.reach
         ahead = 0 if worker.is_slow else worker.room(per_slot)
         is_own = worker.peer == own
         if free == 0 and not is_own and ahead < min(MIN_REFILL, worker.load.slots):
             ahead = 0
-        opening_ms = 0.0 if is_own else _price_message(worker, domain)
-        opening_ms -= FREE_BONUS_MS * min(free, demand.count) * self._random.uniform(0.9, 1.0)
+        first_cost_ms = 0.0 if is_own else _message_cost_ms(worker, domain)
+        first_cost_ms -= FREE_BONUS_MS * min(free, demand.count) * self._random.uniform(0.9, 1.0)
         waiting = worker.urgent if demand.any_slot else worker.waiting
-        return _Places(worker, free, ahead, opening_ms, waiting, demand.run_ms)
+        return _WorkerPlaces(worker, free, ahead, first_cost_ms, waiting, demand.run_ms)
 
 
 def _count_free(worker: Worker, demand: Demand) -> int:
@@ -130,13 +151,17 @@
     return max(0, worker.free - count_reserved(worker.load.slots))
 
 
-def _price_message(worker: Worker, domain: str) -> float:
-    price = LOCAL_MS if worker.member.domain == domain else CROSS_MS
-    return price + SLOW_MS if worker.is_slow else price
+def _message_cost_ms(worker: Worker, domain: str) -> float:
+    cost_ms = LOCAL_MS if worker.member.domain == domain else CROSS_MS
+    return cost_ms + SLOW_MS if worker.is_slow else cost_ms
 
 
-class _Places:
-    """The places at one worker, cheapest first."""
+class _WorkerPlaces:
+    """The places at one worker in order of cost, and how many of them are taken.
+
+    :ivar taken: number of places taken
+    :ivar cost_ms: cost of the next place
+    """
 
     __slots__ = (
         "worker",
@@ -154,7 +179,7 @@
         worker: Worker,
         free: int,
         ahead: int,
-        opening_ms: float,
+        first_cost_ms: float,
         waiting: int,
         run_ms: float,
     ):
@@ -165,9 +190,9 @@
         self._waiting = waiting
         self._step_ms = run_ms / max(1, worker.load.slots)
         self._next_ms = 0.0 if worker.load.free else worker.load.next_ms
-        self.cost_ms = opening_ms + self._next_wait()
+        self.cost_ms = first_cost_ms + self._next_wait_ms()
 
-    def __lt__(self, other: "_Places") -> bool:
+    def __lt__(self, other: "_WorkerPlaces") -> bool:
         return self.cost_ms < other.cost_ms
 
     @property
@@ -176,17 +201,17 @@
 
     def take(self) -> None:
         self.taken += 1
-        self.cost_ms = self._next_wait()
+        self.cost_ms = self._next_wait_ms()
 
-    def _next_wait(self) -> float:
-        beyond = self.taken - self._free
-        if beyond < 0:
+    def _next_wait_ms(self) -> float:
+        queued_ahead = self.taken - self._free
+        if queued_ahead < 0:
             return 0.0
-        return self._next_ms + (self._waiting + beyond + 1) * self._step_ms
+        return self._next_ms + (self._waiting + queued_ahead + 1) * self._step_ms
 
 
 class Spreading:
-    """Base of the baselines, which treat the own worker like any other."""
+    """Base class of the baseline policies, which treat the own worker like any other."""
 
     def stays_home(self, demand: Demand, own: Worker) -> bool:
         """Return False."""
@@ -194,49 +219,51 @@
 
 
 class RandomChoice(Spreading):
-    """Baseline: binds each task at once to a worker drawn at random."""
+    """Baseline: assigns each task at once to a random worker."""
 
     def __init__(self, seed: int | None = None):
-        """Take a seed for the draws."""
+        """Create the policy with a seed for its random choices."""
         self._random = random.Random(seed)
 
     def allot(
         self, demand: Demand, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
-        """Return one random worker per task, grouped."""
+        """Choose a random worker for each task."""
         return _group([self._random.choice(workers) for _ in range(demand.count)])
 
 
 class LeastLoad(Spreading):
-    """Baseline: binds each task at once to the worker that seems least loaded."""
+    """Baseline: assigns each task at once to the worker that seems least loaded."""
 
     def __init__(self, seed: int | None = None):
-        """Take a seed to break ties with."""
+        """Create the policy with a seed for breaking ties."""
         self._random = random.Random(seed)
 
     def allot(
         self, demand: Demand, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
-        """Return the least loaded worker per task, grouped."""
-        return _pick_least(demand.count, lambda: workers, self._random)
+        """Choose the least loaded worker for each task."""
+        return _allot_least_loaded(demand.count, lambda: workers, self._random)
 
 
 class TwoChoices(Spreading):
-    """Baseline: binds each task at once to the less loaded of two drawn."""
+    """Baseline: assigns each task at once to the less loaded of two random workers."""
 
     def __init__(self, seed: int | None = None):
-        """Take a seed for the draws."""
+        """Create the policy with a seed for its random choices."""
         self._random = random.Random(seed)
 
     def allot(
         self, demand: Demand, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
-        """Return the better of two random workers per task, grouped."""
+        """Choose the less loaded of two random workers for each task."""
         drawn = min(2, len(workers))
-        return _pick_least(demand.count, lambda: self._random.sample(workers, drawn), self._random)
+        return _allot_least_loaded(
+            demand.count, lambda: self._random.sample(workers, drawn), self._random
+        )
 
 
-def _pick_least(count: int, draw, source: random.Random) -> list[Allotment]:
+def _allot_least_loaded(count: int, draw, source: random.Random) -> list[Allotment]:
     extra: dict[Peer, int] = {}
     chosen = []
     for _ in range(count):
@@ -262,11 +289,12 @@
 
 
 def choose_placement(name: str, ahead_per_slot: float = AHEAD_PER_SLOT) -> Placement:
-    """Return the placement of that name.
+    """Return a new placement policy by its name in the settings.
 
     :param name: ``late``, ``random``, ``least`` or ``two``
-    :param ahead_per_slot: tasks offered ahead for each slot, with ``late``
-    :raises KeyError: if there is none of that name
+    :param ahead_per_slot: tasks that may queue at a worker for each of its
+        slots, used by ``late`` only
+    :raises KeyError: if no policy has that name
     """
     if name == LATE:
         return LateBinding(ahead_per_slot=ahead_per_slot)
--- a/geraniumspool/placer.py
+++ b/geraniumspool/placer.py
@@ -1,4 +1,4 @@
-"""Placing the tasks that wait at a home: which go to which worker, and when."""
+"""Places the tasks in a home's backlog: selects workers and sends them offers in batches."""
 
 import bisect
 import math
@@ -21,22 +21,27 @@
 from geraniumspool.runner import Runner
 from geraniumspool.worker import Worker
 
+# Most workers of the own failure domain to compare; a sample of them if there are more.
 MAX_NEAR = 48
+# Most workers of other failure domains to compare, unless the own domain has few.
 MAX_FAR = 16
+# Most overdue tasks of one width that are placed further ahead than usual.
 MAX_LATE = 64
+# Least time that a task may wait at a worker beyond the predicted wait.
 MIN_SLACK_MS = 50.0
 
-# How long a task may wait at a worker beyond what was expected, by its run time.
+# Time that a task may wait at a worker beyond the predicted wait, as a factor
+# of its estimated run time.
 SLACK_BY_WIDTH = {Width.NARROW: 0.2, Width.MEDIUM: 0.4, Width.WIDE: 2.0}
 
 Batches = dict[Peer, list[PlacedTask]]
 
 
 class Place(NamedTuple):
-    """Where a home stands.
+    """Location of a home.
 
-    :param me: its process
-    :param domain: its failure domain
+    :param me: address and incarnation of its process
+    :param domain: failure domain of its process
     """
 
     me: Peer
@@ -44,7 +49,10 @@
 
 
 class Placer:
-    """Offers a home's waiting tasks to workers."""
+    """Offers a home's waiting tasks to workers.
+
+    :ivar backlog: the tasks that are offered to no worker
+    """
 
     def __init__(
         self,
@@ -57,9 +65,13 @@
         offers: Offers,
         placement: Placement,
     ):
-        """Start with nothing waiting.
+        """Start with an empty backlog.
 
+        :param place: process and failure domain of the home
         :param service: returns the service of the home's own minion
+        :param runner: runs tasks on the home's own minion
+        :param offers: sends offers and tracks the open ones
+        :param placement: chooses the workers
         """
         self._me, self._domain = place
         self._service = service
@@ -73,13 +85,13 @@
         self.backlog = Backlog()
 
     def schedule(self) -> None:
-        """Place waiting tasks soon, since something may have changed."""
+        """Schedule one placement run, unless one is scheduled already."""
         if not self._is_scheduled:
             self._is_scheduled = True
-            eventlet.spawn_n(self._place)
+            eventlet.spawn_n(self._run_placement)
 
     def list_workers(self) -> list[Worker]:
-        """Return workers to offer to; a sample where there are many."""
+        """Return the workers that may be offered tasks, a random sample if there are many."""
         service = self._service()
         near = _sample(self._list_usable(service, self._domain), MAX_NEAR)
         far = [
@@ -104,14 +116,14 @@
     def _own_worker(self) -> Worker:
         max_size = self._runner.minion.max_size
         load = self._runner.load()
-        described = (self._domain, ROLE_AGENT, MEMBER_READY, self._service(), max_size, load)
-        member = Member(*self._me, *described)
+        description = (self._domain, ROLE_AGENT, MEMBER_READY, self._service(), max_size, load)
+        member = Member(*self._me, *description)
         worker = self._offers.worker(member)
         worker.member = member
         worker.hear(load, self._clock.now())
         return worker
 
-    def _place(self) -> None:
+    def _run_placement(self) -> None:
         self._is_scheduled = False
         if not self.backlog.count:
             return
@@ -133,69 +145,86 @@
             self._offers.send(worker, batch, service, limit_ms, self.backlog.count > 0)
 
     def _place_queue(self, width: Width, count: int, reach: float, batches: Batches) -> None:
-        """Draw tasks of one queue into batches by worker.
+        """Move tasks from one queue of the backlog into a batch for each worker.
 
-        :param reach: how far ahead they may go, by the usual lookahead
+        :param count: most tasks to move
+        :param reach: factor of the usual lookahead, see :class:`~placement.Demand`
+        :param batches: the batches to fill
         """
         run_ms = self.backlog.work_ms / self.backlog.count
         any_slot = width == Width.NARROW
         demand = Demand(count, run_ms, reach, any_slot)
-        workers = self._find_near(demand) or self.list_workers()
+        workers = self._use_own_worker_only(demand) or self.list_workers()
         if not workers:
             return
         unfit = []
         for allotment in self._placement.allot(demand, workers, self._me, self._domain):
-            unfit.extend(self._draw(allotment, width, any_slot, batches))
+            unfit.extend(self._fill_batch(allotment, width, any_slot, batches))
         if unfit:
             self._place_unfit(unfit, demand, batches)
 
-    def _find_near(self, demand: Demand) -> list[Worker]:
-        """Return the own worker alone where that is where all tasks would go anyway.
+    def _use_own_worker_only(self, demand: Demand) -> list[Worker]:
+        """Return only the own worker if all tasks would go there anyway, else nothing.
 
-        At a light load this spares the survey of all others for each task.
+        At light load this saves the comparison of all workers for each task.
         """
         if not self._runner.load().slots:
             return []
         own = self._own_worker()
-        is_near = own.look(self._clock.now()) and self._placement.stays_home(demand, own)
-        return [own] if is_near else []
+        is_enough = own.look(self._clock.now()) and self._placement.stays_home(demand, own)
+        return [own] if is_enough else []
 
-    def _draw(
+    def _fill_batch(
         self, allotment: Allotment, width: Width, any_slot: bool, batches: Batches
     ) -> list[Waiting]:
-        """Fill a batch from the backlog; return tasks that do not fit there."""
+        """Move the allotted tasks from the backlog into a worker's batch.
+
+        :returns: tasks that were taken from the backlog but do not fit the worker
+        """
         unfit = []
         left = allotment.count
         while left > 0 and (waiting := self.backlog.pop(width)) is not None:
             if allotment.worker.fits(waiting.size):
-                self._plan(allotment.worker, waiting, any_slot, batches)
+                self._add_to_batch(allotment.worker, waiting, any_slot, batches)
                 left -= 1
             else:
                 unfit.append(waiting)
         return unfit
 
     def _place_unfit(self, unfit: list[Waiting], demand: Demand, batches: Batches) -> None:
-        """Place tasks too large for where they were to go; back to the backlog with the rest."""
+        """Place tasks that did not fit the worker chosen first, on workers that they fit.
+
+        Tasks without any such worker return to the backlog.
+        """
         workers = self.list_workers()
         for tasks in _group_by_limit(unfit, workers):
             fitting = [worker for worker in workers if worker.fits(tasks[0].size)]
             left = deque(tasks)
             if fitting:
-                wanted = demand._replace(count=len(tasks))
-                for allotment in self._placement.allot(wanted, fitting, self._me, self._domain):
+                group_demand = demand._replace(count=len(tasks))
+                for allotment in self._placement.allot(
+                    group_demand, fitting, self._me, self._domain
+                ):
                     for _ in range(allotment.count):
-                        self._plan(allotment.worker, left.popleft(), demand.any_slot, batches)
+                        self._add_to_batch(
+                            allotment.worker, left.popleft(), demand.any_slot, batches
+                        )
             for waiting in left:
                 self.backlog.push(waiting.job, waiting.index)
 
-    def _plan(self, worker: Worker, waiting: Waiting, any_slot: bool, batches: Batches) -> None:
-        patience_ms = self._patience(worker, waiting)
+    def _add_to_batch(
+        self, worker: Worker, waiting: Waiting, any_slot: bool, batches: Batches
+    ) -> None:
+        patience_ms = self._compute_patience(worker, waiting)
         task = PlacedTask(waiting.job, waiting.index, waiting.due, any_slot, patience_ms)
         batches.setdefault(worker.peer, []).append(task)
         worker.planned += 1
 
-    def _patience(self, worker: Worker, waiting: Waiting) -> float:
-        """Return the wait beyond which a worker should refuse a task, 0 for none."""
+    def _compute_patience(self, worker: Worker, waiting: Waiting) -> float:
+        """Return the wait beyond which a worker should refuse a task, in milliseconds.
+
+        It is 0, for no limit, at the own worker and for overdue tasks.
+        """
         if worker.peer == self._me or waiting.due <= self._clock.now():
             return 0.0
         expected_ms = 0.0 if worker.free else worker.load.wait_ms
@@ -204,7 +233,7 @@
 
 
 def _group_by_limit(tasks: list[Waiting], workers: list[Worker]) -> list[list[Waiting]]:
-    """Return tasks in groups that fit the same workers, in the order of the tasks."""
+    """Return tasks grouped by the workers that they fit, each group in the given order."""
     limits = sorted({worker.member.max_size or math.inf for worker in workers})
     groups: dict[int, list[Waiting]] = {}
     for waiting in tasks:
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -1,4 +1,4 @@
-"""The runner: runs offered tasks on the minion beside it, each at most once."""
+"""Runs offered tasks on the minion beside this process, each offer at most once."""
 
 import heapq
 import itertools
@@ -32,22 +32,32 @@
 REFUSED_EJECTED = "worker_ejected"
 REFUSED_BUSY = "worker_busy"
 
+# Longest time that a result is held to be sent together with others.
 RESULT_HOLD_MS = 1_000.0
+# How long slots stay reserved after the last task of a narrow job arrived.
 RESERVE_MS = 2_000.0
+# Time of continuous queueing of other tasks after which no slot is reserved.
 OVERLOAD_MS = 5_000.0
+# Most tasks of narrow jobs that start in a row while others wait.
 MAX_STREAK = 4
+# Queued tasks by slots at which a home with more tasks gets its results at once,
+# so that it can send the next offer in time.
 LOW_WATER_SHARE = 0.25
 DEFAULT_QUEUE_PER_SLOT = 16.0
+# Most bytes of unsettled results; the oldest are dropped first.
 KEPT_RESULT_BYTES = 16 * 1024 * 1024
+# Most homes that are gone whose late offers are recognised.
 CLOSED_HOMES = 20_000
+# Interval at which the running tasks are checked for lateness.
 LOOK_MS = 50.0
 
 
 class _Run(NamedTuple):
     """A running task.
 
-    :param estimate_ms: its estimated run time
-    :param hazard: its cumulative hazard when last looked at
+    :param started_ms: time of its start
+    :param estimate_ms: estimated run time
+    :param hazard: cumulative hazard at the latest check, see :class:`~pace.Pace`
     """
 
     started_ms: float
@@ -55,14 +65,26 @@
     hazard: float = 0.0
 
     def left_ms(self, now: float) -> float:
-        """Return the predicted rest; one that is late may go on as long again."""
+        """Return the predicted remaining run time, in milliseconds.
+
+        A task beyond its estimate is predicted to run as long again as it has
+        run so far.
+        """
         elapsed = now - self.started_ms
-        rest = self.estimate_ms - elapsed
-        return rest if rest > 0 else elapsed
+        rest_ms = self.estimate_ms - elapsed
+        return rest_ms if rest_ms > 0 else elapsed
 
 
 class Runner:
-    """Runs tasks of any home on one minion, within its slots."""
+    """Queues and runs tasks of all homes on one minion, within its slots.
+
+    :ivar minion: the minion's latest announcement, or None without a minion
+    :ivar leaving: whether new offers are refused because the process is leaving
+    :ivar is_evacuated: whether the failure domain of this process is evacuated
+    :ivar on_change: called when the announcement or the acceptance of offers changes
+    :ivar measure_backlog: returns the total estimated run time, in
+        milliseconds, of the tasks in the backlog of this process's home
+    """
 
     def __init__(
         self,
@@ -76,8 +98,11 @@
     ):
         """Start without a minion.
 
-        :param queue_per_slot: tasks that may wait here for each slot
-        :param result_hold_ms: longest time a result waits for company
+        :param client: calls the minion
+        :param health: decides whether the minion is ejected
+        :param queue_per_slot: most tasks that may wait here for each slot
+        :param result_hold_ms: longest time that a result is held to be sent
+            together with others
         """
         self._messenger = messenger
         self._clock = clock
@@ -87,19 +112,19 @@
         self._queue_per_slot = queue_per_slot
         self._result_hold_ms = result_hold_ms
         self._ledgers: dict[Peer, Ledger] = {}
-        self._closed: OrderedDict[Peer, None] = OrderedDict()
+        self._gone_homes: OrderedDict[Peer, None] = OrderedDict()
         self._queues: dict[bool, list[tuple[float, int, Entry]]] = {True: [], False: []}
         self._order = itertools.count()
         self._queued = 0
         self._queued_ms = 0.0
-        self._urgent = 0
-        self._urgent_ms = -RESERVE_MS
-        self._crowded_ms = clock.now()
-        self._streak = 0
+        self._queued_urgent = 0
+        self._last_urgent_ms = -RESERVE_MS
+        self._other_queue_empty_ms = clock.now()
+        self._urgent_streak = 0
         self._running: dict[str, _Run] = {}
-        self._looked_ms: float | None = None
+        self._checked_ms: float | None = None
         self._kept_bytes = 0
-        self._kept: OrderedDict[int, Entry] = OrderedDict()
+        self._kept_results: OrderedDict[int, Entry] = OrderedDict()
         self.minion: Announcement | None = None
         self.leaving = False
         self.is_evacuated = False
@@ -108,37 +133,37 @@
 
     @property
     def slots(self) -> int:
-        """Number of tasks the minion runs at once, 0 without a minion."""
+        """Return the number of tasks that the minion runs at once, 0 without a minion."""
         if self.minion is None:
             return 0
         return min(self.minion.slots, self.minion.connections)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no task is running or waiting here."""
+        """Return whether no task is running or waiting here."""
         return not self._running and self._queued == 0
 
     @property
     def accepts(self) -> bool:
-        """Whether offers are taken at all."""
+        """Return whether offers are accepted at all."""
         return self.minion is not None and not (self.leaving or self.is_evacuated)
 
     def load(self) -> Load:
-        """Return what this runner has to offer now."""
-        slots = self._open_slots()
+        """Return the present load and free capacity of this runner."""
+        slots = self._count_usable_slots()
         free = max(0, slots - len(self._running) - self._queued)
         return Load(
             slots,
             free,
             self._queued,
             self.predict_wait(),
-            self._urgent,
+            self._queued_urgent,
             self._predict_next_slot(),
             self.measure_backlog(),
             self._health.pace.lateness,
         )
 
-    def _open_slots(self) -> int:
+    def _count_usable_slots(self) -> int:
         if not self.accepts:
             return 0
         if self._health.is_ejected:
@@ -146,15 +171,15 @@
         return self.slots
 
     def predict_wait(self) -> float:
-        """Return the predicted wait of a task that arrives now, in ms."""
+        """Return the predicted wait of a task that arrives now, in milliseconds."""
         slots = self.slots
         if slots == 0:
             return 0.0
         if len(self._running) + self._queued < slots:
             return 0.0
         now = self._clock.now()
-        left = sum(run.left_ms(now) for run in self._running.values())
-        return (left + self._queued_ms) / slots
+        left_ms = sum(run.left_ms(now) for run in self._running.values())
+        return (left_ms + self._queued_ms) / slots
 
     def _predict_next_slot(self) -> float:
         if len(self._running) < self.slots or not self._running:
@@ -163,7 +188,7 @@
         return min(run.left_ms(now) for run in self._running.values())
 
     def announce(self, minion: Announcement) -> None:
-        """Take the minion's word on what it is."""
+        """Handle an announcement of the minion; offers are accepted again if it had left."""
         changed = minion != self.minion or self.leaving
         self.minion = minion
         self.leaving = False
@@ -172,43 +197,47 @@
             self._fill_slots()
 
     def leave(self) -> None:
-        """Take no new work; give back what has not started."""
+        """Refuse new offers from now on, and return the queued tasks to their homes."""
         if self.leaving:
             return
         self.leaving = True
-        self._give_back_queues(REFUSED_LEAVING)
+        self._return_queued_tasks(REFUSED_LEAVING)
         for ledger in self._ledgers.values():
             self._flush(ledger)
         self.on_change()
 
     def set_evacuated(self, is_evacuated: bool) -> None:
-        """Start nothing while the failure domain here is evacuated; what runs goes on."""
+        """Set whether the failure domain of this process is evacuated.
+
+        While it is, no task starts and queued ones are returned to their homes;
+        running ones continue.
+        """
         self.is_evacuated = is_evacuated
         if is_evacuated:
-            self._give_back_queues(REFUSED_EVACUATED)
+            self._return_queued_tasks(REFUSED_EVACUATED)
         self.on_change()
 
-    def _give_back_queues(self, code: str) -> None:
+    def _return_queued_tasks(self, code: str) -> None:
         for queue in self._queues.values():
             for _, _, entry in queue:
                 if entry.state == QUEUED:
-                    self._give_back(entry, code)
+                    self._return_task(entry, code)
             queue.clear()
         for ledger in self._ledgers.values():
             if ledger.refused:
                 self._flush(ledger)
 
     def repeat_results(self) -> None:
-        """Send every result again that its home has not settled, before leaving."""
+        """Send every unsettled result again, as the process is about to leave."""
         for ledger in self._ledgers.values():
             done = [entry.result for entry in ledger.entries.values() if entry.state == DONE]
             ledger.done = [result for result in done if result is not None]
             self._flush(ledger)
 
     def take_offer(self, sender: Peer, offer: Offer) -> None:
-        """Take, queue or refuse each task of an offer."""
+        """Queue or refuse each task of an offer, and start those that get a slot."""
         ledger = self._ledger(sender)
-        self._settle(ledger, offer.floor)
+        self._apply_floor(ledger, offer.floor)
         ledger.more = offer.more
         for task in offer.tasks:
             self._take_task(ledger, task)
@@ -217,9 +246,12 @@
             self._flush(ledger)
 
     def take_revoke(self, sender: Peer, revoke: Revoke) -> None:
-        """Start none of these offers any more, and tell their states."""
+        """Revoke offers that have not started, and reply with the state of each one.
+
+        Running tasks are stopped if the message asks for it.
+        """
         ledger = self._ledger(sender)
-        self._settle(ledger, revoke.floor)
+        self._apply_floor(ledger, revoke.floor)
         not_started, started, lost = [], [], []
         for offer in revoke.offers:
             state = self._revoke_one(ledger, offer, revoke.stop)
@@ -236,17 +268,17 @@
             self._flush(ledger)
 
     def forget_home(self, home: Peer) -> None:
-        """Drop what waits for a home that is gone; running tasks go on."""
-        self._closed[home] = None
-        while len(self._closed) > CLOSED_HOMES:
-            self._closed.popitem(last=False)
+        """Drop the queued tasks and kept results of a home that is gone; running tasks continue."""
+        self._gone_homes[home] = None
+        while len(self._gone_homes) > CLOSED_HOMES:
+            self._gone_homes.popitem(last=False)
         ledger = self._ledgers.pop(home, None)
         if ledger is None:
             return
         for entry in ledger.entries.values():
             if entry.state == QUEUED:
                 self._dequeue(entry, REFUSED)
-        self._settle(ledger, ledger.highest() + 1)
+        self._apply_floor(ledger, ledger.highest() + 1)
         self._fill_slots()
 
     def _ledger(self, home: Peer) -> Ledger:
@@ -256,27 +288,27 @@
             self._ledgers[home] = ledger
         return ledger
 
-    def _predict_start(self, task: OfferedTask) -> float:
-        """Return the predicted wait of one task, behind those due before it."""
-        usable = self.slots if task.any_slot else self.slots - self._kept_free()
+    def _predict_task_wait(self, task: OfferedTask) -> float:
+        """Return the predicted wait of a task behind those due before it, in milliseconds."""
+        usable = self.slots if task.any_slot else self.slots - self._count_reserved_slots()
         if len(self._running) + self._queued < usable:
             return 0.0
         due = self._clock.now() + task.rank
         queues = self._queues.values()
-        ahead = [
+        ahead_ms = [
             entry.task.run_ms
             for queue in queues
             for entry_due, _, entry in queue
             if entry_due <= due and entry.state == QUEUED
         ]
-        return self._predict_next_slot() + sum(ahead) / self.slots
+        return self._predict_next_slot() + sum(ahead_ms) / self.slots
 
-    def _settle(self, ledger: Ledger, floor: int) -> None:
+    def _apply_floor(self, ledger: Ledger, floor: int) -> None:
         for entry in ledger.queued_below(floor):
             self._dequeue(entry, REFUSED)
             ledger.close_task(entry.task)
         for entry in ledger.raise_floor(floor):
-            self._kept.pop(id(entry), None)
+            self._kept_results.pop(id(entry), None)
             if entry.result is not None:
                 self._kept_bytes -= len(entry.result.body)
 
@@ -298,13 +330,13 @@
         self._queued += 1
         self._queued_ms += task.run_ms
         if task.any_slot:
-            self._urgent += 1
-            self._urgent_ms = self._clock.now()
+            self._queued_urgent += 1
+            self._last_urgent_ms = self._clock.now()
         due = self._clock.now() + task.rank
         heapq.heappush(self._queues[task.any_slot], (due, next(self._order), entry))
 
     def _reason_to_refuse(self, ledger: Ledger, task: OfferedTask) -> str:
-        if task.offer < ledger.floor or ledger.home in self._closed:
+        if task.offer < ledger.floor or ledger.home in self._gone_homes:
             return REFUSED_STALE
         if self.minion is None:
             return REFUSED_NO_MINION
@@ -314,53 +346,63 @@
             return REFUSED_EVACUATED
         if not self._health.admits(len(self._running) + self._queued):
             return REFUSED_EJECTED
-        room = self.slots * (1 + self._queue_per_slot)
-        if len(self._running) + self._queued >= room:
+        capacity = self.slots * (1 + self._queue_per_slot)
+        if len(self._running) + self._queued >= capacity:
             return REFUSED_BUSY
-        if 0 < task.patience_ms < self._predict_start(task):
+        if 0 < task.patience_ms < self._predict_task_wait(task):
             return REFUSED_BUSY
         return ""
 
     def _fill_slots(self) -> None:
-        while (entry := self._next_to_start()) is not None:
+        while (entry := self._pop_next()) is not None:
             self._dequeue(entry, RUNNING)
             self._start(entry)
 
-    def _next_to_start(self) -> Entry | None:
-        """Remove and return the queued task that may start now and is due first."""
+    def _pop_next(self) -> Entry | None:
+        """Remove and return the queued task to start now, or None."""
         running = len(self._running)
         if running >= (1 if self._health.is_ejected else self.slots):
             return None
-        heads = [self._queues[True]]
-        if running < self.slots - self._kept_free():
-            heads.append(self._queues[False])
+        eligible = [self._queues[True]]
+        if running < self.slots - self._count_reserved_slots():
+            eligible.append(self._queues[False])
         for queue in self._queues.values():
             while queue and queue[0][2].state != QUEUED:
                 heapq.heappop(queue)
         if not self._queues[False]:
-            self._crowded_ms = self._clock.now()
-        ready = [queue for queue in heads if queue]
+            self._other_queue_empty_ms = self._clock.now()
+        ready = [queue for queue in eligible if queue]
         if not ready:
             return None
         return heapq.heappop(self._choose_queue(ready))[2]
 
     def _choose_queue(self, ready: list[list]) -> list:
-        """Return the narrow jobs' queue, now and then the other one."""
+        """Return the queue to start the next task from.
+
+        That is the first one, but the second one after ``MAX_STREAK`` tasks of
+        narrow jobs in a row, so that other jobs are not starved.
+
+        :param ready: queues that are not empty, that of narrow jobs first
+        """
         chosen = ready[0]
-        if len(ready) > 1 and self._streak >= MAX_STREAK:
+        if len(ready) > 1 and self._urgent_streak >= MAX_STREAK:
             chosen = ready[1]
         is_urgent = chosen is self._queues[True]
-        self._streak = self._streak + 1 if is_urgent else 0
+        self._urgent_streak = self._urgent_streak + 1 if is_urgent else 0
         return chosen
 
-    def _kept_free(self) -> int:
-        """Return the slots kept for narrow jobs, while such come at all.
+    def _count_reserved_slots(self) -> int:
+        """Return how many slots are reserved for narrow jobs now.
 
-        None are kept where others have waited for long without a break: that
-        is no burst but overload, and every slot is needed.
+        None are reserved while no narrow jobs arrive, nor after other tasks
+        have been queued without a break for ``OVERLOAD_MS``: that is overload
+        rather than a burst, and every slot is needed.
         """
         now = self._clock.now()
-        if now - self._urgent_ms > RESERVE_MS or now - self._crowded_ms > OVERLOAD_MS:
+        if (
+            now - self._last_urgent_ms > RESERVE_MS
+            or now - self._other_queue_empty_ms > OVERLOAD_MS
+        ):
             return 0
         return count_reserved(self.slots)
 
@@ -368,9 +410,9 @@
         task_id = name_task(entry.task)
         self._running[task_id] = _Run(self._clock.now(), entry.task.run_ms)
         self._counters.add("tasks_started")
-        if self._looked_ms is None:
-            self._looked_ms = self._clock.now()
-            self._clock.after(LOOK_MS, self._look)
+        if self._checked_ms is None:
+            self._checked_ms = self._clock.now()
+            self._clock.after(LOOK_MS, self._check_running)
         eventlet.spawn_n(self._run, entry, task_id)
 
     def _run(self, entry: Entry, task_id: str) -> None:
@@ -394,29 +436,30 @@
             self._health.pace.withdraw(run.hazard if run else 0.0)
         if not ok and not entry.is_stopped:
             self._health.note(ok, run_ms, code)
-        self._clear_if_ejected()
+        self._return_tasks_if_ejected()
         if code == NotStarted.code:
-            self._give_back(entry, code)
+            self._return_task(entry, code)
             self._flush(entry.ledger)
         else:
             self._finish(entry, TaskResult(task.offer, ok, body, code, run_ms))
         self._fill_slots()
 
-    def _look(self) -> None:
-        """Judge the running tasks by how long they take, now and again while any runs.
+    def _check_running(self) -> None:
+        """Check the running tasks for lateness, repeatedly while any task runs.
 
-        After a pause of this process its results are waited for first.
+        After a pause of this process a check is skipped: results may have
+        arrived meanwhile that are not processed yet.
         """
         now = self._clock.now()
-        has_paused = now - self._looked_ms > 2 * LOOK_MS
-        self._looked_ms = now if self._running else None
+        has_paused = now - self._checked_ms > 2 * LOOK_MS
+        self._checked_ms = now if self._running else None
         if not self._running:
             return
-        self._clock.after(LOOK_MS, self._look)
+        self._clock.after(LOOK_MS, self._check_running)
         if not has_paused:
-            self._judge_running(now)
+            self._update_lateness(now)
 
-    def _judge_running(self, now: float) -> None:
+    def _update_lateness(self, now: float) -> None:
         pace = self._health.pace
         for task_id, run in self._running.items():
             hazard = pace.hazard(run.estimate_ms, now - run.started_ms)
@@ -424,47 +467,47 @@
                 pace.add(hazard - run.hazard)
                 self._running[task_id] = run._replace(hazard=hazard)
         self._health.note_late()
-        self._clear_if_ejected()
+        self._return_tasks_if_ejected()
 
-    def _clear_if_ejected(self) -> None:
+    def _return_tasks_if_ejected(self) -> None:
         if self._health.is_ejected and self._queued:
-            self._give_back_queues(REFUSED_EJECTED)
+            self._return_queued_tasks(REFUSED_EJECTED)
 
     def _finish(self, entry: Entry, result: TaskResult) -> None:
         ledger = entry.ledger
         entry.state = DONE
         entry.result = result
-        self._keep(entry)
+        self._keep_result(entry)
         ledger.close_task(entry.task)
         ledger.done.append(result)
-        if self._is_wanted_now(ledger, entry.task, result):
+        if self._should_send_now(ledger, entry.task, result):
             self._flush(ledger)
         elif ledger.hold is None:
-            release = self._result_hold_ms
-            ledger.hold = self._clock.after(release, lambda: self._flush(ledger))
+            hold_ms = self._result_hold_ms
+            ledger.hold = self._clock.after(hold_ms, lambda: self._flush(ledger))
 
-    def _is_wanted_now(self, ledger: Ledger, task: OfferedTask, result: TaskResult) -> bool:
+    def _should_send_now(self, ledger: Ledger, task: OfferedTask, result: TaskResult) -> bool:
         if ledger.home == self._messenger.me or not result.ok:
             return True
         if ledger.open_tasks[task.job] <= 0:
             return True
         return ledger.more and ledger.queued <= self.slots * LOW_WATER_SHARE
 
-    def _keep(self, entry: Entry) -> None:
-        self._kept[id(entry)] = entry
+    def _keep_result(self, entry: Entry) -> None:
+        self._kept_results[id(entry)] = entry
         self._kept_bytes += len(entry.result.body)
-        while self._kept_bytes > KEPT_RESULT_BYTES and self._kept:
-            _, oldest = self._kept.popitem(last=False)
-            self._lose(oldest)
+        while self._kept_bytes > KEPT_RESULT_BYTES and self._kept_results:
+            _, oldest = self._kept_results.popitem(last=False)
+            self._drop_result(oldest)
 
-    def _lose(self, entry: Entry) -> None:
+    def _drop_result(self, entry: Entry) -> None:
         offer = entry.task.offer
         if entry.ledger.entries.get(offer) is entry and entry.result is not None:
             self._kept_bytes -= len(entry.result.body)
             entry.state = LOST
             entry.result = None
 
-    def _give_back(self, entry: Entry, code: str) -> None:
+    def _return_task(self, entry: Entry, code: str) -> None:
         if entry.state == QUEUED:
             self._dequeue(entry, REFUSED)
         entry.state = REFUSED
@@ -476,14 +519,14 @@
         entry.state = state
         entry.ledger.queued -= 1
         self._queued -= 1
-        self._urgent -= entry.task.any_slot
+        self._queued_urgent -= entry.task.any_slot
         self._queued_ms = max(0.0, self._queued_ms - entry.task.run_ms)
 
     def _revoke_one(self, ledger: Ledger, offer: int, stop: bool) -> str:
         if offer < ledger.floor:
             return ""
         entry = ledger.entries.get(offer)
-        if entry is None and ledger.home in self._closed:
+        if entry is None and ledger.home in self._gone_homes:
             return LOST
         if entry is None:
             ledger.entries[offer] = Entry(ledger, None, REFUSED)
@@ -512,5 +555,5 @@
 
 
 def name_task(task: OfferedTask) -> str:
-    """Return the task's id, the same however often it is offered."""
+    """Return the id of a task at the minion, the same for every offer of the task."""
     return f"{task.job:x}.{task.index}"
--- a/geraniumspool/worker.py
+++ b/geraniumspool/worker.py
@@ -1,24 +1,33 @@
-"""A worker as a home sees it: its load and the offers open there."""
+"""State that a home keeps of a worker: its load, its pace and the offers open there."""
 
 from typing import NamedTuple
 
 from geraniumspool.job import Job
 from geraniumspool.messages import Load, Member, Peer
 
+# A result is overdue after this factor of the predicted wait and run time,
+# plus a margin.
 EXPECTED_FACTOR = 3.0
 EXPECTED_MARGIN_MS = 1_500.0
+# Weight of a new sample in the moving average of the pace.
 PACE_WEIGHT = 0.1
+# Added to the estimated run time, so that small delays of short tasks count little.
 PACE_MARGIN_MS = 50.0
+# Pace above which a worker counts as slow.
 SLOW_PACE = 4.0
+# How long a worker is offered nothing after its minion refused a connection.
 REFUSED_PAUSE_MS = 500.0
+# Time since the last result after which a slow worker may be probed with a task.
 SLOW_PROBE_MS = 2_000.0
 
 
 class OpenOffer(NamedTuple):
-    """One offer that is not settled.
+    """An offer without an outcome so far.
 
+    :param offer: number of the offer
+    :param index: position of the task in its job
     :param sent_ms: when it was sent, by the home's clock
-    :param run_ms: estimated run time
+    :param run_ms: estimated run time of the task
     :param expected_ms: time after which its result is overdue
     """
 
@@ -31,22 +40,26 @@
 
 
 class Worker:
-    """One worker that tasks may be offered to.
+    """A worker that tasks may be offered to.
 
-    :ivar load: its load as last heard of
-    :ivar since: tasks offered since that load was heard of
-    :ivar planned: tasks about to be offered
+    :ivar member: the worker as a member of the roster
+    :ivar peer: its address and incarnation
+    :ivar load: its latest known load
+    :ivar since: number of tasks offered after that load was reported
+    :ivar planned: number of tasks in the batch that is about to be sent
     :ivar open: open offers by number
-    :ivar heard_ms: when it last sent something
-    :ivar probes: probes sent since then
-    :ivar revoking: open offers that were asked back
+    :ivar heard_ms: when its latest message arrived
+    :ivar probes: number of probes sent since then
+    :ivar probed_ms: when the latest probe was sent
+    :ivar revoking: open offers with a revocation that is not answered yet
+    :ivar is_watched: whether a green thread watches its open offers
     :ivar suspect_until: time until which it is offered nothing
-    :ivar pace: mean of actual by estimated run times there
-    :ivar is_probe_due: whether a slow worker may have one task to be judged by
+    :ivar pace: moving average of the ratio of actual to estimated run times
+    :ivar is_probe_due: whether a slow worker may be offered one task as a probe
     """
 
     def __init__(self, member: Member, now: float):
-        """Take a member of the roster."""
+        """Create the state of a worker without open offers."""
         self.member = member
         self.peer = Peer(member.address, member.incarnation)
         self.load = member.load
@@ -61,23 +74,23 @@
         self.suspect_until = 0.0
         self._refused_until = 0.0
         self.pace = 1.0
-        self._paced_ms = now
+        self._pace_updated_ms = now
         self.is_probe_due = False
 
     @property
     def is_slow(self) -> bool:
-        """Return whether its tasks take far longer than they should."""
+        """Return whether its tasks take far longer than estimated."""
         return self.pace > SLOW_PACE
 
     @property
     def busy(self) -> int:
-        """Return the tasks that run or wait there, as far as known."""
+        """Return the estimated number of tasks that run or wait there."""
         known = self.load.slots - self.load.free + self.load.queued
         return known + self.since + self.planned
 
     @property
     def free(self) -> int:
-        """Return the slots that seem idle; none of a slow worker but to probe it."""
+        """Return the slots that seem idle; for a slow worker one if a probe is due, else 0."""
         free = max(0, self.load.slots - self.busy)
         if self.is_slow:
             return min(1, free) if self.is_probe_due else 0
@@ -85,29 +98,29 @@
 
     @property
     def waiting(self) -> int:
-        """Return the tasks that wait there, as far as known."""
+        """Return the estimated number of tasks that wait there."""
         return max(0, self.busy - self.load.slots)
 
     @property
     def urgent(self) -> int:
-        """Return those of them that may use every slot."""
+        """Return how many of the waiting tasks may use every slot."""
         return min(self.waiting, self.load.urgent + self.since + self.planned)
 
     def room(self, per_slot: float) -> int:
-        """Return how many tasks may be offered beyond the free slots.
+        """Return how many more tasks may be queued there.
 
-        :param per_slot: tasks that may wait there for each slot
+        :param per_slot: most tasks that may wait there for each slot
         """
         if self.load.slots == 0:
             return 0
         return max(0, int(self.load.slots * per_slot) - self.waiting)
 
     def fits(self, size: float) -> bool:
-        """Return whether a task of that declared size fits its minion."""
+        """Return whether a task of a declared size fits the worker's minion."""
         return self.member.max_size <= 0 or size <= self.member.max_size
 
     def hear(self, load: Load, now: float) -> None:
-        """Take a load that the worker itself sent."""
+        """Take over a load that the worker itself sent, and end any suspicion."""
         self.load = load
         self.since = 0
         self.heard_ms = now
@@ -115,47 +128,54 @@
         self.suspect_until = 0.0
 
     def hint(self, load: Load) -> None:
-        """Take a load that somebody else passed on, which may be older than our offers."""
+        """Take over a load that another process relayed, which may predate open offers."""
         self.load = load
         self.since = max(0, len(self.open) - (load.slots - load.free + load.queued))
 
     def add(self, offer: OpenOffer) -> None:
-        """Count one more open offer."""
+        """Add an open offer."""
         self.open[offer.offer] = offer
         self.since += 1
 
     def look(self, now: float) -> bool:
-        """Bring what depends on time up to date; return whether to offer it tasks."""
-        waited = now - self._paced_ms > SLOW_PROBE_MS
-        self.is_probe_due = waited and not self.open
+        """Update the state that depends on time.
+
+        :returns: whether the worker may be offered tasks
+        """
+        is_probe_time = now - self._pace_updated_ms > SLOW_PROBE_MS
+        self.is_probe_due = is_probe_time and not self.open
         return max(self.suspect_until, self._refused_until) <= now
 
     def note_refused_connection(self, now: float) -> None:
-        """Take that its minion refused a connection: offer it nothing for a moment."""
+        """Pause offers to the worker because its minion refused a connection."""
         self._refused_until = now + REFUSED_PAUSE_MS
 
     def note_pace(self, actual_ms: float, estimated_ms: float, now: float) -> None:
-        """Take how long a task took there against what was expected."""
+        """Update the pace with the run time of a finished task.
+
+        :param actual_ms: run time at the worker
+        :param estimated_ms: run time estimated when the task was offered
+        """
         ratio = actual_ms / (estimated_ms + PACE_MARGIN_MS)
         self.pace += PACE_WEIGHT * (ratio - self.pace)
-        self._paced_ms = now
+        self._pace_updated_ms = now
 
     def floor(self, next_offer: int) -> int:
-        """Return the number below which no offer is open there.
+        """Return the lowest open offer number: all lower offers are settled.
 
-        :param next_offer: number that the home's next offer will have
+        :param next_offer: number of the home's next offer, returned if none is open
         """
         return min(self.open, default=next_offer)
 
     def overdue(self, now: float) -> list[int]:
-        """Return the open offers whose results are overdue."""
+        """Return the numbers of the open offers whose results are overdue."""
         return [offer.offer for offer in self.open.values() if now > offer.expected_ms]
 
 
 def expect(sent_ms: float, wait_ms: float, run_ms: float) -> float:
     """Return the time after which a result counts as overdue.
 
-    :param sent_ms: when the task was offered
+    :param sent_ms: time at which the task was offered
     :param wait_ms: predicted wait at the worker
     :param run_ms: estimated run time
     """
