--- a/geraniumspool/candidates.py
+++ b/geraniumspool/candidates.py
@@ -1,4 +1,4 @@
-"""Members that may be chosen: ready agents by service and domain, living entries."""
+"""Indexes of the members that may be chosen: ready agents and living entries."""
 
 from collections.abc import Iterable
 
@@ -7,18 +7,18 @@
 
 
 class Candidates:
-    """Indexes of a roster for quick choices.
+    """Indexes of a roster: ready agents by service and failure domain, living entries.
 
     :ivar entries: the entries that are neither dead nor left
     """
 
     def __init__(self):
-        """Start empty."""
+        """Create empty indexes."""
         self.entries: dict[Peer, Member] = {}
         self._ready: dict[str, dict[str, dict[Peer, Member]]] = {}
 
     def put(self, member: Member) -> None:
-        """Add a member, or replace it by one that differs in its load."""
+        """Add a member if it may be chosen, or replace it by one that differs only in its load."""
         if member.role == ROLE_ENTRY:
             if not is_final(member):
                 self.entries[peer_of(member)] = member
@@ -27,7 +27,7 @@
             domains.setdefault(member.domain, {})[peer_of(member)] = member
 
     def remove(self, member: Member) -> None:
-        """Remove a member as it was put in."""
+        """Remove a member, given in the state in which it was added."""
         if member.role == ROLE_ENTRY:
             self.entries.pop(peer_of(member), None)
         elif member.state == MEMBER_READY:
@@ -37,8 +37,8 @@
     def list_agents(self, service: str, domain: str | None, without: Iterable[str]) -> list[Member]:
         """Return the ready agents of a service.
 
-        :param domain: failure domain to stay in, or None for all
-        :param without: failure domains to leave out
+        :param domain: failure domain of the agents, or None for all
+        :param without: failure domains to exclude
         """
         domains = self._ready.get(service, {})
         names = domains if domain is None else (domain,)
--- a/geraniumspool/health.py
+++ b/geraniumspool/health.py
@@ -1,4 +1,4 @@
-"""Health of a minion: ejection of one that fails everything or is slow, and probing."""
+"""Outlier ejection: stops using a minion that fails or is slow, and probes it."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,17 @@
 from geraniumspool.errors import NotStarted, TaskUnknown
 from geraniumspool.pace import PROBE_HAZARD, Pace
 
+# Weight of the latest outcome in the moving average of failures.
 RECENT_WEIGHT = 0.2
+# Outcomes before a minion may be ejected for failures, unless the latest one is a
+# refused connection or an unknown outcome.
 MIN_OUTCOMES = 5
+# Default share of recent failures above which a minion is ejected.
 FAILURE_SHARE = 0.5
+# Time from the ejection to the first probe; doubles after each failed probe.
 PROBE_AFTER_MS = 1_000.0
 MAX_PROBE_AFTER_MS = 30_000.0
+# Successful probes in a row that end an ejection.
 PROBES_TO_RESTORE = 3
 
 
@@ -25,11 +31,16 @@
 
 
 class Health:
-    """Judges one minion by the outcomes of the tasks it ran.
+    """Ejects one minion, and restores it, by the outcomes of its tasks.
 
-    A minion whose recent failures exceed a share is ejected, and so is one
-    that is slow. An ejected one is probed with one task at a time, at growing
-    intervals, and restored after a few successes in a row, none of them late.
+    A minion is ejected if its share of recent failures is too high or if it is
+    slow. An ejected minion gets single tasks as probes, with exponential
+    backoff after failed ones. It is restored after a few successful probes in
+    a row; a late success counts as a failure.
+
+    :ivar pace: measures whether the minion is slow
+    :ivar is_ejected: whether the minion is ejected
+    :ivar on_change: called when the minion is ejected or restored
     """
 
     def __init__(
@@ -41,12 +52,13 @@
         failure_share: Callable[[], float] = lambda: FAILURE_SHARE,
         pace: Pace | None = None,
     ):
-        """Start healthy.
+        """Start with a healthy minion.
 
-        :param subject: what decisions are recorded on, the agent's address
-        :param may_eject: whether the cap on ejected workers leaves room
-        :param failure_share: share of failures above which to eject, 0..1; 1 for never
-        :param pace: judges whether the minion is slow
+        :param subject: subject under which decisions are recorded, the agent's address
+        :param may_eject: returns whether the limit on ejected workers permits one more
+        :param failure_share: returns the share of recent failures, from 0 to 1,
+            above which the minion is ejected; 1 disables ejection
+        :param pace: measures whether the minion is slow
         """
         self._clock = clock
         self._decisions = decisions
@@ -54,24 +66,24 @@
         self._may_eject = may_eject
         self._failure_share = failure_share
         self.pace = pace or Pace()
-        self._failures = 0.0
+        self._recent_failures = 0.0
         self._outcomes = 0
         self._successes = 0
         self._is_probing = False
-        self._probe_at = 0.0
-        self._probe_after = PROBE_AFTER_MS
+        self._probe_at_ms = 0.0
+        self._probe_after_ms = PROBE_AFTER_MS
         self.is_ejected = False
         self.on_change: Callable[[], None] = lambda: None
 
     @property
     def is_probe_due(self) -> bool:
-        """Whether an ejected minion may be given a task to be judged by."""
-        return self.is_ejected and self._clock.now() >= self._probe_at
+        """Return whether the minion is ejected and may be probed with a task now."""
+        return self.is_ejected and self._clock.now() >= self._probe_at_ms
 
     def admits(self, busy: int) -> bool:
-        """Return whether another task may be taken.
+        """Return whether another task may be accepted; note it as a probe if it is one.
 
-        :param busy: tasks that run or wait here now
+        :param busy: number of tasks that run or wait here now
         """
         if not self.is_ejected:
             return True
@@ -82,33 +94,35 @@
         return True
 
     def note(self, ok: bool, run_ms: float, code: str) -> None:
-        """Take the outcome of one task.
+        """Handle the outcome of a task, which may eject or restore the minion.
 
-        :param run_ms: time the minion took
-        :param code: reason code of a failure
+        :param ok: whether the task succeeded
+        :param run_ms: run time at the minion
+        :param code: reason code of a failure, else empty
         """
         self._outcomes += 1
         failed = 0.0 if ok else 1.0
-        self._failures += RECENT_WEIGHT * (failed - self._failures)
+        self._recent_failures += RECENT_WEIGHT * (failed - self._recent_failures)
         if self.is_ejected:
-            # Tasks from before the ejection are no probes.
+            # Tasks accepted before the ejection do not count as probes.
             if self._is_probing:
                 self._is_probing = False
-                self._judge_probe(ok)
-        elif self._is_bad(code):
+                self._handle_probe(ok)
+        elif self._has_too_many_failures(code):
             self._eject(run_ms)
 
     def note_late(self) -> None:
-        """Take that running tasks go on and on: eject the minion if it is slow."""
+        """Eject the minion if its running tasks show that it is slow."""
         if self.is_ejected or not self.pace.is_slow:
             return
         if self._failure_share() < 1 and self._may_eject():
             self._eject(0.0)
 
     def note_end(self, estimate_ms: float, run_ms: float) -> None:
-        """Take that a task ended with a result.
+        """Handle a task that ended with a result.
 
-        :param estimate_ms: its estimated run time
+        :param estimate_ms: estimated run time
+        :param run_ms: run time at the minion
         """
         is_late = self.pace.hazard(estimate_ms, run_ms) > PROBE_HAZARD
         self.note(not (self.is_ejected and is_late), run_ms, "")
@@ -116,22 +130,22 @@
             self.pace.end(estimate_ms, run_ms)
 
     def reset(self) -> None:
-        """Forget everything, as when another minion takes the place."""
-        self._failures = 0.0
+        """Discard all outcomes, because another minion replaces this one."""
+        self._recent_failures = 0.0
         self._outcomes = 0
         self._restore()
 
-    def _is_bad(self, code: str) -> bool:
-        enough = self._outcomes >= MIN_OUTCOMES or code in (NotStarted.code, TaskUnknown.code)
-        return enough and self._failures > self._failure_share() and self._may_eject()
+    def _has_too_many_failures(self, code: str) -> bool:
+        has_enough = self._outcomes >= MIN_OUTCOMES or code in (NotStarted.code, TaskUnknown.code)
+        return has_enough and self._recent_failures > self._failure_share() and self._may_eject()
 
     def _eject(self, run_ms: float) -> None:
         self.is_ejected = True
         self._successes = 0
         self._is_probing = False
-        self._probe_after = PROBE_AFTER_MS
-        self._probe_at = self._clock.now() + self._probe_after
-        share = round(self._failures, 3)
+        self._probe_after_ms = PROBE_AFTER_MS
+        self._probe_at_ms = self._clock.now() + self._probe_after_ms
+        share = round(self._recent_failures, 3)
         self._decisions.record(
             WORKER_EJECTED,
             self._subject,
@@ -141,14 +155,14 @@
         )
         self.on_change()
 
-    def _judge_probe(self, ok: bool) -> None:
+    def _handle_probe(self, ok: bool) -> None:
         if not ok:
             self._successes = 0
-            self._probe_after = min(MAX_PROBE_AFTER_MS, self._probe_after * 2)
-            self._probe_at = self._clock.now() + self._probe_after
+            self._probe_after_ms = min(MAX_PROBE_AFTER_MS, self._probe_after_ms * 2)
+            self._probe_at_ms = self._clock.now() + self._probe_after_ms
             return
         self._successes += 1
-        self._probe_at = self._clock.now()
+        self._probe_at_ms = self._clock.now()
         if self._successes >= PROBES_TO_RESTORE:
             self._restore()
             self._decisions.record(WORKER_RESTORED, self._subject, probes=self._successes)
@@ -156,7 +170,7 @@
     def _restore(self) -> None:
         was_ejected = self.is_ejected
         self.is_ejected = False
-        self._failures = 0.0
+        self._recent_failures = 0.0
         self.pace.forget()
         if was_ejected:
             self.on_change()
--- a/geraniumspool/heartbeat.py
+++ b/geraniumspool/heartbeat.py
@@ -1,10 +1,11 @@
-"""Heartbeats of an agent to the entries of its failure domain.
-
-An agent beats at one entry. Which one follows from rendezvous hashing over
-the living entries, so agents spread evenly and an entry's death moves only its
-own agents. When replies stop, the agent goes to the next entry in its order
-and back some periods later. To an entry that answered it says again only its
-load, until something else changes.
+"""Heartbeats of an agent to an entry.
+
+An agent sends its heartbeats to one entry, preferably of its own failure
+domain. Rendezvous hashing over the living entries chooses it, so agents spread
+evenly, and the death of an entry moves only its own agents. When replies stop,
+the agent switches to the next entry in its order and returns some periods
+later. Once an entry has replied, further heartbeats to it carry only the load
+until something else changes.
 """
 
 import hashlib
@@ -27,27 +28,32 @@
 )
 from geraniumspool.roster import Roster
 
+# Heartbeats without a reply after which the agent switches to another entry.
 MISSED_REPLIES = 2
+# Periods for which an entry that did not reply is avoided.
 AVOID_PERIODS = 10
+# Most short heartbeats in a row before a whole one is sent.
 SHORT_HEARTBEATS = 30
+# Largest random deviation of a period, relative to it.
 JITTER = 0.1
 
 _NO_LOAD = Load()
 
 
 def weigh(name: str, address: str) -> bytes:
-    """Return the sort key of rendezvous hashing.
+    """Return the rendezvous hash of a pair; the candidate with the lowest one is chosen.
 
     :param name: address of the process that chooses
-    :param address: address it may choose
+    :param address: address of the candidate
     """
     return hashlib.blake2b(f"{name}|{address}".encode(), digest_size=8).digest()
 
 
 def is_foreign_news(member: Member, me: Peer) -> bool:
-    """Return whether news is of another process, or of a past one at the own address.
+    """Return whether a member is another process, or an ended one at the own address.
 
-    :param me: the process that received the news
+    :param member: the member that was reported
+    :param me: the process that received the report
     """
     return member.address != me.address or (
         member.incarnation != me.incarnation and is_final(member)
@@ -55,7 +61,11 @@
 
 
 class Heartbeater:
-    """Tells entries of this agent's state, and takes their news."""
+    """Sends heartbeats with this agent's state and handles the replies.
+
+    :ivar period_ms: time between two heartbeats
+    :ivar last_contact_ms: when the latest reply arrived
+    """
 
     def __init__(
         self,
@@ -67,13 +77,13 @@
         period_ms: float,
         generator: random.Random | None = None,
     ):
-        """Connect the parts.
+        """Start without a chosen entry.
 
-        :param messenger: what heartbeats are sent with
-        :param roster: where members are recorded
-        :param describe: returns this agent as it is now
+        :param messenger: sends the heartbeats
+        :param roster: records the members in the replies
+        :param describe: returns the present state of this agent
         :param configuration: has ``revision`` and ``apply(documents)``
-        :param period_ms: first period, until an entry names another
+        :param period_ms: initial period, until a reply sets another
         :param generator: source of jitter, seeded by the own address by default
         """
         self.period_ms = period_ms
@@ -85,92 +95,100 @@
         self._configuration = configuration
         self._random = generator or random.Random(messenger.me.address)
         self._seeds: set[str] = set()
-        self._avoided: dict[Peer, float] = {}
+        self._avoided_until_ms: dict[Peer, float] = {}
         self._target: Peer | None = None
-        self._asked_ms: float | None = None
-        self._seen_entry = 0
-        self._seen_version = 0
-        self._told: Member | None = None
-        self._answered: tuple[Peer, Member | None] | None = None
-        self._short_ones = 0
+        self._unanswered_since_ms: float | None = None
+        self._roster_entry = 0
+        self._roster_version = 0
+        self._sent_member: Member | None = None
+        self._acknowledged: tuple[Peer, Member | None] | None = None
+        self._short_count = 0
 
     @property
     def target(self) -> Peer | None:
-        """The entry that the last heartbeat went to."""
+        """Return the entry that heartbeats are sent to, or None before the first."""
         return self._target
 
     def add_entries(self, addresses: Iterable[str]) -> None:
-        """Add inbox addresses of entries whose incarnation is not known yet."""
+        """Add inbox addresses of entries whose incarnations are not known yet."""
         self._seeds.update(addresses)
 
     def run(self) -> None:
-        """Send heartbeats for ever, the first after a random part of a period."""
+        """Send heartbeats in an endless loop, the first after a random part of a period."""
         self._clock.sleep(self._random.uniform(0.0, self.period_ms))
         while True:
             self.beat()
-            spread = self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
-            self._clock.sleep(self.period_ms * spread)
+            factor = self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
+            self._clock.sleep(self.period_ms * factor)
 
     def beat(self) -> None:
-        """Send one heartbeat to the entry in charge of this agent."""
+        """Send one heartbeat to the chosen entry; choose another if replies are overdue."""
         now = self._clock.now()
-        patience_ms = (MISSED_REPLIES - JITTER) * self.period_ms
-        if self._asked_ms is not None and now - self._asked_ms >= patience_ms:
-            self._avoided[self._target] = now + AVOID_PERIODS * self.period_ms
-        target = self._choose(now)
+        reply_timeout_ms = (MISSED_REPLIES - JITTER) * self.period_ms
+        if (
+            self._unanswered_since_ms is not None
+            and now - self._unanswered_since_ms >= reply_timeout_ms
+        ):
+            self._avoided_until_ms[self._target] = now + AVOID_PERIODS * self.period_ms
+        target = self._choose_target(now)
         if target is None:
             return
         if target != self._target:
             self._target = target
-            self._asked_ms = None
-        if self._asked_ms is None:
-            self._asked_ms = now
-        served = target.incarnation != ANY_INCARNATION and target.incarnation == self._seen_entry
-        known = (self._seen_entry, self._seen_version) if served else (0, 0)
-        message = self._make_short(target) if served else None
+            self._unanswered_since_ms = None
+        if self._unanswered_since_ms is None:
+            self._unanswered_since_ms = now
+        has_roster_version = (
+            target.incarnation != ANY_INCARNATION and target.incarnation == self._roster_entry
+        )
+        known = (self._roster_entry, self._roster_version) if has_roster_version else (0, 0)
+        message = self._make_short(target) if has_roster_version else None
         self._messenger.send(target, message or self._make(*known))
 
     def beat_now(self) -> None:
-        """Send the present state to all known entries, at once.
+        """Send the present state to all known entries at once.
 
-        Entries that are not in charge of this agent see by the incarnation in
-        the heartbeat who is, and do not reply.
+        The heartbeat names the incarnation of the entry that serves this
+        agent; the other entries see that they do not and send no reply.
         """
         self.beat()
-        serving = self._target.incarnation if self._target else 0
+        serving_incarnation = self._target.incarnation if self._target else 0
         for entry in self._roster.entries():
-            if entry.incarnation != serving:
-                self._messenger.send(peer_of(entry), self._make(serving, 0))
+            if entry.incarnation != serving_incarnation:
+                self._messenger.send(peer_of(entry), self._make(serving_incarnation, 0))
 
     def take_reply(self, sender: Peer, reply: HeartbeatReply) -> None:
-        """Take an entry's answer, or configuration that it sent unasked.
+        """Handle a reply, which an entry may also send unasked to push configuration.
 
-        Members are taken from the entry that this agent beats at, in the order
-        of its versions: a later answer would not tell again what a late one undid.
+        Members are accepted only from the entry that heartbeats are sent to,
+        and not from a reply older than the latest one: replies hold only
+        changes, so no later one would correct what an old one had reverted.
         """
         self.last_contact_ms = self._clock.now()
-        self._avoided.pop(sender, None)
-        if self._follows(sender):
+        self._avoided_until_ms.pop(sender, None)
+        if self._is_target(sender):
             self._target = sender
-            self._asked_ms = None
-            if not self._is_old(sender, reply):
-                self._take_members(sender, reply)
+            self._unanswered_since_ms = None
+            if not self._is_outdated(sender, reply):
+                self._apply_members(sender, reply)
         for address, incarnation, load in reply.loads:
             self._roster.observe_load(address, incarnation, load)
         if reply.again:
-            self._answered = None
+            self._acknowledged = None
         if reply.period_ms > 0:
             self.period_ms = reply.period_ms
-        if reply.again or self._take_documents(reply):
+        if reply.again or self._apply_documents(reply):
             self.beat()
 
-    def _follows(self, sender: Peer) -> bool:
+    def _is_target(self, sender: Peer) -> bool:
         return self._target in (None, sender, Peer(sender.address, ANY_INCARNATION))
 
-    def _is_old(self, sender: Peer, reply: HeartbeatReply) -> bool:
-        return sender.incarnation == self._seen_entry and reply.roster_version < self._seen_version
+    def _is_outdated(self, sender: Peer, reply: HeartbeatReply) -> bool:
+        return (
+            sender.incarnation == self._roster_entry and reply.roster_version < self._roster_version
+        )
 
-    def _take_members(self, sender: Peer, reply: HeartbeatReply) -> None:
+    def _apply_members(self, sender: Peer, reply: HeartbeatReply) -> None:
         self._roster.set_unreachable(reply.unreachable)
         if reply.whole:
             self._roster.keep_foreign(map(peer_of, reply.members))
@@ -179,14 +197,14 @@
             if is_foreign_news(member, self._messenger.me):
                 self._roster.follow(member)
         if reply.roster_version:
-            self._answered = (sender, self._told)
-            self._seen_entry = sender.incarnation
-            self._seen_version = reply.roster_version
+            self._acknowledged = (sender, self._sent_member)
+            self._roster_entry = sender.incarnation
+            self._roster_version = reply.roster_version
 
     def take_rejection(self, sender: Peer) -> None:
-        """Take that an address now belongs to another incarnation.
+        """Handle the news that an address now belongs to another incarnation.
 
-        Addresses that are not known as an entry's are passed over.
+        Addresses of processes other than entries are ignored.
 
         :param sender: the process that has the address now
         """
@@ -197,8 +215,8 @@
         if known:
             self.add_entries([sender.address])
 
-    def _take_documents(self, reply: HeartbeatReply) -> bool:
-        """Take configuration; return whether the entry has more to send."""
+    def _apply_documents(self, reply: HeartbeatReply) -> bool:
+        """Apply configuration documents; return whether the entry has more to send."""
         before = self._configuration.revision
         if reply.documents:
             self._configuration.apply(reply.documents)
@@ -206,34 +224,34 @@
 
     def _make(self, entry: int, version: int) -> Heartbeat:
         member = self._describe()
-        self._told = member._replace(load=_NO_LOAD)
-        self._short_ones = 0
+        self._sent_member = member._replace(load=_NO_LOAD)
+        self._short_count = 0
         member = member._replace(load=member.load.round_up())
         return Heartbeat(member, entry, version, self._configuration.revision)
 
     def _make_short(self, target: Peer) -> ShortHeartbeat | None:
-        """Return a heartbeat without what the entry has been told, or None where it may lack it."""
+        """Return a heartbeat with only the load, or None if the entry may lack the rest."""
         member = self._describe()
-        told = (target, member._replace(load=_NO_LOAD))
-        if told != self._answered or self._short_ones >= SHORT_HEARTBEATS:
+        current = (target, member._replace(load=_NO_LOAD))
+        if current != self._acknowledged or self._short_count >= SHORT_HEARTBEATS:
             return None
-        self._short_ones += 1
+        self._short_count += 1
         return ShortHeartbeat(
             member.version,
-            self._seen_version,
+            self._roster_version,
             self._configuration.revision,
             member.load.round_up(),
         )
 
-    def _choose(self, now: float) -> Peer | None:
-        order = self._order()
+    def _choose_target(self, now: float) -> Peer | None:
+        order = self._rank_entries()
         for peer in order:
-            if self._avoided.get(peer, 0.0) <= now:
+            if self._avoided_until_ms.get(peer, 0.0) <= now:
                 return peer
-        self._avoided.clear()
+        self._avoided_until_ms.clear()
         return order[0] if order else None
 
-    def _order(self) -> list[Peer]:
+    def _rank_entries(self) -> list[Peer]:
         own = self._describe()
         living = [e for e in self._roster.entries() if e.state != MEMBER_LEAVING]
         ranked = sorted(living, key=lambda entry: weigh(own.address, entry.address))
--- a/geraniumspool/members.py
+++ b/geraniumspool/members.py
@@ -1,4 +1,4 @@
-"""Members: their roles, which states are final, and what tells one from another."""
+"""Roles, final states and identity of members, the processes in the roster."""
 
 from geraniumspool.messages import MEMBER_DEAD, MEMBER_LEFT, Member, Peer
 
--- a/geraniumspool/quota.py
+++ b/geraniumspool/quota.py
@@ -1,9 +1,10 @@
-"""Quotas of teams, shared among the entries without agreement.
+"""Quotas of teams, divided among the entries without coordination.
 
-Each entry takes the part of a quota that its share of the team's demand
-gives it. Demand travels in the entries' digests, so the sum over entries
-may overshoot for about one digest period after demand moves. It is told of
-teams that have a quota, and anew when it has moved by more than a tenth.
+Each entry enforces a part of a team's quota in proportion to its share of the
+team's demand. Entries exchange their demand in digests, so together they may
+exceed a quota for about one digest period after demand shifts. Demand is
+reported only for teams with a quota, and again only after it has changed by
+more than a tenth or after ``TOLD_AGE_MS``.
 """
 
 import itertools
@@ -16,22 +17,33 @@
 from geraniumspool.contracts import Clock
 from geraniumspool.reports import Demand, DemandRow, PeerDemand
 
+# Time constant of the exponential decay in the demand rate.
 DEMAND_WINDOW_MS = 5_000.0
+# Depth of the token bucket, in time at the allowed rate.
 BURST_MS = 1_000.0
+# Least retry delay of a refusal by the rate limit.
 MIN_RETRY_MS = 20.0
+# Rate in tasks per second below which an idle team is forgotten.
 FORGET_BELOW = 0.001
+# Most teams tracked at one entry.
 MAX_TEAMS = 5_000
+# Relative change of the demand rate that is reported at once.
 TOLD_CHANGE = 0.1
+# Age at which the reported demand is renewed in any case.
 TOLD_AGE_MS = 10_000.0
+# Part by which the rates of the other entries are taken as higher than reported.
 OTHERS_MARGIN = 0.02
+# Least rate, in tasks per second, that relative changes are computed from.
 MIN_TOLD_RATE = 0.1
+# Rate in tasks per second from which reported rates are rounded to integers.
 WHOLE_FROM = 10.0
 
 
 class Shortage(NamedTuple):
-    """Why a quota refuses a job.
+    """Refusal of a job by a quota.
 
-    :param retry_after_ms: when another try may help, 0 where none can
+    :param detail: text that explains the refusal
+    :param retry_after_ms: delay after which a retry may succeed, 0 if none can
     """
 
     detail: str
@@ -39,19 +51,27 @@
 
 
 class _Usage:
-    """What one team used at this entry."""
+    """Usage of one team at this entry.
+
+    :ivar rate: demand in tasks per second, decaying exponentially
+    :ivar reported: demand as last reported to other entries, or None
+    :ivar reported_ms: time of that report
+    :ivar running: number of running tasks
+    :ivar tokens: tokens in the bucket of the rate limit, negative after a wide job
+    :ivar updated_ms: time up to which ``rate`` and ``tokens`` are computed
+    """
 
     def __init__(self, now: float):
         self.rate = 0.0
-        self.told: DemandRow | None = None
-        self.told_ms = 0.0
+        self.reported: DemandRow | None = None
+        self.reported_ms = 0.0
         self.running = 0
         self.tokens = math.inf
         self.updated_ms = now
 
 
 class Quotas:
-    """Use and limits of the teams that come through one entry."""
+    """Enforces the quotas of the teams whose jobs arrive at one entry."""
 
     def __init__(
         self,
@@ -60,10 +80,10 @@
         peers_demand: Callable[[], list[PeerDemand]],
         entries: Callable[[], int],
     ):
-        """Connect the parts.
+        """Start without usage.
 
-        :param peers_demand: demand that other entries reported
-        :param entries: number of entries alive, this one included
+        :param peers_demand: returns the demand reported by the other entries
+        :param entries: returns the number of living entries, this one included
         """
         self._clock = clock
         self._configuration = configuration
@@ -74,9 +94,10 @@
         self._rates: Counter[str] = Counter()
 
     def take(self, team: str, tasks: int) -> Shortage | None:
-        """Count a job in, or tell why it may not run now.
+        """Charge a job to its team's quota, or refuse it.
 
-        :param tasks: number of its tasks
+        :param tasks: number of the job's tasks
+        :returns: the refusal, or None if the job was charged
         """
         usage = self._update(team)
         usage.rate += tasks * 1000.0 / DEMAND_WINDOW_MS
@@ -90,17 +111,21 @@
         return shortage
 
     def give_back(self, team: str, tasks: int) -> None:
-        """Count a job out that was counted in."""
+        """Release the running tasks of a job that was charged.
+
+        :param tasks: number of the job's tasks
+        """
         usage = self._teams.get(team)
         if usage is not None:
             usage.running = max(0, usage.running - tasks)
 
     def demand(self) -> Demand:
-        """Return tasks a second and running tasks, of each team that has a quota.
+        """Return the demand to report: one row for each team that has a quota.
 
-        The rate is the one told last while it has not moved by a tenth, of it
-        or of an equal part of the quota, and that was lately. Running tasks are
-        those of that time.
+        A row holds the rate in tasks per second and the running tasks. It is
+        the row reported last, unless that is older than ``TOLD_AGE_MS`` or the
+        rate has changed by more than a tenth of the reported rate or of an
+        equal part of the quota, whichever is greater.
         """
         rows = []
         for team in list(self._teams):
@@ -111,56 +136,60 @@
             limits = self._configuration.team(team)
             if limits.rate_tasks_per_s is None and limits.running_tasks is None:
                 continue
-            rows.append(self._tell(team, usage, limits.rate_tasks_per_s or 0.0))
+            rows.append(self._report(team, usage, limits.rate_tasks_per_s or 0.0))
         return tuple(rows)
 
-    def _tell(self, team: str, usage: _Usage, limit: float) -> DemandRow:
-        told, now = usage.told, self._clock.now()
-        if told is not None and now - usage.told_ms < TOLD_AGE_MS:
-            scale = max(told[1], limit / max(1, self._entries()), MIN_TOLD_RATE)
-            if abs(usage.rate - told[1]) <= TOLD_CHANGE * scale:
-                return told
-        # Whole numbers take fewer bytes in a message.
+    def _report(self, team: str, usage: _Usage, limit: float) -> DemandRow:
+        reported, now = usage.reported, self._clock.now()
+        if reported is not None and now - usage.reported_ms < TOLD_AGE_MS:
+            scale = max(reported[1], limit / max(1, self._entries()), MIN_TOLD_RATE)
+            if abs(usage.rate - reported[1]) <= TOLD_CHANGE * scale:
+                return reported
+        # Integers take fewer bytes in a message.
         rate = round(usage.rate) if usage.rate >= WHOLE_FROM else round(usage.rate, 3)
-        usage.told, usage.told_ms = (team, rate, usage.running), now
-        return usage.told
+        usage.reported, usage.reported_ms = (team, rate, usage.running), now
+        return usage.reported
 
     def _update(self, team: str) -> _Usage:
         now = self._clock.now()
         usage = self._teams.get(team)
         if usage is None:
             if len(self._teams) >= MAX_TEAMS:
-                self._teams.pop(self._find_idle())
+                self._teams.pop(self._choose_evicted())
             usage = self._teams[team] = _Usage(now)
-        passed = now - usage.updated_ms
-        usage.rate *= math.exp(-passed / DEMAND_WINDOW_MS)
+        elapsed_ms = now - usage.updated_ms
+        usage.rate *= math.exp(-elapsed_ms / DEMAND_WINDOW_MS)
         usage.updated_ms = now
         limit = self._configuration.team(team).rate_tasks_per_s
         if limit is not None:
             allowed = limit * self._share(team, usage)
-            full = max(1.0, allowed * BURST_MS / 1000.0)
-            usage.tokens = min(full, usage.tokens + allowed * passed / 1000.0)
+            max_tokens = max(1.0, allowed * BURST_MS / 1000.0)
+            usage.tokens = min(max_tokens, usage.tokens + allowed * elapsed_ms / 1000.0)
         return usage
 
-    def _find_idle(self) -> str:
-        """Return the oldest team without running tasks, else the oldest."""
+    def _choose_evicted(self) -> str:
+        """Return the name of the oldest team without running tasks, else of the oldest team."""
         idle = (name for name, usage in self._teams.items() if usage.running == 0)
         return next(idle, next(iter(self._teams)))
 
     def _share(self, team: str, usage: _Usage) -> float:
-        # Rates that rise are told late; without a margin the sum ends above the quota.
+        # Rising rates are reported late: without the margin the entries would
+        # together exceed the quota.
         others = self._others_rates().get(team, 0.0) * (1 + OTHERS_MARGIN)
-        equal = 1.0 / max(1, self._entries())
+        equal_share = 1.0 / max(1, self._entries())
         if others <= 0:
             return 1.0
-        return max(equal * 0.1, usage.rate / (usage.rate + others))
+        return max(equal_share * 0.1, usage.rate / (usage.rate + others))
 
     def _others_rates(self) -> dict[str, float]:
-        """Return the rates of all other entries per team, added up once a report."""
+        """Return the summed rates of all other entries by team.
+
+        The sums are cached until a report changes.
+        """
         demands = [report.demand for report in self._peers_demand()]
-        known = self._summed
-        if len(demands) != len(known) or any(
-            a is not b for a, b in zip(demands, known, strict=True)
+        previous = self._summed
+        if len(demands) != len(previous) or any(
+            a is not b for a, b in zip(demands, previous, strict=True)
         ):
             self._summed = demands
             self._rates = Counter()
@@ -178,7 +207,7 @@
             return None
         if tasks > limit:
             return Shortage(f"the team may run {limit} tasks at once, never {tasks}", 0.0)
-        detail = f"{usage.running} tasks of the team run here, {allowed:.0f} may"
+        detail = f"the team runs {usage.running} tasks here, its part of the quota is {allowed:.0f}"
         return Shortage(detail, 200.0)
 
     def _check_rate(
--- a/geraniumspool/roster.py
+++ b/geraniumspool/roster.py
@@ -1,24 +1,25 @@
-"""Roster of all members that one process knows.
+"""Roster of all members, that is processes, that one process knows.
 
-How news about one incarnation takes precedence:
+Precedence of reports about one incarnation:
 
-* Of two states that a member told of itself, the one of its higher version is
-  newer. At one version, states only move forward: starting, then ready or
-  ejected (either way), then leaving, then left or dead.
-* ``left`` is final. ``dead`` may still become ``left``, which adds where the
-  records went; it becomes anything else only by news that may revive: the
-  process itself was heard, or news came down from the entry that hears it.
-  Nothing depends on ``dead`` being final for safety.
-* What a process says of itself prevails over what others say of it, for as
-  long as it is heard.
+* Of two states that a member reported of itself, the one with the higher
+  version is newer. Within one version, states only move forward: starting,
+  then ready or ejected (either way), then leaving, then left or dead.
+* ``left`` is final. ``dead`` may still become ``left``, which adds the address
+  of the archive that holds the member's records. It becomes another state only
+  by a report that may revive the member: a message of the process itself, or a
+  report relayed from the entry that receives its heartbeats. Safety does not
+  depend on ``dead`` being final.
+* Reports of a process about itself take precedence over reports of others, as
+  long as its own are received.
 
 Two incarnations at one address: incarnations are random numbers, so they do
-not tell which is newer. The one that was heard directly last is current;
-without such news it is the one first heard of last, and an incarnation that
-was known and replaced does not come back by hearsay while its successor
-lives. An error in this corrects itself with the next direct heartbeat; an
-agent, which hears no other, takes what the entry that it follows says. The
-incarnation that is not current is ``dead``, unless it has ``left``.
+not show which one is newer. The one that was heard directly last is current.
+If neither was, it is the one that became known last, and a known incarnation
+that was replaced does not return by indirect reports while its successor
+lives. The next direct heartbeat corrects an error in this. An agent receives
+no heartbeats and accepts the reports of the entry that it sends its own to.
+An incarnation that is not current is ``dead``, unless it has ``left``.
 """
 
 from collections.abc import Callable, Iterable
@@ -39,6 +40,7 @@
 )
 from geraniumspool.sighting import Sighting
 
+# How long members that are dead or have left are kept.
 REMEMBER_MS = 600_000.0
 
 _RANKS = {
@@ -53,6 +55,13 @@
 
 
 class _Record:
+    """A member with what this process knows about it.
+
+    :ivar sighting: from whom and when this process last learned about the member
+    :ivar version: version of the roster at the member's last change
+    :ivar final_ms: when the member became dead or left
+    """
+
     __slots__ = ("peer", "member", "sighting", "version", "final_ms")
 
     def __init__(self, peer: Peer, member: Member):
@@ -64,19 +73,21 @@
 
 
 class Roster:
-    """All members known to one process, with indexes for quick queries.
+    """All members known to one process, with indexes for frequent queries.
 
-    :ivar version: raised with each change of a member, but of its load alone
-    :ivar moves: raised when another process becomes the source of news about a member
-    :ivar unreachable: failure domains whose members are no candidates
+    :ivar domain: failure domain of this process
+    :ivar version: incremented with each change of a member other than of its load
+    :ivar moves: incremented when the source of the reports about a member changes
+    :ivar unreachable: failure domains whose members are not chosen
     """
 
     def __init__(self, clock: Clock, domain: str, remember_ms: float = REMEMBER_MS):
-        """Start without any member and with no failure domain unreachable.
+        """Create an empty roster with all failure domains reachable.
 
         :param clock: source of time
         :param domain: failure domain of this process
-        :param remember_ms: how long dead members and those that left are kept
+        :param remember_ms: how long members that are dead or have left are
+            kept, in milliseconds
         """
         self.domain = domain
         self.version = 0
@@ -85,7 +96,7 @@
         self._clock = clock
         self._remember_ms = remember_ms
         self._forgotten_version = 0
-        # In the order of each member's last change, so that a suffix is a delta.
+        # Ordered by each member's last change, so that a suffix holds all later changes.
         self._records: dict[Peer, _Record] = {}
         self._incarnations: dict[int, Peer] = {}
         self._current: dict[str, Peer] = {}
@@ -94,156 +105,158 @@
         self._callbacks: list[Callable[[Member], None]] = []
 
     def subscribe(self, callback: Callable[[Member], None]) -> None:
-        """Call ``callback`` with each member whose membership changes.
+        """Register a callback for changes of members.
 
-        :param callback: must not block; a change of load alone is not reported
+        :param callback: called with the changed member, but not for a change
+            of only its load; must not block
         """
         self._callbacks.append(callback)
 
     def observe(self, member: Member, revive: bool = False) -> bool:
-        """Take news of a member that some other process sent.
+        """Handle a report about a member that another process sent.
 
-        :param member: the member as the news has it
-        :param revive: whether the news may bring a dead member back
-        :returns: whether membership changed, that is anything but the load
+        :param member: the member as reported
+        :param revive: whether the report may revive a dead member
+        :returns: whether anything but the load changed
         """
         peer = peer_of(member)
         record = self._records.get(peer)
         if record is None:
-            return self._admit(peer, member)
-        return self._advance(record, member, revive)
+            return self._add(peer, member)
+        return self._update(record, member, revive)
 
     def follow(self, member: Member) -> bool:
-        """Take news from the entry that this process follows, which knows better.
+        """Handle a report from the entry that serves this agent, which is authoritative.
 
-        It may bring a dead member back, also in the place of its successor.
+        It may revive a dead member, even one with a living successor at its address.
 
-        :returns: whether membership changed, that is anything but the load
+        :returns: whether anything but the load changed
         """
         record = self._records.get(peer_of(member))
         if record is None:
-            return self._admit(peer_of(member), member)
-        return self._advance(record, member, revive=True, prevail=True)
+            return self._add(peer_of(member), member)
+        return self._update(record, member, revive=True, override_successor=True)
 
     def observe_load(self, address: str, incarnation: int, load: Load) -> bool:
-        """Take a member's load.
+        """Update the load of a member.
 
         :returns: whether the member is known
         """
         record = self._records.get(Peer(address, incarnation))
         if record is None:
             return False
-        self._put(record, record.member._replace(load=load))
+        self._store(record, record.member._replace(load=load))
         return True
 
     def hear(self, member: Member) -> bool:
-        """Take what a process said of itself, now, to this process.
+        """Handle a report that a process just sent about itself.
 
-        It may bring back a dead member, and makes its incarnation current.
+        It may revive a dead member, and makes its incarnation current.
 
-        :returns: whether membership changed
+        :returns: whether anything but the load changed
         """
         peer = peer_of(member)
         record = self._records.get(peer)
         if record is None:
-            changed = self._admit(peer, member)
+            changed = self._add(peer, member)
         else:
-            changed = self._advance(record, member, revive=True, prevail=True)
-        self._see(peer, Sighting(heard_ms=self._clock.now()))
+            changed = self._update(record, member, revive=True, override_successor=True)
+        self._record_sighting(peer, Sighting(heard_ms=self._clock.now()))
         return changed
 
     def hear_again(self, peer: Peer, version: int, load: Load) -> Member | None:
-        """Take that a process which was heard has nothing new but its load.
+        """Handle a heartbeat that carries only a load.
 
-        :param version: its version as it has it
-        :returns: the member, or None where it has to be heard whole
+        :param peer: the process that sent it
+        :param version: version of the state that the process has
+        :returns: the member, or None if the process has to send its whole state
         """
         record = self._records.get(peer)
         if record is None or record.member.version != version:
             return None
         if is_final(record.member) or not record.sighting.direct:
             return None
-        self._put(record, record.member._replace(load=load))
-        self._set_sighting(record, Sighting(heard_ms=self._clock.now()))
+        self._store(record, record.member._replace(load=load))
+        self._replace_sighting(record, Sighting(heard_ms=self._clock.now()))
         return record.member
 
     def relay(self, member: Member, source: Peer) -> bool:
-        """Take news from a process that hears the member, or is told by one that does.
+        """Handle a report from a process that hears the member, directly or through another.
 
-        :param source: the process that the news came from
-        :returns: whether membership changed
+        :param source: the process that sent the report
+        :returns: whether anything but the load changed
         """
         peer = peer_of(member)
         record = self._records.get(peer)
         now = self._clock.now()
         if record is None:
-            changed = self._admit(peer, member)
-            self._see(peer, Sighting(source, learnt_ms=now))
+            changed = self._add(peer, member)
+            self._record_sighting(peer, Sighting(source, learnt_ms=now))
             return changed
         sighting = record.sighting
-        alive = not is_final(record.member)
-        if sighting.direct and alive:
-            return self._relay_heard(record, member, source)
-        if member.state == MEMBER_DEAD and alive and self._has_other_source(sighting, source):
+        is_alive = not is_final(record.member)
+        if sighting.direct and is_alive:
+            return self._relay_direct_member(record, member, source)
+        if member.state == MEMBER_DEAD and is_alive and self._has_other_source(sighting, source):
             return False
-        changed = self._advance(record, member, revive=True)
+        changed = self._update(record, member, revive=True)
         if changed or not is_final(member):
-            self._see(peer, Sighting(source, learnt_ms=now))
+            self._record_sighting(peer, Sighting(source, learnt_ms=now))
         return changed
 
     def watch(self, peer: Peer) -> None:
-        """Let a member's silence count from now, as if it had been heard."""
-        self._see(peer, Sighting(heard_ms=self._clock.now()))
+        """Start the timeout of a member now, as if it had just been heard."""
+        self._record_sighting(peer, Sighting(heard_ms=self._clock.now()))
 
     def sighting(self, peer: Peer) -> Sighting:
-        """Return how a member is known; an empty sighting where it is not."""
+        """Return the sighting of a member, an empty one if the member is unknown."""
         record = self._records.get(peer)
         return record.sighting if record else Sighting()
 
     def expire(self, timeout_ms: float, learnt_timeout_ms: float | None = None) -> list[Member]:
         """Declare members dead that were silent for too long.
 
-        Members of other failure domains are left to their own entries, if
-        there are any. A member that somebody else has heard since is left to
-        them.
+        A silent member is not declared dead but passed to another process as
+        its source if that process has heard it since, or if the member belongs
+        to another failure domain that has a living entry.
 
-        :param timeout_ms: longest silence of a member heard directly
-        :param learnt_timeout_ms: longest time without mention of a member of
+        :param timeout_ms: longest silence of a member that is heard directly
+        :param learnt_timeout_ms: longest time without a report about a member of
             this failure domain that another process hears, or None for no limit
         :returns: the members declared dead
         """
         now = self._clock.now()
-        dead = []
+        declared_dead = []
         for record in list(self._records.values()):
             if is_final(record.member) or not self._is_silent(
                 record, now, timeout_ms, learnt_timeout_ms
             ):
                 continue
-            if not self._hand_over(record, now):
-                self._advance(record, record.member._replace(state=MEMBER_DEAD))
-                dead.append(record.member)
-        return dead
+            if not self._assign_other_source(record, now):
+                self._update(record, record.member._replace(state=MEMBER_DEAD))
+                declared_dead.append(record.member)
+        return declared_dead
 
     def forget(self) -> None:
-        """Drop members that have been dead, or left, for the time to remember them."""
+        """Drop members that have been dead, or have left, for longer than ``remember_ms``."""
         limit = self._clock.now() - self._remember_ms
         for peer, record in list(self._records.items()):
             if is_final(record.member) and record.final_ms <= limit:
                 self._drop(peer, record)
 
     def release(self, addresses: Iterable[str]) -> None:
-        """Drop agents of other failure domains that nobody tells of any more.
+        """Drop agents of other failure domains that are no longer reported.
 
-        :param addresses: where they are
+        :param addresses: addresses of the agents
         """
         chosen = set(addresses)
         if chosen:
             self._drop_foreign(lambda peer: peer.address in chosen)
 
     def keep_foreign(self, peers: Iterable[Peer]) -> None:
-        """Drop all agents of other failure domains but some, as :meth:`release` does.
+        """Drop all agents of other failure domains except some; see :meth:`release`.
 
-        :param peers: those to keep
+        :param peers: the agents to keep
         """
         kept = set(peers)
         self._drop_foreign(lambda peer: peer not in kept)
@@ -257,13 +270,14 @@
                 self._drop(peer, record)
 
     def covers(self, version: int) -> bool:
-        """Return whether :meth:`since` has all changes after ``version``."""
+        """Return whether :meth:`since` can return only the changes after a version."""
         return 0 < version <= self.version and version >= self._forgotten_version
 
     def since(self, version: int) -> tuple[Member, ...]:
-        """Return the members changed after a version, the oldest change first.
+        """Return the members that changed after a version, the oldest change first.
 
-        :param version: a value that :attr:`version` had, else the whole roster is returned
+        :param version: an earlier value of :attr:`version`; the whole roster is
+            returned if changes after it are no longer known
         """
         if not self.covers(version):
             return tuple(record.member for record in self._records.values())
@@ -275,26 +289,26 @@
         return tuple(reversed(changed))
 
     def get(self, peer: Peer) -> Member | None:
-        """Return a member, or None where it is not known."""
+        """Return a member, or None if it is unknown."""
         record = self._records.get(peer)
         return record.member if record else None
 
     def find_incarnation(self, incarnation: int) -> Member | None:
-        """Return the member with an incarnation, or None."""
+        """Return the member with a given incarnation, or None."""
         peer = self._incarnations.get(incarnation)
         return self._records[peer].member if peer else None
 
     def agents(self, service: str, domain: str | None = None) -> list[Member]:
-        """Return the ready agents of a service, without those of unreachable domains.
+        """Return the ready agents of a service, except those of unreachable domains.
 
-        :param domain: failure domain to stay in, or None for all
+        :param domain: failure domain of the agents, or None for all
         """
         return self._candidates.list_agents(service, domain, self.unreachable)
 
     def set_unreachable(self, domains: Iterable[str]) -> None:
-        """Take which failure domains nothing is heard of; the own one never is.
+        """Set the failure domains that cannot be reached; the own one is never among them.
 
-        Their members stay what they are, but are no candidates.
+        Their members keep their states, but are not chosen.
         """
         self.unreachable = frozenset(domains) - {self.domain}
 
@@ -303,11 +317,11 @@
         return list(self._candidates.entries.values())
 
     def members(self) -> list[Member]:
-        """Return all members, dead ones and those that left included."""
+        """Return all members, including those that are dead or have left."""
         return [record.member for record in self._records.values()]
 
     def domains(self) -> tuple[str, ...]:
-        """Return the failure domains with living members, in order of name."""
+        """Return the names of the failure domains with living members, sorted."""
         version, names = self._domains
         if version != self.version:
             living = (r.member for r in self._records.values() if not is_final(r.member))
@@ -322,7 +336,7 @@
         domain: str | None = None,
         service: str | None = None,
     ) -> int:
-        """Return how many members match; None matches all."""
+        """Return how many members match all criteria; None matches any value."""
         return sum(
             (role is None or member.role == role)
             and (state is None or member.state == state)
@@ -332,19 +346,19 @@
         )
 
     def is_gone(self, peer: Peer) -> bool:
-        """Return whether a peer is known to be dead, left or replaced.
+        """Return whether a peer is known to be dead, to have left or to be replaced.
 
-        An unknown incarnation is not gone: it may be newer than what is known.
+        An unknown incarnation is not gone: it may be newer than the known ones.
         """
         record = self._records.get(peer)
         return record is not None and is_final(record.member)
 
-    def _see(self, peer: Peer, sighting: Sighting) -> None:
+    def _record_sighting(self, peer: Peer, sighting: Sighting) -> None:
         record = self._records.get(peer)
         if record:
-            self._set_sighting(record, sighting)
+            self._replace_sighting(record, sighting)
 
-    def _set_sighting(self, record: _Record, sighting: Sighting) -> None:
+    def _replace_sighting(self, record: _Record, sighting: Sighting) -> None:
         old = record.sighting
         record.sighting = sighting
         if (
@@ -354,16 +368,16 @@
         ):
             self.moves += 1
 
-    def _relay_heard(self, record: _Record, member: Member, source: Peer) -> bool:
+    def _relay_direct_member(self, record: _Record, member: Member, source: Peer) -> bool:
         if member.state == MEMBER_DEAD:
             return False
         if member.role != ROLE_ENTRY:
-            claimed = record.sighting._replace(claimant=source, claimed_ms=self._clock.now())
-            self._set_sighting(record, claimed)
+            sighting = record.sighting._replace(claimant=source, claimed_ms=self._clock.now())
+            self._replace_sighting(record, sighting)
         is_newer = member.version > record.member.version
         if not is_newer and _RANKS[member.state] <= _RANKS[record.member.state]:
             return False
-        return self._advance(record, member)
+        return self._update(record, member)
 
     def _has_other_source(self, sighting: Sighting, source: Peer) -> bool:
         return sighting.source not in (None, source) and sighting.source in self._candidates.entries
@@ -376,24 +390,24 @@
             return now - sighting.heard_ms > timeout_ms
         if learnt_timeout_ms is None or sighting.learnt_ms is None:
             return False
-        local = record.member.domain == self.domain
-        return local and now - sighting.learnt_ms > learnt_timeout_ms
+        is_local = record.member.domain == self.domain
+        return is_local and now - sighting.learnt_ms > learnt_timeout_ms
 
-    def _hand_over(self, record: _Record, now: float) -> bool:
+    def _assign_other_source(self, record: _Record, now: float) -> bool:
         member = record.member
         sighting = record.sighting
         if sighting.claimed and sighting.claimant in self._candidates.entries:
-            self._set_sighting(record, Sighting(sighting.claimant, learnt_ms=now))
+            self._replace_sighting(record, Sighting(sighting.claimant, learnt_ms=now))
             return True
         if member.domain == self.domain:
             return False
         for peer, entry in self._candidates.entries.items():
             if entry.domain == member.domain and peer != record.peer:
-                self._set_sighting(record, Sighting(peer, learnt_ms=now))
+                self._replace_sighting(record, Sighting(peer, learnt_ms=now))
                 return True
         return False
 
-    def _admit(self, peer: Peer, member: Member) -> bool:
+    def _add(self, peer: Peer, member: Member) -> bool:
         if not is_final(member):
             self._replace_current(peer)
         record = _Record(peer, member)
@@ -403,30 +417,36 @@
         self._change(record, member)
         return True
 
-    def _advance(
-        self, record: _Record, member: Member, revive: bool = False, prevail: bool = False
+    def _update(
+        self,
+        record: _Record,
+        member: Member,
+        revive: bool = False,
+        override_successor: bool = False,
     ) -> bool:
-        if not self._may_advance(record, member, revive, prevail):
+        if not self._may_update(record, member, revive, override_successor):
             return False
         if member._replace(load=_NO_LOAD) == record.member._replace(load=_NO_LOAD):
-            self._put(record, member)
+            self._store(record, member)
             return False
         if not is_final(member):
             self._replace_current(record.peer)
         self._change(record, member)
         return True
 
-    def _may_advance(self, record: _Record, member: Member, revive: bool, prevail: bool) -> bool:
+    def _may_update(
+        self, record: _Record, member: Member, revive: bool, override_successor: bool
+    ) -> bool:
         old = record.member
         if old.state == MEMBER_LEFT:
             return member.state == MEMBER_LEFT and bool(member.archive) and not old.archive
         if old.state == MEMBER_DEAD and not is_final(member):
-            return revive and (prevail or not self._is_succeeded(record.peer))
+            return revive and (override_successor or not self._has_living_successor(record.peer))
         if not is_final(member) and member.version != old.version:
             return member.version > old.version
         return _RANKS[member.state] >= _RANKS[old.state]
 
-    def _is_succeeded(self, peer: Peer) -> bool:
+    def _has_living_successor(self, peer: Peer) -> bool:
         current = self._current.get(peer.address, peer)
         return current != peer and not is_final(self._records[current].member)
 
@@ -444,21 +464,21 @@
         record.version = self.version
         self._records[record.peer] = self._records.pop(record.peer)
         self._candidates.remove(record.member)
-        self._put(record, member)
+        self._store(record, member)
         if is_final(member):
             record.final_ms = self._clock.now()
             if member.role == ROLE_ENTRY:
-                self._watch_orphans(record.peer)
+                self._start_orphan_timeouts(record.peer)
         for callback in self._callbacks:
             callback(member)
 
-    def _watch_orphans(self, source: Peer) -> None:
+    def _start_orphan_timeouts(self, source: Peer) -> None:
         now = self._clock.now()
         for record in self._records.values():
             if record.sighting.source == source and record.member.domain == self.domain:
                 record.sighting = record.sighting._replace(heard_ms=now)
 
-    def _put(self, record: _Record, member: Member) -> None:
+    def _store(self, record: _Record, member: Member) -> None:
         record.member = member
         self._candidates.put(member)
 
--- a/geraniumspool/sighting.py
+++ b/geraniumspool/sighting.py
@@ -1,4 +1,4 @@
-"""How a process knows of a member."""
+"""Records from whom and when a process last learned about a member."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,14 @@
 
 
 class Sighting(NamedTuple):
-    """How this process knows of a member.
-
-    :param source: process that handed the news on, None where it was heard directly
-    :param heard_ms: when it was last heard directly or its source was lost, or None
-    :param learnt_ms: when its source last mentioned it, or None
-    :param claimant: another process that says it hears the member, or None
-    :param claimed_ms: when it said so
+    """From whom and when this process last learned about a member.
+
+    :param source: process that relayed the news, None if the member is heard directly
+    :param heard_ms: when the member was last heard directly, or when its source
+        was lost; None if neither
+    :param learnt_ms: when the source last mentioned the member, or None
+    :param claimant: another process that claims to hear the member directly, or None
+    :param claimed_ms: when it made that claim
     """
 
     source: Peer | None = None
@@ -23,10 +24,10 @@
 
     @property
     def direct(self) -> bool:
-        """Whether the member is, or was last, heard directly."""
+        """Return whether the latest news came from the member itself."""
         return self.source is None and self.heard_ms is not None
 
     @property
     def claimed(self) -> bool:
-        """Whether somebody else has heard the member since it was heard here."""
+        """Return whether another process claims to have heard the member since this one did."""
         return self.claimant is not None and self.claimed_ms > (self.heard_ms or 0.0)
