--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -1,4 +1,4 @@
-"""The agent: a process beside each minion, home of jobs and runner of tasks."""
+"""The agent: a process beside each minion that coordinates jobs and runs tasks."""
 
 import logging
 import random
@@ -67,16 +67,32 @@
 _LOG = logging.getLogger(__name__)
 
 MAX_ANNOUNCEMENT_BYTES = 64 * 1024
+# Period of the housekeeping: expiry of records and members, check of the minion.
 HOUSEKEEPING_MS = 500.0
+# Initial and longest interval between attempts to read the entries from the store.
 DISCOVERY_MS = 500.0
 MAX_DISCOVERY_MS = 10_000.0
+# Time between the last state change of a drain and its repetition to all entries.
 STOP_GRACE_MS = 300.0
+# Longest wait for aborted jobs to end; each waits for revokes up to REVOKE_WAIT_MS.
 ABANDON_LIMIT_MS = 2 * REVOKE_WAIT_MS
 PROMETHEUS_TEXT = "text/plain; version=0.0.4"
 
 
 class Agent(Application):
-    """One agent process."""
+    """One agent process.
+
+    It is the home of the jobs whose tickets name it, and runs offered tasks of
+    all homes on its minion.
+
+    :ivar configuration: configuration received from the entries
+    :ivar decisions: log of the decisions made here
+    :ivar roster: members known to this agent
+    :ivar health: ejects the minion if it fails or is slow
+    :ivar runner: runs tasks on the minion
+    :ivar home: coordinates the jobs of this agent
+    :ivar heartbeater: sends heartbeats to an entry
+    """
 
     def __init__(
         self,
@@ -87,16 +103,22 @@
         clock: Clock,
         metrics: Metrics,
     ):
-        """Connect the parts; nothing runs before :meth:`start`."""
+        """Create the parts of the agent; nothing runs before :meth:`start`.
+
+        :param settings: checked settings
+        :param messenger: sends and receives messages under this agent's address
+        :param store: holds the entries
+        :param client: calls the minion
+        """
         super().__init__(clock, metrics)
         self._settings = settings
         self._messenger = messenger
         self._store = store
         self._random = random.Random(messenger.me.incarnation)
         self._version = 0
-        self._left = False
-        self._told_state = MEMBER_STARTING
-        self._draining = False
+        self._has_left = False
+        self._reported_state = MEMBER_STARTING
+        self._is_draining = False
         self._announced_ms = clock.now()
         self.configuration = Configuration(clock, metrics)
         self.decisions = DecisionLog(messenger.me.incarnation, clock, _LOG)
@@ -139,36 +161,36 @@
             self.configuration,
             settings.heartbeat_period_ms,
         )
-        self._handing = Handing(messenger, clock, self.roster, self.home, settings.domain)
-        self._web = WebServer(self._make_web(), settings.minion_listen, clock)
+        self._handover = Handing(messenger, clock, self.roster, self.home, settings.domain)
+        self._web = WebServer(self._make_web_application(), settings.minion_listen, clock)
         self._handlers = self._make_handlers()
-        self.runner.on_change = self._changed
-        self.health.on_change = self._changed
+        self.runner.on_change = self._report_change
+        self.health.on_change = self._report_change
 
     def start(self) -> None:
-        """Bind the listeners, find the entries and begin to beat."""
+        """Bind the listeners, discover the entries and start to send heartbeats."""
         self._web.start()
         self._messenger.start(self._receive)
         if self._settings.minion is not None:
             self._take_announcement(self._settings.minion)
         self.heartbeater.add_entries(self._settings.entries)
-        self._run(self._discover)
+        self._run(self._discover_entries)
         self._run(self.heartbeater.run)
-        self._run(self._keep_house)
+        self._run(self._run_housekeeping)
 
     def ready_line(self) -> ReadyLine:
-        """Return the inbox and the address for the minion's announcements."""
+        """Return the ready line with the inbox and the address for the minion's announcements."""
         return ReadyLine(ready=ROLE_AGENT, inbox=self._messenger.me.address, minion=self.minion_url)
 
     @property
     def minion_url(self) -> str:
-        """Return the base address where the minion announces itself."""
+        """Return the base URL at which the minion announces itself."""
         return f"http://{self._web.address}"
 
     def describe(self) -> Member:
-        """Return this agent as the others should know it."""
+        """Return the present state of this agent as a member."""
         minion = self.runner.minion
-        archive = self._handing.archive
+        archive = self._handover.archive
         return Member(
             *self._messenger.me,
             self._settings.domain,
@@ -183,25 +205,28 @@
         )
 
     def drain(self) -> bool:
-        """Finish what runs, hand the records over, and leave."""
-        self._draining = True
+        """Finish the running jobs and tasks, hand the records over, and leave.
+
+        :returns: whether all jobs and tasks finished within the drain limit
+        """
+        self._is_draining = True
         self.decisions.record(DRAIN_STARTED, self._messenger.me.address)
         self.home.leave()
         self.runner.leave()
-        self._changed()
+        self._report_change()
         finished = self._wait_until(self._is_idle, self._settings.drain_limit_ms)
         if not finished:
             self.home.abandon()
             self._wait_until(lambda: self.home.is_idle, ABANDON_LIMIT_MS)
         self.runner.repeat_results()
-        handed = self._handing.hand_over()
-        if self._handing.archive:
-            keeper = self._handing.archive.address
-            self.decisions.record(RECORDS_HANDED_OVER, keeper, records=handed)
-        self._left = True
-        self._changed()
+        handed_over = self._handover.hand_over()
+        if self._handover.archive:
+            archive_address = self._handover.archive.address
+            self.decisions.record(RECORDS_HANDED_OVER, archive_address, records=handed_over)
+        self._has_left = True
+        self._report_change()
         self.decisions.record(
-            DRAIN_FINISHED, self._messenger.me.address, finished=str(finished), records=handed
+            DRAIN_FINISHED, self._messenger.me.address, finished=str(finished), records=handed_over
         )
         self._clock.sleep(STOP_GRACE_MS)
         self.heartbeater.beat_now()
@@ -214,9 +239,9 @@
         self._messenger.stop()
 
     def _state(self) -> str:
-        if self._left:
+        if self._has_left:
             return MEMBER_LEFT
-        if self._draining or self.runner.leaving:
+        if self._is_draining or self.runner.leaving:
             return MEMBER_LEAVING
         if self.runner.minion is None:
             return MEMBER_STARTING
@@ -227,8 +252,8 @@
     def _is_idle(self) -> bool:
         return self.home.is_idle and self.runner.is_idle
 
-    def _changed(self) -> None:
-        self._told_state = self._state()
+    def _report_change(self) -> None:
+        self._reported_state = self._state()
         self._version += 1
         self.heartbeater.beat_now()
 
@@ -238,7 +263,7 @@
         share = self.configuration.service(service).ejection_domain_share
         ready = self.roster.count(ROLE_AGENT, MEMBER_READY, domain)
         ejected = self.roster.count(ROLE_AGENT, MEMBER_EJECTED, domain)
-        # The roster has the other agents alone.
+        # The roster does not contain this agent, so it is added here.
         return ejected + 1 <= share * (ready + ejected + 1)
 
     def _make_handlers(self) -> dict:
@@ -253,8 +278,8 @@
             Revoked: self.home.take_revoked,
             HeartbeatReply: self._take_reply,
             WrongIncarnation: self._take_rejection,
-            Handover: self._handing.take,
-            HandoverReceipt: self._handing.take_receipt,
+            Handover: self._handover.take,
+            HandoverReceipt: self._handover.take_receipt,
             Drain: self._take_drain,
         }
 
@@ -282,8 +307,8 @@
         self.home.take_rejection(sender, rejection)
         self.runner.forget_home(Peer(sender.address, rejection.meant))
 
-    def _discover(self) -> None:
-        """Read the entries from the store until some are known, ever more seldom."""
+    def _discover_entries(self) -> None:
+        """Read the entries from the store until one is known, at growing intervals."""
         pause_ms = DISCOVERY_MS
         while True:
             try:
@@ -292,11 +317,11 @@
                 if self.roster.entries():
                     return
             except StoreError as error:
-                _LOG.warning("entries not read: %s", error)
+                _LOG.warning("could not read entries from the store: %s", error)
             self._clock.sleep(self._random.uniform(0.5, 1.5) * pause_ms)
             pause_ms = min(MAX_DISCOVERY_MS, pause_ms * 2)
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         while True:
             self._clock.sleep(HOUSEKEEPING_MS)
             self.home.expire_records()
@@ -304,8 +329,8 @@
             self.roster.forget()
             self.home.forget_workers()
             self._check_minion()
-            if self._state() != self._told_state:
-                self._changed()
+            if self._state() != self._reported_state:
+                self._report_change()
 
     def _check_minion(self) -> None:
         silent_ms = self._clock.now() - self._announced_ms
@@ -313,7 +338,7 @@
         if is_fixed or not self.runner.accepts:
             return
         if silent_ms > self._settings.announcement_timeout_ms:
-            _LOG.warning("minion silent for %d ms", silent_ms)
+            _LOG.warning("no announcement from the minion for %d ms", silent_ms)
             self.runner.leave()
 
     def _take_announcement(self, announcement: Announcement) -> None:
@@ -322,10 +347,10 @@
         if known is not None and known.url != announcement.url:
             self.health.reset()
         self.home.service = announcement.service
-        if not self._draining:
+        if not self._is_draining:
             self.runner.announce(announcement)
 
-    def _make_web(self) -> WebApplication:
+    def _make_web_application(self) -> WebApplication:
         routes = [
             Route("PUT", "/v1/minion", self._put_minion),
             Route("DELETE", "/v1/minion", self._delete_minion),
@@ -351,15 +376,15 @@
 
 
 def parse_announcement(body: bytes) -> Announcement:
-    """Return what a minion says of itself.
+    """Parse the announcement of a minion.
 
     :param body: JSON object with the fields of ``Announcement``
-    :raises InvalidInput: if it is anything else
+    :raises InvalidInput: if the body is anything else or a value is out of range
     """
     with collect("announcement") as findings:
         try:
-            given = msgspec.json.decode(body, type=dict[str, str | int | float])
-            fields = Announcement._field_defaults | given
+            sent_fields = msgspec.json.decode(body, type=dict[str, str | int | float])
+            fields = Announcement._field_defaults | sent_fields
             announcement = msgspec.convert(
                 [fields.get(name) for name in Announcement._fields], Announcement, strict=False
             )
@@ -367,16 +392,16 @@
             findings.add("", str(error))
             raise InvalidInput(findings.all) from error
         if announcement.slots < 1:
-            findings.add("slots", "must be at least 1")
+            findings.add("slots", f"must be at least 1, not {announcement.slots}")
         if announcement.connections < 1:
-            findings.add("connections", "must be at least 1")
+            findings.add("connections", f"must be at least 1, not {announcement.connections}")
         if not announcement.url.startswith("http://"):
-            findings.add("url", "must be an http address")
+            findings.add("url", f"must start with http://, not {announcement.url!r}")
     return announcement
 
 
 def build_agent(settings: AgentSettings) -> Agent:
-    """Return an agent with real parts.
+    """Return an agent with a network messenger, an etcd store and an HTTP client.
 
     :param settings: checked settings
     """
--- a/geraniumspool/archive.py
+++ b/geraniumspool/archive.py
@@ -1,27 +1,34 @@
-"""Archives: finished records of homes that left, kept by a peer.
+"""Archives: records of finished jobs of homes that left, stored by a peer.
 
-An archive answers resubmissions and never runs anything.
+Resubmitted jobs of such a home are answered from its archive and never run again.
 """
 
 from geraniumspool.messages import STATE_MAY_HAVE_RUN, STATE_NOT_RUN, Answer, Handover, Peer, Record
 from geraniumspool.records import Watermark
 from geraniumspool.ticket import Ticket, read_ticket
 
+# Limits on the archives kept; the oldest are dropped first.
 MAX_ARCHIVES = 200
 MAX_ARCHIVE_BYTES = 32 * 1024 * 1024
+# Retry delay where a new ticket, which names another home, helps at once.
 NEW_TICKET_RETRY_MS = 1.0
 CODE_GONE = "home_gone"
 CODE_NEVER_SUBMITTED = "job_never_submitted"
 
 
 class Archive:
-    """Records of one home that left.
-
-    :ivar is_whole: whether the last batch has arrived
+    """Records of one home that left, received in batches.
+
+    :ivar home: address and incarnation of the home
+    :ivar records: records by the job number of their tickets
+    :ivar watermark: ticket position up to which the home may have evicted records
+    :ivar batches: numbers of the batches received
+    :ivar last_batch: number of the last batch, None until it arrives
+    :ivar size_bytes: size of all results
     """
 
     def __init__(self, home: Peer):
-        """Start empty."""
+        """Create an empty archive."""
         self.home = home
         self.records: dict[int, Record] = {}
         self.watermark = Watermark()
@@ -35,7 +42,7 @@
         return self.last_batch is not None and len(self.batches) == self.last_batch + 1
 
     def take(self, handover: Handover) -> None:
-        """Take one batch; a repeated one changes nothing."""
+        """Add a batch of records; a repeated one is ignored."""
         if handover.batch in self.batches:
             return
         self.batches.add(handover.batch)
@@ -52,14 +59,14 @@
 
 
 class Archives:
-    """Archives by home, bounded in number and bytes; the oldest go first."""
+    """Archives by home, limited in number and bytes; the oldest are dropped first."""
 
     def __init__(self):
-        """Start empty."""
+        """Start without archives."""
         self._archives: dict[Peer, Archive] = {}
 
     def take(self, handover: Handover) -> None:
-        """Take one batch of a leaving home's records."""
+        """Add a batch of a leaving home's records."""
         archive = self._archives.get(handover.home)
         if archive is None:
             archive = self._archives[handover.home] = Archive(handover.home)
@@ -73,7 +80,10 @@
         return archive.records.get(ticket.job) if archive is not None else None
 
     def judge_missing(self, ticket: Ticket, text: str) -> Answer:
-        """Return the answer for a ticket of another home without a record."""
+        """Return the answer to a request whose ticket names another home and has no record.
+
+        :param text: the ticket as it was sent
+        """
         archive = self._archives.get(ticket.home)
         if archive is not None and archive.covers(ticket):
             detail = "the home left before this job was submitted"
--- a/geraniumspool/digests.py
+++ b/geraniumspool/digests.py
@@ -1,10 +1,14 @@
-"""Digests to other entries: who gets them, and what stands in them.
+"""Digests, the gossip messages between entries: their receivers and contents.
 
-A digest carries what changed lately, so that a change is told several times,
-and a few members in turn besides. These refresh the loads and make up for lost
-digests. An entry of a failure domain that was unreachable is told everything.
-Of the teams' demand a digest carries what changed, and now and then all. To
-other failure domains nothing goes out in some rounds where nothing changed.
+A digest carries the members that changed recently, so that each change is sent
+several times, and a few further members in rotation, which refreshes their
+loads and makes up for lost digests. An entry of a failure domain that was
+unreachable is sent all members. Of the teams' demand, a digest carries the
+changes, and all of it at intervals. Some rounds are skipped towards other
+failure domains if nothing changed.
+
+One entry of each failure domain, its representative, reports the members and
+the demand of the whole domain to other domains.
 """
 
 from collections import deque
@@ -21,14 +25,23 @@
 from geraniumspool.roster import Roster
 from geraniumspool.views import View, Views
 
+# Members in rotation per digest within the failure domain, and to other domains.
 REFRESH_PER_DIGEST = 16
 FAR_REFRESH_PER_DIGEST = 2
+# Number of digests to a receiver that carry the same change.
 TELLINGS = 8
+# Every such digest to a receiver carries the demand of all teams.
 DEMAND_REFRESH_DIGESTS = 16
 
 
-class _News(NamedTuple):
-    """What a digest tells receivers of one kind, made once a round."""
+class _Contents(NamedTuple):
+    """Contents of the digests to one kind of receivers, made once a round.
+
+    :param near: whether the receivers are in the failure domain of this entry
+    :param view: members to report
+    :param demand: demand of the teams
+    :param in_force: lowest configuration revision in force, by failure domain
+    """
 
     near: bool
     view: View
@@ -36,10 +49,20 @@
     in_force: tuple[tuple[str, int], ...]
 
 
-class _Link:
+class _Progress:
+    """Progress of the digests to one receiver.
+
+    :ivar number: number of the receiver, which spreads the digests with all demand
+    :ivar sent_views: roster version and reported members of the latest digests
+    :ivar demand: demand in the latest digest
+    :ivar digests: number of digests sent
+    :ivar state: state of which the latest digest was made, see ``Digests._state``
+    :ivar rounds: rounds since the latest digest
+    """
+
     def __init__(self, number: int) -> None:
         self.number = number
-        self.told: deque[tuple[int, frozenset[Peer]]] = deque(maxlen=TELLINGS)
+        self.sent_views: deque[tuple[int, frozenset[Peer]]] = deque(maxlen=TELLINGS)
         self.demand: Demand = ()
         self.digests = 0
         self.state: tuple = ()
@@ -47,7 +70,7 @@
 
 
 class Digests:
-    """Sends what this entry hears and knows to other entries."""
+    """Sends the members, demand and configuration known to this entry to other entries."""
 
     def __init__(
         self,
@@ -60,11 +83,16 @@
         revisions: Revisions,
         demand: Callable[[], Demand],
     ):
-        """Connect the parts.
+        """Start without receivers.
 
         :param configuration: has ``revision``
-        :param me: returns this entry as it is now
-        :param demand: returns tasks a second and running tasks, per team
+        :param me: returns the present state of this entry
+        :param replies: provides configuration documents, and knows whether agents
+            of other failure domains send their heartbeats here
+        :param reports: the latest reports of other entries
+        :param revisions: configuration revisions in force, by failure domain
+        :param demand: returns the demand at this entry: tasks per second and
+            running tasks, by team
         """
         self._messenger = messenger
         self._roster = roster
@@ -75,48 +103,48 @@
         self._revisions = revisions
         self._demand = demand
         self._views = Views(roster, messenger.me)
-        self._links: dict[Peer, _Link] = {}
+        self._progress: dict[Peer, _Progress] = {}
         self._unreachable: frozenset[str] = frozenset()
 
     def send_all(self) -> None:
-        """Send a digest to everybody who gets one."""
-        self._begin_anew()
-        news: dict[bool, _News] = {}
-        for entry in list(self._receivers()):
+        """Send a digest to each receiver for which one is due."""
+        self._resend_to_reachable_domains()
+        contents: dict[bool, _Contents] = {}
+        for entry in list(self._list_receivers()):
             near = entry.domain == self._roster.domain
-            if near not in news:
-                news[near] = self._make_news(near)
-            if near or self._is_due(entry, news[near]):
-                self._send(entry, news[near])
+            if near not in contents:
+                contents[near] = self._make_contents(near)
+            if near or self._is_due(entry, contents[near]):
+                self._send(entry, contents[near])
 
     def answer(self, receiver: Member) -> None:
-        """Answer a digest that asked for one."""
+        """Answer a digest that requested one."""
         near = receiver.domain == self._roster.domain
-        self._send(receiver, self._make_news(near), answer=True)
+        self._send(receiver, self._make_contents(near), answer=True)
 
     def greet(self, peer: Peer) -> None:
-        """Ask a process for its digest, and tell nothing but that this one is there."""
+        """Request a digest from a process; report nothing but this entry itself."""
         revision = self._configuration.revision
         self._messenger.send(peer, Digest(self._me(), False, (), (), (), revision, (), reply=True))
 
     def prune(self, living: set[Peer]) -> None:
-        """Forget what was told to entries that are gone.
+        """Forget the receivers that are gone.
 
-        :param living: those that are not
+        :param living: the entries to keep
         """
-        for peer in [peer for peer in self._links if peer not in living]:
-            del self._links[peer]
+        for peer in [peer for peer in self._progress if peer not in living]:
+            del self._progress[peer]
 
-    def _begin_anew(self) -> None:
-        """Tell everything to entries of domains that are reachable again."""
+    def _resend_to_reachable_domains(self) -> None:
+        """Have all members sent to entries of failure domains that are reachable again."""
         for domain in self._unreachable - self._roster.unreachable:
-            for peer, link in self._links.items():
+            for peer, progress in self._progress.items():
                 entry = self._roster.get(peer)
                 if entry and entry.domain == domain:
-                    link.told.clear()
+                    progress.sent_views.clear()
         self._unreachable = self._roster.unreachable
 
-    def _receivers(self) -> Iterator[Member]:
+    def _list_receivers(self) -> Iterator[Member]:
         own = self._messenger.me
         foreign: dict[str, list[Member]] = {}
         for entry in self._roster.entries():
@@ -124,76 +152,78 @@
                 foreign.setdefault(entry.domain, []).append(entry)
             elif peer_of(entry) != own:
                 yield entry
-        if not self._is_speaker() and not self._replies.has_guests():
+        if not self._is_representative() and not self._replies.has_guests():
             return
         for entries in foreign.values():
             staying = [e for e in entries if e.state != MEMBER_LEAVING] or entries
             yield min(staying, key=lambda entry: weigh(own.address, entry.address))
 
-    def _is_speaker(self) -> bool:
+    def _is_representative(self) -> bool:
         near = [e.address for e in self._roster.entries() if e.domain == self._roster.domain]
         return self._messenger.me.address <= min(near, default=self._messenger.me.address)
 
-    def _make_news(self, near: bool) -> _News:
+    def _make_contents(self, near: bool) -> _Contents:
         if near:
             revisions = self._revisions.near()
-            return _News(near, self._views.near(), self._demand(), tuple(revisions.items()))
-        speaks = self._is_speaker()
-        revisions = self._revisions.far(speaks)
-        demand = self._far_demand() if speaks else ()
-        return _News(near, self._views.far(speaks), demand, tuple(revisions.items()))
-
-    def _is_due(self, receiver: Member, news: _News) -> bool:
-        link = self._links.get(peer_of(receiver))
-        if link is None or not link.told:
+            return _Contents(near, self._views.near(), self._demand(), tuple(revisions.items()))
+        is_representative = self._is_representative()
+        revisions = self._revisions.far(is_representative)
+        demand = self._sum_domain_demand() if is_representative else ()
+        return _Contents(near, self._views.far(is_representative), demand, tuple(revisions.items()))
+
+    def _is_due(self, receiver: Member, contents: _Contents) -> bool:
+        progress = self._progress.get(peer_of(receiver))
+        if progress is None or not progress.sent_views:
             return True
-        link.rounds += 1
-        return link.rounds >= FAR_ROUNDS or link.state != self._state(news)
+        progress.rounds += 1
+        return progress.rounds >= FAR_ROUNDS or progress.state != self._state(contents)
 
-    def _state(self, news: _News) -> tuple:
-        """Return what makes a digest due when it changes."""
-        return (self._me(), self._configuration.revision, self._roster.version, *news)
+    def _state(self, contents: _Contents) -> tuple:
+        """Return the state that makes a digest due when it changes."""
+        return (self._me(), self._configuration.revision, self._roster.version, *contents)
 
-    def _send(self, receiver: Member, news: _News, answer: bool = False) -> None:
+    def _send(self, receiver: Member, contents: _Contents, answer: bool = False) -> None:
         peer = peer_of(receiver)
-        link = self._links.setdefault(peer, _Link(len(self._links)))
-        whole = not link.told
+        progress = self._progress.setdefault(peer, _Progress(len(self._progress)))
+        whole = not progress.sent_views
         version = self._roster.version
         report = self._reports.get(peer)
-        told = report.config_revision if report else None
-        behind = told is None or told < self._configuration.revision
-        is_turn = (link.digests + link.number) % DEMAND_REFRESH_DIGESTS == 0
-        all_demand = whole or is_turn
+        known_revision = report.config_revision if report else None
+        is_behind = known_revision is None or known_revision < self._configuration.revision
+        is_refresh_due = (progress.digests + progress.number) % DEMAND_REFRESH_DIGESTS == 0
+        all_demand = whole or is_refresh_due
         digest = Digest(
             sender=self._me(),
             whole=whole,
-            members=self._choose_members(link, news),
-            demand=news.demand if all_demand else find_changes(link.demand, news.demand),
-            in_force=news.in_force,
+            members=self._choose_members(progress, contents),
+            demand=contents.demand
+            if all_demand
+            else find_changes(progress.demand, contents.demand),
+            in_force=contents.in_force,
             config_revision=self._configuration.revision,
-            documents=() if told is None else self._replies.documents(told),
-            reply=behind and not answer,
+            documents=() if known_revision is None else self._replies.documents(known_revision),
+            reply=is_behind and not answer,
             all_demand=all_demand,
         )
         if self._messenger.send(peer, digest):
-            link.told.append((version, news.view.peers))
-            link.demand = news.demand
-            link.digests += 1
-            link.state, link.rounds = self._state(news), 0
-
-    def _choose_members(self, link: _Link, news: _News) -> tuple[Member, ...]:
-        order = news.view.order
-        if not link.told:
+            progress.sent_views.append((version, contents.view.peers))
+            progress.demand = contents.demand
+            progress.digests += 1
+            progress.state, progress.rounds = self._state(contents), 0
+
+    def _choose_members(self, progress: _Progress, contents: _Contents) -> tuple[Member, ...]:
+        order = contents.view.order
+        if not progress.sent_views:
             chosen = {peer: self._roster.get(peer) for peer in order}
         else:
-            chosen = _find_changed(link, news.view, self._roster)
-            size = REFRESH_PER_DIGEST if news.near else FAR_REFRESH_PER_DIGEST
+            chosen = _find_changed(progress, contents.view, self._roster)
+            size = REFRESH_PER_DIGEST if contents.near else FAR_REFRESH_PER_DIGEST
             for step in range(min(size, len(order))):
-                peer = order[(link.digests * size + step) % len(order)]
+                peer = order[(progress.digests * size + step) % len(order)]
                 chosen[peer] = self._roster.get(peer)
         return tuple(member for member in chosen.values() if member)
 
-    def _far_demand(self) -> Demand:
+    def _sum_domain_demand(self) -> Demand:
         totals: dict[str, tuple[float, float]] = {}
         own = self._roster.domain
         reported = [report.demand for _, report in self._reports.fresh() if report.domain == own]
@@ -204,9 +234,9 @@
         return tuple((team, *total) for team, total in totals.items())
 
 
-def _find_changed(link: _Link, view: View, roster: Roster) -> dict[Peer, Member]:
-    """Return the members that changed, or entered the view, lately."""
-    version, peers = link.told[0]
+def _find_changed(progress: _Progress, view: View, roster: Roster) -> dict[Peer, Member]:
+    """Return the members that changed or entered the view during the latest digests."""
+    version, peers = progress.sent_views[0]
     changed = {peer_of(member): member for member in roster.since(version)}
     chosen = {peer: member for peer, member in changed.items() if peer in view.peers}
     for peer in view.peers - peers if view.peers is not peers else ():
--- a/geraniumspool/handover.py
+++ b/geraniumspool/handover.py
@@ -1,4 +1,4 @@
-"""Handing the records of finished jobs to a peer when a home leaves."""
+"""Hands the records of finished jobs over to a peer when a home leaves."""
 
 from eventlet.event import Event
 
@@ -10,48 +10,56 @@
 from geraniumspool.records import Watermark
 from geraniumspool.roster import Roster
 
+# Largest batch of records in one message, unless a single record is larger.
 BATCH_BYTES = 512 * 1024
+# How long to wait for the receipt of a batch before it is sent again.
 RECEIPT_WAIT_MS = 500.0
+# Times that a batch is sent to a peer at most.
 ATTEMPTS = 3
+# Peers that are tried one after the other.
 MAX_PEERS = 3
 
 
 class Handing:
-    """Gives own records to a peer, and keeps those of peers that leave.
+    """Hands over this home's records, and stores those of peers that leave.
 
-    :ivar archive: the peer that has this home's records, once handed over
+    :ivar archive: the peer that stores this home's records, None before the handover
     """
 
     def __init__(self, messenger: Messenger, clock: Clock, roster: Roster, home: Home, domain: str):
-        """Connect the parts."""
+        """Start without a handover.
+
+        :param home: the home of this process, which has the records
+        :param domain: failure domain of this process
+        """
         self._messenger = messenger
         self._clock = clock
         self._roster = roster
         self._home = home
         self._domain = domain
         self._receipts: dict[tuple[Peer, int], Event] = {}
-        self._expected: Peer | None = None
+        self._current_peer: Peer | None = None
         self.archive: Peer | None = None
 
     def take(self, sender: Peer, handover: Handover) -> None:
-        """Keep a batch of a leaving peer's records and say so."""
+        """Store a batch of a leaving peer's records and send a receipt."""
         self._home.archives.take(handover)
         self._messenger.send(sender, HandoverReceipt(handover.home, handover.batch))
 
     def take_receipt(self, sender: Peer, receipt: HandoverReceipt) -> None:
-        """Learn that a batch is kept."""
+        """Handle the receipt of a batch."""
         event = self._receipts.get((receipt.home, receipt.batch))
-        if event is not None and sender == self._expected and not event.ready():
+        if event is not None and sender == self._current_peer and not event.ready():
             event.send()
 
     def hand_over(self) -> int:
-        """Give all records, own and archived, to one peer.
+        """Send all records, own and archived ones, to one peer.
 
-        :returns: number of records handed over, 0 where no peer took them
+        :returns: number of records handed over, 0 if no peer confirmed all batches
         """
         batches = self._make_batches()
         for peer in self._choose_peers():
-            if all(self._hand(peer, batch) for batch in batches):
+            if all(self._send_batch(peer, batch) for batch in batches):
                 self.archive = peer
                 return sum(len(batch.records) for batch in batches)
         return 0
@@ -69,16 +77,16 @@
         return list(others)[:MAX_PEERS]
 
     def _make_batches(self) -> list[Handover]:
-        batches = _split(self._messenger.me, self._home.records(), self._home.watermark)
+        batches = _split_batches(self._messenger.me, self._home.records(), self._home.watermark)
         for archive in self._home.archives.all():
             if archive.is_whole:
-                kept = list(archive.records.values())
-                batches.extend(_split(archive.home, kept, archive.watermark))
+                records = list(archive.records.values())
+                batches.extend(_split_batches(archive.home, records, archive.watermark))
         return batches
 
-    def _hand(self, peer: Peer, batch: Handover) -> bool:
+    def _send_batch(self, peer: Peer, batch: Handover) -> bool:
         key = (batch.home, batch.batch)
-        self._expected = peer
+        self._current_peer = peer
         self._receipts[key] = event = Event()
         for _ in range(ATTEMPTS):
             self._messenger.send(peer, batch)
@@ -88,20 +96,20 @@
         return event.ready()
 
 
-def _split(home: Peer, records: list[Record], watermark: Watermark) -> list[Handover]:
+def _split_batches(home: Peer, records: list[Record], watermark: Watermark) -> list[Handover]:
     groups: list[list[Record]] = [[]]
-    size = 0
+    batch_bytes = 0
     for record in records:
-        weight = (
+        record_bytes = (
             len(record.ticket)
             + len(record.answer.decisions)
             + sum(len(body) for body in record.answer.results)
         )
-        if size + weight > BATCH_BYTES and groups[-1]:
+        if batch_bytes + record_bytes > BATCH_BYTES and groups[-1]:
             groups.append([])
-            size = 0
+            batch_bytes = 0
         groups[-1].append(record)
-        size += weight
+        batch_bytes += record_bytes
     last = len(groups) - 1
     return [
         Handover(home, number, *watermark, tuple(group), number == last)
--- a/geraniumspool/records.py
+++ b/geraniumspool/records.py
@@ -1,4 +1,4 @@
-"""Records of finished jobs, bounded in bytes and age, with a watermark."""
+"""Records of finished jobs, limited in bytes and age, with a watermark."""
 
 import heapq
 from typing import NamedTuple
@@ -7,14 +7,15 @@
 from geraniumspool.messages import Answer, Record
 from geraniumspool.ticket import Ticket
 
+# Estimated memory of a record without its results and detail.
 RECORD_OVERHEAD_BYTES = 600
 
 
 class Watermark(NamedTuple):
-    """Point in the order of tickets up to which records may be missing.
+    """Position in the order of tickets up to which records may have been evicted.
 
-    :param issued_ms: issue time, milliseconds since the epoch
-    :param job: random number of the ticket, which breaks ties
+    :param issued_ms: issue time of the ticket, in milliseconds since the epoch
+    :param job: random job number of the ticket, which breaks ties
     """
 
     issued_ms: int = 0
@@ -28,18 +29,21 @@
 
 
 class Records:
-    """Kept answers of finished jobs.
+    """Stores the answers of finished jobs.
 
-    Records go in the order of their tickets' issue times. The watermark is
-    the last one gone, so a ticket at or below it, whose record is missing,
-    may have had one. That is a comparison of data, right under clock skew.
+    Records are evicted in the order of their tickets' issue times. The
+    watermark is the highest ticket position evicted: a ticket at or below it
+    without a record may have had one. This compares only times in tickets and
+    no clocks, so it holds under clock skew.
+
+    :ivar watermark: highest ticket position evicted
     """
 
     def __init__(self, clock: Clock, max_bytes: int, max_age_ms: float):
-        """Start empty.
+        """Start without records.
 
-        :param max_bytes: estimated memory that all records may take
-        :param max_age_ms: time after which a finished job's record may go
+        :param max_bytes: limit on the estimated memory of all records
+        :param max_age_ms: age after which a record may be evicted, in milliseconds
         """
         self._clock = clock
         self._max_bytes = max_bytes
@@ -55,12 +59,12 @@
 
     @property
     def size_bytes(self) -> int:
-        """Return the estimated memory taken."""
+        """Return the estimated memory of all records in bytes."""
         return self._bytes
 
     def keep(self, ticket: Ticket, record: Record) -> None:
-        """Keep the record of a finished job."""
-        size = _measure(record)
+        """Store the record of a finished job; evict the oldest ones beyond the limit."""
+        size = _estimate_size(record)
         self._kept[ticket.job] = _Kept(record, self._clock.now(), size)
         self._bytes += size
         heapq.heappush(self._order, Watermark(ticket.issued_ms, ticket.job))
@@ -77,23 +81,26 @@
         return Watermark(ticket.issued_ms, ticket.job) <= self.watermark
 
     def expire(self) -> None:
-        """Evict what is older than the greatest age, in issue order."""
-        oldest_kept = self._clock.now() - self._max_age_ms
-        while self._order and self._kept[self._order[0].job].finished_ms < oldest_kept:
+        """Evict records beyond the maximum age, in the order of issue.
+
+        A record that is not yet too old delays the eviction of those issued later.
+        """
+        min_finished_ms = self._clock.now() - self._max_age_ms
+        while self._order and self._kept[self._order[0].job].finished_ms < min_finished_ms:
             self._evict()
 
     def all(self) -> list[Record]:
-        """Return every record, in issue order."""
-        return [self._kept[mark.job].record for mark in sorted(self._order)]
+        """Return all records in the order of issue."""
+        return [self._kept[position.job].record for position in sorted(self._order)]
 
     def _evict(self) -> None:
-        mark = heapq.heappop(self._order)
-        kept = self._kept.pop(mark.job)
+        position = heapq.heappop(self._order)
+        kept = self._kept.pop(position.job)
         self._bytes -= kept.size
-        self.watermark = max(self.watermark, mark)
+        self.watermark = max(self.watermark, position)
 
 
-def _measure(record: Record) -> int:
+def _estimate_size(record: Record) -> int:
     answer: Answer = record.answer
-    bodies = sum(len(body) + 33 for body in answer.results)
-    return RECORD_OVERHEAD_BYTES + bodies + len(answer.detail)
+    result_bytes = sum(len(body) + 33 for body in answer.results)
+    return RECORD_OVERHEAD_BYTES + result_bytes + len(answer.detail)
