--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests that admission predicts the wait of the queue a job will stand in."""
+"""Tests that admission control predicts the wait in the queue that a job will join."""
 
 import unittest
 
@@ -10,23 +10,23 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Jobs that come while a wide job waits at their home.
+    """Jobs that arrive while a wide job waits at their home.
 
-    Nothing is learnt before, so each task counts with the 300 ms that run times
-    start from: 76 waiting ones take 5,700 ms of all slots, and twice that of
-    the home's own.
+    No run times have been learned, so each task counts with the initial
+    estimate of 300 ms: the 76 waiting tasks take 5,700 ms on all slots, and
+    twice that on the home's own.
     """
 
     def test_wide_job_ahead(self):
-        """A narrow job goes before it, and a medium one gets the slots that it frees."""
+        """A narrow job overtakes the wide one, and a medium one gets the slots that it frees."""
         cases = [("narrow", Width.NARROW, 1, 2_250), ("medium", Width.MEDIUM, 8, 8_000)]
         for name, width, tasks, allowed_ms in cases:
             with self.subTest(name):
                 deadline_ms = allowed_ms / DEADLINE_SHARE[width]
-                reply = self._put_behind_wide([make_task(1, 50)] * tasks, deadline_ms)
+                reply = self._submit_behind_wide([make_task(1, 50)] * tasks, deadline_ms)
                 self.assertEqual(reply.status, 200, reply.body)
 
-    def _put_behind_wide(self, tasks: list[dict], deadline_ms: float):
+    def _submit_behind_wide(self, tasks: list[dict], deadline_ms: float):
         system = Small()
         self.addCleanup(system.stop)
         wide, ticket = system.ticket(), system.ticket()
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -1,4 +1,4 @@
-"""Tests of archives of homes that left."""
+"""Tests of the archives of homes that left."""
 
 import unittest
 
@@ -13,13 +13,13 @@
 
 
 def make_record(ticket):
-    """Return the record of a complete job."""
+    """Return the record of a completed job."""
     text = KEYRING.sign(ticket)
     return Record(text, b"digest", Answer(0, text, STATE_COMPLETE, results=(b"1",)))
 
 
 class ArchivesTest(unittest.TestCase):
-    """What a missing record proves, and what it does not."""
+    """Answers to requests for jobs of a home that left."""
 
     def setUp(self):
         self.archives = Archives()
@@ -28,7 +28,7 @@
         self.last = Handover(HOME, 1, *MARK, (), True)
         self.archives.take(first)
 
-    def judge(self, home, issued_ms, job):
+    def answer_code(self, home, issued_ms, job):
         return self.archives.judge_missing(Ticket(home, "fitting", issued_ms, job), "text").code
 
     def test_missing_records(self):
@@ -38,17 +38,17 @@
             ("at the watermark", True, HOME, 1_000, 50, CODE_GONE),
             ("below the watermark", True, HOME, 999, 99, CODE_GONE),
             ("a batch is missing", False, HOME, 2_000, 9, CODE_GONE),
-            ("another life of the address", True, OTHER, 2_000, 9, CODE_GONE),
+            ("another incarnation at the address", True, OTHER, 2_000, 9, CODE_GONE),
         ]
         for name, is_whole, home, issued_ms, job, expected in cases:
             with self.subTest(name):
                 self.setUp()
                 if is_whole:
                     self.archives.take(self.last)
-                self.assertEqual(self.judge(home, issued_ms, job), expected)
+                self.assertEqual(self.answer_code(home, issued_ms, job), expected)
 
     def test_kept_answers(self):
-        """A record is found also before the archive is whole, and batches may repeat."""
+        """Records are found in the archive, and repeated batches are ignored."""
         self.archives.take(self.last)
         self.archives.take(self.last)
         self.assertEqual(self.archives.find(self.kept).answer.results, (b"1",))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Tests of ejection and probing."""
+"""Tests of the ejection and probing of minions."""
 
 import logging
 import unittest
@@ -18,36 +18,36 @@
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.clock = ManualClock()
-        self.room = True
+        self.may_eject = True
         decisions = DecisionLog(1, self.clock, logging.getLogger(__name__))
-        self.health = Health(self.clock, decisions, "tcp://127.0.0.1:1", lambda: self.room)
+        self.health = Health(self.clock, decisions, "tcp://127.0.0.1:1", lambda: self.may_eject)
 
     def note_failures(self, times=20):
         for _ in range(times):
             self.health.note(False, 1.0, "task_failed")
 
-    def test_when_it_is_ejected(self):
+    def test_ejection(self):
         cases = [
             ("all fail", [False] * 20, True, True),
             ("few outcomes", [False] * (MIN_OUTCOMES - 1), True, False),
             ("one in four fails", [True, True, True, False] * 20, True, False),
-            ("no room under the cap", [False] * 20, False, False),
+            ("ejection limit reached", [False] * 20, False, False),
         ]
-        for name, outcomes, room, expected in cases:
+        for name, outcomes, may_eject, expected in cases:
             with self.subTest(name):
                 self.setUp()
-                self.room = room
+                self.may_eject = may_eject
                 for ok in outcomes:
                     self.health.note(ok, 1.0, "" if ok else "task_failed")
                 self.assertEqual(self.health.is_ejected, expected)
 
-    def test_refused_connections_eject_soon(self):
+    def test_refused_connections_eject_before_enough_outcomes(self):
         for _ in range(4):
             self.health.note(False, 1.0, NotStarted.code)
         self.assertTrue(self.health.is_ejected)
 
     def test_probe_and_restore(self):
-        """One task at a time, at growing intervals; successes restore it."""
+        """An ejected minion gets one probe at a time, with backoff; successes restore it."""
         self.note_failures()
         self.assertFalse(self.health.admits(0))
         self.clock.advance(PROBE_AFTER_MS)
@@ -64,15 +64,15 @@
         self.assertFalse(self.health.is_ejected)
 
 
-class CapTest(unittest.TestCase):
-    """Agents of one failure domain, of whose minions some are bad."""
+class EjectionLimitTest(unittest.TestCase):
+    """Agents of one failure domain, some with a failing or hanging minion."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_how_many_are_ejected(self):
-        """The share that is set is of all agents, the judging one among them."""
+    def test_number_of_ejected_minions(self):
+        """The limit is a share of all agents, the one that ejects included."""
         fail, freeze = Fault(FaultKind.FAIL), Fault(FaultKind.SILENT)
         cases = ((2, 1, fail, 0), (3, 1, fail, 1), (3, 1, freeze, 1))
         for agents, bad, fault, expected in cases:
--- a/tests/test_heartbeat.py
+++ b/tests/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""Tests of the agent's heartbeats."""
+"""Tests of the heartbeats of an agent."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class RecordingMessenger:
-    """Messenger that keeps what is sent."""
+    """Messenger that records the messages sent."""
 
     def __init__(self, me):
         self.me = me
@@ -29,7 +29,7 @@
 
 
 class FakeConfiguration:
-    """Configuration that keeps documents by revision."""
+    """Configuration that stores documents by revision."""
 
     def __init__(self, revision=0):
         self.documents = {}
@@ -49,7 +49,7 @@
 
 
 class HeartbeaterTest(unittest.TestCase):
-    """Choice of entries, and what replies do."""
+    """Choice of the entry, and handling of replies."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -92,28 +92,28 @@
                 self.heartbeater.add_entries(seeds)
                 self.assertEqual(self.beat(), expected)
 
-    def test_silent_entry_is_left_for_the_spare_and_returned_to(self):
+    def test_failover_from_silent_entry_and_return(self):
         self.know(*ENTRIES)
         [primary] = self.beat()
         self.heartbeater.take_reply(primary, make_reply())
         targets = [self.beat()[0] for _ in range(3)]
         self.assertEqual(targets[:2], [primary, primary])
-        spare = targets[2]
-        self.assertNotEqual(spare, primary)
+        fallback = targets[2]
+        self.assertNotEqual(fallback, primary)
         for _ in range(AVOID_PERIODS - 1):
-            self.heartbeater.take_reply(spare, make_reply())
-            self.assertEqual(self.beat(), [spare])
-        self.heartbeater.take_reply(spare, make_reply())
+            self.heartbeater.take_reply(fallback, make_reply())
+            self.assertEqual(self.beat(), [fallback])
+        self.heartbeater.take_reply(fallback, make_reply())
         self.assertEqual(self.beat(), [primary])
 
-    def test_all_entries_silent_are_tried_again_and_again(self):
+    def test_silent_entries_are_retried(self):
         self.know(*ENTRIES, FAR_ENTRY)
         self.heartbeater.add_entries(["tcp://127.0.0.1:7"])
         tried = {self.beat()[0].address for _ in range(12)}
         self.assertEqual(len(tried), 5)
         self.assertEqual(len(self.beat()), 1)
 
-    def test_death_of_an_entry_moves_only_its_agents(self):
+    def test_death_of_entry_moves_only_its_agents(self):
         def choose(address, entries):
             self.setUp()
             self.me = ME._replace(address=address)
@@ -127,7 +127,7 @@
             self.assertTrue(old == new or old == peer_of(ENTRIES[0]))
         self.assertEqual(set(before), {peer_of(entry) for entry in ENTRIES})
 
-    def test_reply_is_taken(self):
+    def test_reply_is_applied(self):
         self.know(ENTRIES[0])
         entry = peer_of(ENTRIES[0])
         other = Member("tcp://127.0.0.1:8", 8, "north", "agent", "dead", "fitting")
@@ -150,8 +150,8 @@
         heartbeat = self.messenger.sent[0][1]
         self.assertEqual(heartbeat[1:], (1, 7, 12))
 
-    def test_next_documents_are_asked_for_at_once(self):
-        """Each case: the revision of the document and of the entry, and whether the agent beats."""
+    def test_next_documents_are_requested_at_once(self):
+        """Each case: revisions of the document and the entry, and whether a heartbeat follows."""
         cases = ((0, 12, False), (12, 12, False), (12, 30, True), (5, 30, False))
         for revision, newest, expected in cases:
             with self.subTest(revision=revision, newest=newest):
@@ -163,42 +163,55 @@
                 self.heartbeater.take_reply(peer_of(ENTRIES[0]), reply)
                 self.assertEqual(len(self.messenger.sent), expected)
 
-    def test_members_are_taken_in_the_order_of_the_entry_followed(self):
-        """Each case: who answers with which version after 7, and which life is believed in."""
-        old, new = (Member("tcp://127.0.0.1:8", life, "north", "agent", "ready") for life in (8, 9))
+    def test_outdated_replies_do_not_change_members(self):
+        """Members are accepted only from the own entry and in the order of its versions.
+
+        Each case: sender and version of a reply after version 7, and the
+        incarnation that counts as living afterwards.
+        """
+        old, new = (
+            Member("tcp://127.0.0.1:8", incarnation, "north", "agent", "ready")
+            for incarnation in (8, 9)
+        )
         entry, other = peer_of(ENTRIES[0]), peer_of(FAR_ENTRY)
         cases = (
-            ("a newer answer", entry, 8, old),
-            ("a late answer", entry, 6, new),
-            ("a late answer of another entry", other, 12, new),
+            ("newer reply", entry, 8, old),
+            ("late reply", entry, 6, new),
+            ("late reply of another entry", other, 12, new),
         )
         for name, sender, version, expected in cases:
             with self.subTest(name):
                 self.setUp()
                 self.know(ENTRIES[0])
                 self.beat()
-                for life in (old, new):
-                    self.heartbeater.take_reply(entry, make_reply(7, (life,)))
+                for incarnation in (old, new):
+                    self.heartbeater.take_reply(entry, make_reply(7, (incarnation,)))
                 self.heartbeater.take_reply(sender, make_reply(version, (old,)))
-                states = {life: self.roster.get(peer_of(life)).state for life in (old, new)}
-                living = [life for life, state in states.items() if state != "dead"]
+                states = {
+                    incarnation: self.roster.get(peer_of(incarnation)).state
+                    for incarnation in (old, new)
+                }
+                living = [incarnation for incarnation, state in states.items() if state != "dead"]
                 self.assertEqual(living, [expected])
 
-    def test_version_of_one_entry_is_not_told_to_another(self):
+    def test_roster_version_is_not_sent_to_another_entry(self):
         self.know(*ENTRIES)
         self.heartbeater.take_reply(Peer("tcp://127.0.0.1:99", 99), make_reply())
         self.beat()
         self.assertEqual(self.messenger.sent[0][1][1:3], (0, 0))
 
-    def test_short_heartbeats_to_an_entry_that_knows_the_rest(self):
-        """Each case: what happens after an answer, and whether the next heartbeat is short."""
+    def test_short_heartbeats(self):
+        """A heartbeat is short if the entry has confirmed everything but the load.
+
+        Each case: what happens after a reply, and whether the next heartbeat is short.
+        """
         entry, other = peer_of(ENTRIES[0]), Peer("tcp://127.0.0.1:77", 77)
         load = Load(8, 3, 0, 12.5)
 
         def change(**fields):
             self.me = self.me._replace(**fields)
 
-        def beat_often():
+        def beat_many_times():
             for _ in range(SHORT_HEARTBEATS):
                 self.beat()
 
@@ -214,26 +227,30 @@
             ("another load", lambda: change(load=load), True),
             ("another state", lambda: change(state="ejected"), False),
             ("another version", lambda: change(version=1), False),
-            ("a change without an answer", lose_a_change, False),
-            ("a change with an answer", lambda: (lose_a_change(), answer()), True),
-            ("many short ones", beat_often, False),
-            ("the entry asks", lambda: answer(again=True, roster_version=0), False),
-            ("another answers", lambda: self.heartbeater.take_reply(other, make_reply()), True),
+            ("a change without a reply", lose_a_change, False),
+            ("a change with a reply", lambda: (lose_a_change(), answer()), True),
+            ("many short heartbeats", beat_many_times, False),
+            ("the entry requests a whole one", lambda: answer(again=True, roster_version=0), False),
+            (
+                "another entry replies",
+                lambda: self.heartbeater.take_reply(other, make_reply()),
+                True,
+            ),
         )
-        for name, happen, expected in cases:
+        for name, act, expected in cases:
             with self.subTest(name):
                 self.setUp()
                 self.know(ENTRIES[0])
                 self.beat()
                 answer()
-                happen()
+                act()
                 self.beat()
                 message = self.messenger.sent[-1][1]
                 self.assertEqual(isinstance(message, ShortHeartbeat), expected)
                 if isinstance(message, ShortHeartbeat):
                     self.assertEqual(message, (0, 7, 0, self.me.load.round_up()))
 
-    def test_leaving_is_told_to_all_entries_with_one_in_charge(self):
+    def test_leaving_is_sent_to_all_entries(self):
         self.know(*ENTRIES, FAR_ENTRY)
         [primary] = self.beat()
         self.heartbeater.take_reply(primary, make_reply())
@@ -256,7 +273,7 @@
         )
         self.assertEqual(self.beat(), [Peer(ENTRIES[0].address, 77)])
 
-    def test_run_starts_at_a_random_time_and_goes_on(self):
+    def test_run_starts_at_random_time_and_continues(self):
         self.know(ENTRIES[0])
         task = eventlet.spawn(self.heartbeater.run)
         self.addCleanup(task.kill)
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -1,4 +1,4 @@
-"""Tests of the home: admission, offers, revokes, answers, records."""
+"""Tests of the home: admission, offers, revocation, answers and records."""
 
 import json
 import logging
@@ -47,7 +47,7 @@
 
 
 class HomeTest(unittest.TestCase):
-    """A home without slots of its own, and workers played by the test."""
+    """A home without slots of its own; the test sends the messages of its workers."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -125,7 +125,7 @@
         return [(answer.state, answer.code) for answer in self.outbox.take(Answer)]
 
     def test_one_offer_at_a_time(self):
-        """One batch a worker; a task is offered again only after a refusal."""
+        """Tasks are offered in one batch per worker, and again only after a refusal."""
         self.submit(3)
         (offer,) = self.offers()
         self.assertEqual([task.offer for task in offer.tasks], [1, 2, 3])
@@ -140,8 +140,8 @@
         (answer,) = self.outbox.take(Answer)
         self.assertEqual((answer.state, answer.results), ("complete", (b"1", b"4", b"3")))
 
-    def test_crossed_results(self):
-        """Results are taken once, and only from the worker that was offered the task."""
+    def test_results_of_wrong_worker_or_offer(self):
+        """A result is accepted once, and only from the worker that was offered the task."""
         self.make(workers=(FAR, FARTHER), slots=1)
         self.submit(2)
         sent = {peer: message.tasks[0] for peer, message in self.outbox.sent}
@@ -156,30 +156,30 @@
         self.assertEqual(self.answers(), [("complete", "")])
 
     def test_cancellation(self):
-        """What is told depends on the workers' word alone."""
+        """The answer after a cancellation depends only on what the workers confirm."""
         cases = (
             ("not started", {"not_started": (1, 2)}, "not_run"),
             ("one started", {"not_started": (1,), "started": (2,)}, "may_have_run"),
             ("one lost", {"not_started": (1,), "lost": (2,)}, "may_have_run"),
-            ("half an answer", {"not_started": (1,)}, "may_have_run"),
+            ("one confirmed", {"not_started": (1,)}, "may_have_run"),
             ("no answer", {}, "may_have_run"),
         )
-        for name, told, expected in cases:
+        for name, reply, expected in cases:
             with self.subTest(case=name):
                 self.make()
                 ticket = self.submit(2)
                 self.cancel(ticket)
                 self.assertEqual(self.answers(), [])
-                if told:
-                    self.revoked(**told)
+                if reply:
+                    self.revoked(**reply)
                 self.clock.advance(REVOKE_WAIT_MS)
                 self.assertEqual({state for state, _ in self.answers()}, {expected})
                 self.submit(2, ticket=ticket)
                 self.assertEqual(self.answers(), [(expected, "job_cancelled")])
                 self.assertEqual(len(self.offers()), 1)
 
-    def test_cancellations_share_a_message(self):
-        """A wave of cancellations costs one message a worker."""
+    def test_cancellations_are_batched(self):
+        """Cancellations at the same time are sent in one message per worker."""
         tickets = [self.submit(1) for _ in range(4)]
         for ticket in tickets:
             self.home.take_cancel(ENTRY, Cancel(9, ticket))
@@ -187,8 +187,8 @@
         revokes = self.outbox.take(Revoke)
         self.assertEqual([message.offers for message in revokes], [(1, 2, 3, 4)])
 
-    def test_unknown_jobs(self):
-        """Cancelled or declined before it is known, a job never runs."""
+    def test_cancelled_or_declined_before_submission(self):
+        """A job that is cancelled or declined before its submission never runs."""
         for message in (Cancel(9, self.issue()), Decline(9, self.issue(), b"a", "quota", "", 50.0)):
             with self.subTest(kind=type(message).__name__):
                 kind = type(message).__name__.lower()
@@ -197,8 +197,8 @@
                 self.assertEqual({state for state, _ in self.answers()}, {"not_run"})
                 self.assertEqual(self.offers(), [])
 
-    def test_decline_of_a_known_job(self):
-        """A refusal of a job that runs joins it."""
+    def test_decline_of_running_job(self):
+        """An entry that declines a running job gets the answer of that job."""
         ticket = self.submit(1)
         self.home.take_decline(ENTRY, Decline(8, ticket, b"a", "quota", "", 50.0))
         self.results(1)
@@ -208,7 +208,7 @@
         })  # fmt: skip
 
     def test_predicted_wait(self):
-        """A job that cannot be in time is refused at once, with the time to come back."""
+        """A job that cannot meet its deadline is refused at once, with a retry delay."""
         for _ in range(8):
             self.submit(4, 1_000.0, deadline_ms=60_000.0)
         late = self.submit(2, 100.0, deadline_ms=500.0)
@@ -218,8 +218,8 @@
         self.submit(2, 100.0, ticket=late, deadline_ms=500.0)
         self.assertEqual(self.answers(), [("not_run", "job_refused_deadline")])
 
-    def test_fits_no_minion(self):
-        """What fits no minion is refused for good, without a time to come back."""
+    def test_task_that_fits_no_minion(self):
+        """A job with a task that fits no minion is refused without a retry delay."""
         self.submit(2, size=11.0)
         (answer,) = self.outbox.take(Answer)
         self.assertEqual(
@@ -227,8 +227,8 @@
             ("not_run", "job_refused_no_capacity", 0.0),
         )
 
-    def test_too_large_for_the_own_minion(self):
-        """What does not fit beside the home goes where it fits, however free the own slots."""
+    def test_task_too_large_for_own_minion(self):
+        """Tasks too large for the own minion go to others, even if the own slots are free."""
         for tasks, fewest in ((1, 1), (3, 3), (12, 6)):
             with self.subTest(tasks=tasks):
                 self.make(workers=(FAR, FARTHER), own_slots=4, own_size=1.0)
@@ -240,7 +240,7 @@
                 self.assertEqual({task.job for task in offered}, {offered[0].job})
 
     def test_narrow_before_wide(self):
-        """A narrow job that comes later goes before a wide one's waiting tasks."""
+        """Tasks of a later narrow job are offered before the waiting tasks of a wide one."""
         self.submit(14, 100.0)
         first = self.offers()
         self.submit(1, 200.0)
@@ -250,7 +250,7 @@
         self.assertEqual(waiting, {False})
 
     def test_deadline(self):
-        """A job ends at its deadline; tasks that never had a place did not run."""
+        """A job ends at its deadline; it did not run if no task was offered."""
         self.make(workers=())
         self.join(FAR, 1)
         for _ in range(8):
@@ -262,7 +262,7 @@
         self.assertEqual(self.answers(), [("not_run", "job_expired")])
 
     def test_worker_gone(self):
-        """A worker that left, was replaced or stays silent fails its jobs at once."""
+        """A worker that left, was replaced or is silent fails the jobs with open offers there."""
 
         def leave():
             self.join(FAR, state=MEMBER_LEFT)
@@ -271,20 +271,20 @@
             self.home.take_rejection(Peer(FAR.address, 99), WrongIncarnation(1, 0, FAR.incarnation))
 
         cases = (("left", leave, 600.0), ("replaced", be_replaced, 0.0), ("silent", None, 8_000.0))
-        for name, strike, wait_ms in cases:
+        for name, trigger, wait_ms in cases:
             with self.subTest(case=name):
                 self.make()
                 ticket = self.submit(2, deadline_ms=60_000.0)
-                if strike:
-                    strike()
+                if trigger:
+                    trigger()
                 self.clock.advance(wait_ms)
                 self.assertEqual(self.answers(), [("may_have_run", "worker_lost")])
                 self.results(1, 2)
                 self.submit(2, ticket=ticket)
                 self.assertEqual(self.answers(), [("may_have_run", "worker_lost")])
 
-    def test_worker_not_told_of_any_more(self):
-        """It gets no new offers, and is forgotten once what is open there is settled."""
+    def test_released_worker(self):
+        """A released worker gets no new offers and is forgotten once its open ones are settled."""
         self.make(workers=())
         self.join(FAR, domain="south")
         self.submit(tasks=1)
@@ -299,7 +299,7 @@
         self.assertIsNone(self.home._offers.find(FAR))
 
     def test_worker_given_up(self):
-        """A worker given up as silent gets no task until it is heard again."""
+        """A worker given up as silent gets no offers until it sends a message again."""
         self.submit(1, deadline_ms=60_000.0)
         self.clock.advance(9_000.0)
         self.offers()
@@ -312,7 +312,7 @@
         self.assertEqual(len(self.offers()), 1)
 
     def test_evicted_record(self):
-        """A ticket as old as an evicted record may have run; a newer one runs."""
+        """A job with a ticket as old as an evicted record may have run; a newer one runs."""
         self.make(max_record_bytes=1_500)
         tickets = []
         for number in range(1, 5):
@@ -327,12 +327,12 @@
         self.submit(1)
         self.assertEqual(len(self.offers()), 1)
 
-    def test_slow_worker_teaches_no_run_times(self):
-        """Estimates follow results, but for those of a minion slower than the others."""
+    def test_run_times_of_slow_worker_are_ignored(self):
+        """Estimates follow the results, except those of a minion slower than the others."""
         cases = (
-            ("as usual", 0.0, 0.0, True),
+            ("usual pace", 0.0, 0.0, True),
             ("slow", 20.0, 0.0, False),
-            ("all", 20.0, 20.0, True),
+            ("all slow", 20.0, 20.0, True),
         )
         for name, far, farther, is_learnt in cases:
             with self.subTest(case=name):
@@ -352,7 +352,7 @@
                 self.assertEqual(learnt_ms > 600.0, is_learnt)
 
     def test_states(self):
-        """An inquiry tells what is known, and starts nothing."""
+        """An inquiry returns the state of a job and starts nothing."""
         running, unknown = self.submit(1), self.issue()
         foreign = self.keyring.issue(FAR, "fitting", self.clock.wall())
         for ticket in (running, unknown, foreign):
@@ -364,7 +364,7 @@
         self.assertEqual(len(self.offers()), 1)
 
     def test_leaving(self):
-        """A home that leaves refuses new jobs, truly, and finishes those it has."""
+        """A leaving home refuses new jobs and finishes those that it accepted."""
         self.submit(1)
         self.home.leave()
         self.submit(1)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of the teams' quotas."""
+"""Tests of team quotas."""
 
 import unittest
 from types import SimpleNamespace
@@ -12,17 +12,17 @@
 
 
 class QuotaTest(unittest.TestCase):
-    """Entries share a team's quota by demand, without agreement."""
+    """Entries divide a team's quota by demand, without coordination."""
 
     def setUp(self):
-        """Start with one clock and no limit."""
+        """Start without entries and limits."""
         self.clock = ManualClock()
         self.limits = TeamDocument()
         self.entries = []
         self.reports = {}
 
     def add_entry(self):
-        """Return one more entry's quotas, which hears of the others in digests."""
+        """Add an entry, to which :meth:`exchange` reports the others' demand; return its quotas."""
 
         def peers_demand():
             return [report for sender, report in self.reports.items() if sender is not quotas]
@@ -33,12 +33,15 @@
         return quotas
 
     def exchange(self):
-        """Let the entries tell each other their demand."""
+        """Exchange the demand of all entries."""
         demands = [(quotas, quotas.demand()) for quotas in self.entries]
         self.reports = {quotas: SimpleNamespace(demand=demand) for quotas, demand in demands}
 
-    def taken(self, quotas, jobs, tasks=1):
-        """Return how many of the jobs are taken now; they end at once."""
+    def submit(self, quotas, jobs, tasks=1):
+        """Submit jobs that end at once; return how many of them are accepted.
+
+        :param tasks: number of tasks of each job
+        """
         count = 0
         for _ in range(jobs):
             if quotas.take(TEAM, tasks) is None:
@@ -47,44 +50,47 @@
         return count
 
     def run_load(self, seconds, loads, step_ms=20.0):
-        """Return tasks started per entry when each offers so many a second."""
+        """Return the number of tasks started at each entry under a constant load.
+
+        :param loads: tasks per second submitted at each entry
+        """
         started = [0] * len(loads)
         for step in range(int(seconds * 1000 / step_ms)):
             if step % STEPS_PER_DIGEST == 0:
                 self.exchange()
             for index, rate in enumerate(loads):
                 due = int((step + 1) * rate * step_ms / 1000) - int(step * rate * step_ms / 1000)
-                started[index] += self.taken(self.entries[index], due)
+                started[index] += self.submit(self.entries[index], due)
             self.clock.advance(step_ms)
         return started
 
     def test_no_limit(self):
-        """A team without a document is never refused."""
-        self.assertEqual(self.taken(self.add_entry(), 1000, 340), 1000)
+        """A team without a limit is never refused."""
+        self.assertEqual(self.submit(self.add_entry(), 1000, 340), 1000)
 
     def test_burst_and_rate(self):
-        """A second's worth at once, then the rate; the wait told is enough."""
+        """One second's tasks run at once, then the rate applies; the retry delay suffices."""
         self.limits = TeamDocument(rate_tasks_per_s=10)
         quotas = self.add_entry()
-        self.assertEqual(self.taken(quotas, 30), 10)
+        self.assertEqual(self.submit(quotas, 30), 10)
         shortage = quotas.take(TEAM, 1)
         self.assertIn("10.0 tasks a second", shortage.detail)
         self.clock.advance(shortage.retry_after_ms)
-        self.assertEqual(self.taken(quotas, 5), 1)
+        self.assertEqual(self.submit(quotas, 5), 1)
         self.clock.advance(60_000)
-        self.assertEqual(self.taken(quotas, 30), 10)
+        self.assertEqual(self.submit(quotas, 30), 10)
 
     def test_wide_job(self):
-        """A job wider than the burst runs, and is paid for afterwards."""
+        """A job larger than the burst runs; later jobs wait until its tokens are refilled."""
         self.limits = TeamDocument(rate_tasks_per_s=10)
         quotas = self.add_entry()
-        self.assertEqual(self.taken(quotas, 1, 40), 1)
+        self.assertEqual(self.submit(quotas, 1, 40), 1)
         shortage = quotas.take(TEAM, 1)
         self.assertAlmostEqual(shortage.retry_after_ms, 3100, delta=1)
         self.clock.advance(3000)
-        self.assertEqual(self.taken(quotas, 1), 0)
+        self.assertEqual(self.submit(quotas, 1), 0)
         self.clock.advance(100.001)
-        self.assertEqual(self.taken(quotas, 1), 1)
+        self.assertEqual(self.submit(quotas, 1), 1)
 
     def test_slow_rate(self):
         """A rate below one task a second still lets tasks through."""
@@ -94,7 +100,7 @@
         self.assertIn(started, range(10, 13))
 
     def test_running(self):
-        """Tasks count until given back; a refused job counts for nothing."""
+        """Running tasks count until they are released; those of a refused job do not count."""
         self.limits = TeamDocument(running_tasks=10)
         quotas = self.add_entry()
         self.assertIsNone(quotas.take(TEAM, 6))
@@ -108,7 +114,7 @@
         self.assertIsNone(quotas.take(TEAM, 4))
 
     def test_give_back(self):
-        """Never below zero, and nothing for teams that are not known."""
+        """Releasing too many tasks never makes the count negative; unknown teams are ignored."""
         self.limits = TeamDocument(running_tasks=3)
         quotas = self.add_entry()
         quotas.give_back(TEAM, 100)
@@ -119,8 +125,8 @@
         self.assertIsNone(quotas.take(TEAM, 3))
         self.assertIsNotNone(quotas.take(TEAM, 1))
 
-    def test_rate_refusal_holds_no_slot(self):
-        """A job refused for its rate does not count as running."""
+    def test_refusal_by_rate_does_not_count_as_running(self):
+        """Tasks of a job refused by the rate limit do not count as running."""
         self.limits = TeamDocument(rate_tasks_per_s=1, running_tasks=5)
         quotas = self.add_entry()
         self.assertIsNone(quotas.take(TEAM, 1))
@@ -128,16 +134,16 @@
         self.assertEqual(quotas.demand()[0][2], 1.0)
 
     def test_limit_set_and_lifted(self):
-        """A new document counts from the next job on."""
+        """A changed limit applies from the next job on."""
         quotas = self.add_entry()
-        self.assertEqual(self.taken(quotas, 100), 100)
+        self.assertEqual(self.submit(quotas, 100), 100)
         self.limits = TeamDocument(rate_tasks_per_s=10)
-        self.assertEqual(self.taken(quotas, 100), 10)
+        self.assertEqual(self.submit(quotas, 100), 10)
         self.limits = TeamDocument()
-        self.assertEqual(self.taken(quotas, 100), 100)
+        self.assertEqual(self.submit(quotas, 100), 100)
 
     def test_shares_follow_demand(self):
-        """An idle entry's part goes to the one that has the demand."""
+        """An idle entry's part of the quota moves to the entry with the demand."""
         self.limits = TeamDocument(rate_tasks_per_s=100)
         self.add_entry()
         self.add_entry()
@@ -149,7 +155,7 @@
         self.assertGreater(two, 0)
 
     def test_overshoot_is_bounded(self):
-        """However many entries are flooded, the sum stays near the quota."""
+        """Overloaded entries together stay near the quota."""
         self.limits = TeamDocument(rate_tasks_per_s=100)
         for _ in range(4):
             self.add_entry()
@@ -159,14 +165,14 @@
         self.assertLessEqual(total, 1.15 * 1000)
 
     def test_first_second_is_bounded(self):
-        """Entries that do not know each other's demand yet take one burst each."""
+        """Entries that do not know each other's demand yet each accept at most one burst."""
         self.limits = TeamDocument(rate_tasks_per_s=100)
         for _ in range(3):
             self.add_entry()
-        self.assertLessEqual(sum(self.taken(quotas, 300) for quotas in self.entries), 300)
+        self.assertLessEqual(sum(self.submit(quotas, 300) for quotas in self.entries), 300)
 
     def test_running_shares(self):
-        """Flooded entries keep the running tasks near the quota together."""
+        """Overloaded entries together keep the running tasks near the quota."""
         self.limits = TeamDocument(running_tasks=40)
         for _ in range(4):
             self.add_entry()
@@ -183,7 +189,7 @@
         self.assertLessEqual(running, 44)
 
     def test_demand_is_forgotten(self):
-        """Teams that went quiet are dropped, and their number is bounded."""
+        """Idle teams are dropped, and the number of tracked teams is limited."""
         self.limits = TeamDocument(rate_tasks_per_s=1_000)
         quotas = self.add_entry()
         quotas.take("quiet", 1)
@@ -195,30 +201,34 @@
             quotas.take(f"team-{number}", 1)
         self.assertEqual(len(quotas.demand()), MAX_TEAMS)
 
-    def test_demand_is_told_of_quotas_and_of_changes(self):
-        """Each case: limits, tasks after the first, the time passed, and the rate told then."""
-        part = {"rate_tasks_per_s": 100}
+    def test_reported_demand(self):
+        """Demand is reported for teams with a quota, and again after changes or some time.
+
+        Each case: limits, tasks after the first, the time passed, and the rate
+        reported then.
+        """
+        rate_limit = {"rate_tasks_per_s": 100}
         cases = (
             ("no quota", {}, 100, 0, None),
-            ("below a tenth of the quota's part", part, 10, 0, 0.2),
-            ("a tenth of it and more", part, 60, 0, 12),
-            ("little, some time ago", part, 10, TOLD_AGE_MS, 0.298),
-            ("running tasks alone", {"running_tasks": 100}, 1, 0, 0.4),
+            ("change below a tenth of the quota's part", rate_limit, 10, 0, 0.2),
+            ("change above a tenth of it", rate_limit, 60, 0, 12),
+            ("small change, old report", rate_limit, 10, TOLD_AGE_MS, 0.298),
+            ("only a limit on running tasks", {"running_tasks": 100}, 1, 0, 0.4),
         )
         for name, limits, tasks, passed_ms, expected in cases:
             with self.subTest(name):
                 self.setUp()
                 self.limits = TeamDocument(**limits)
                 quotas = self.add_entry()
-                self.taken(quotas, 1)
+                self.submit(quotas, 1)
                 quotas.demand()
-                self.taken(quotas, tasks)
+                self.submit(quotas, tasks)
                 self.clock.advance(passed_ms)
-                told = {team: rate for team, rate, _ in quotas.demand()}
-                self.assertEqual(told.get(TEAM), expected)
+                reported = {team: rate for team, rate, _ in quotas.demand()}
+                self.assertEqual(reported.get(TEAM), expected)
 
     def test_many_teams_do_not_lift_a_limit(self):
-        """A flood of made-up team names does not free a team's running tasks."""
+        """Many unknown team names do not evict the count of a team's running tasks."""
         self.limits = TeamDocument(running_tasks=1)
         quotas = self.add_entry()
         self.assertIsNone(quotas.take(TEAM, 1))
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -19,7 +19,7 @@
 
 
 class RosterTest(unittest.TestCase):
-    """Precedence, expiry, versions and queries."""
+    """Precedence of reports, expiry, versions and queries."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -42,7 +42,7 @@
                     self.assertEqual(changed, expected != old)
                     self.assertEqual(len(self.changes), 1 + changed)
 
-    def test_states_move_forward_by_hearsay(self):
+    def test_states_move_forward_by_indirect_reports(self):
         allowed = {
             "starting": STATES,
             "ready": ("ejected", "leaving", "left", "dead"),
@@ -53,7 +53,7 @@
         }
         self.check_transitions(allowed, lambda member: self.roster.observe(member))
 
-    def test_a_process_that_is_heard_may_come_back_from_dead_but_not_from_left(self):
+    def test_direct_report_revives_dead_but_not_left(self):
         allowed = {
             "starting": STATES,
             "ready": ("ejected", "leaving", "left", "dead"),
@@ -64,8 +64,8 @@
         }
         self.check_transitions(allowed, lambda member: self.roster.hear(member))
 
-    def test_newer_version_of_a_living_member_may_move_back(self):
-        """An agent whose minion left and came back is ready again."""
+    def test_newer_version_may_move_state_back(self):
+        """An agent becomes ready again after its minion left and returned."""
         cases = [
             ("leaving", 2, "ready", 3, "ready"),
             ("leaving", 3, "ready", 2, "leaving"),
@@ -93,7 +93,7 @@
                 current = [member.incarnation for member in self.roster.agents("fitting")]
                 self.assertEqual(current, [101])
 
-    def test_replaced_incarnation_comes_back_only_when_heard(self):
+    def test_replaced_incarnation_returns_only_by_direct_report(self):
         self.roster.hear(make_agent(incarnation=100))
         self.roster.hear(make_agent(incarnation=101))
         self.assertFalse(self.roster.observe(make_agent(incarnation=100), revive=True))
@@ -103,8 +103,8 @@
         self.assertEqual((self.state(100), self.state(101)), ("ready", "dead"))
 
     def test_foreign_agents_are_dropped(self):
-        """Each case: what drops one of two; a near one and a dead one stay."""
-        near, *foreign = (
+        """One of two living foreign agents is dropped; a local and a dead one stay."""
+        local, *foreign = (
             Member(f"tcp://127.0.0.1:{port}", port, domain, "agent", state, "fitting")
             for port, domain, state in (
                 (11, self.roster.domain, "ready"),
@@ -113,27 +113,27 @@
                 (14, "far", "dead"),
             )
         )
-        everyone = {near, *foreign}
+        all_members = {local, *foreign}
         cases = (
-            ("released", lambda: self.roster.release([near.address, foreign[0].address])),
+            ("released", lambda: self.roster.release([local.address, foreign[0].address])),
             ("not kept", lambda: self.roster.keep_foreign([peer_of(foreign[1])])),
         )
         for name, drop in cases:
             with self.subTest(name):
                 self.setUp()
-                for member in (near, *foreign):
+                for member in (local, *foreign):
                     self.roster.observe(member)
                 drop()
-                self.assertEqual(set(self.roster.members()), everyone - {foreign[0]})
-                self.assertEqual(set(self.roster.agents("fitting")), {near, foreign[1]})
+                self.assertEqual(set(self.roster.members()), all_members - {foreign[0]})
+                self.assertEqual(set(self.roster.agents("fitting")), {local, foreign[1]})
                 self.assertFalse(self.roster.is_gone(peer_of(foreign[0])))
 
-    def test_news_of_a_final_incarnation_replaces_nothing(self):
+    def test_final_incarnation_replaces_nothing(self):
         self.roster.hear(make_agent(incarnation=101))
         self.roster.observe(make_agent("left", incarnation=100))
         self.assertEqual((self.state(100), self.state(101)), ("left", "ready"))
 
-    def test_what_is_heard_prevails_over_what_is_relayed(self):
+    def test_direct_report_takes_precedence_over_relayed(self):
         source = peer_of(OTHER_ENTRY)
         cases = (("dead", "ready"), ("ejected", "ready"), ("leaving", "leaving"), ("left", "left"))
         for relayed, expected in cases:
@@ -143,7 +143,7 @@
                 self.roster.relay(make_agent(relayed), source)
                 self.assertEqual(self.state(), expected)
 
-    def test_dead_is_believed_only_from_the_source(self):
+    def test_dead_is_accepted_only_from_source(self):
         self.roster.observe(OTHER_ENTRY)
         self.roster.observe(ENTRY)
         self.roster.relay(make_agent(), peer_of(OTHER_ENTRY))
@@ -155,7 +155,10 @@
         self.assertEqual(self.state(), "ready")
 
     def test_silence(self):
-        """Each case: how the member became known, and whether 10 s of silence kill it."""
+        """A member is declared dead after 10 s of silence, unless another process hears it.
+
+        Each case: how the member became known, and its state after the timeout.
+        """
 
         def claim():
             self.roster.observe(OTHER_ENTRY)
@@ -172,7 +175,7 @@
             self.roster.relay(make_agent(), peer_of(OTHER_ENTRY))
             self.roster.observe(OTHER_ENTRY._replace(state="dead"))
 
-        def hear_guest():
+        def hear_foreign_agent():
             self.roster.observe(FAR_ENTRY)
             self.roster.hear(make_agent(domain="south"))
 
@@ -180,11 +183,11 @@
             ("heard", lambda: self.roster.hear(make_agent()), "dead"),
             ("observed", lambda: self.roster.observe(make_agent()), "ready"),
             ("relayed", lambda: self.roster.relay(make_agent(), peer_of(ENTRY)), "ready"),
-            ("heard by another since", claim, "ready"),
-            ("heard here after another", claim_and_hear, "dead"),
+            ("heard by another entry since", claim, "ready"),
+            ("heard here after the other entry", claim_and_hear, "dead"),
             ("its entry died", orphan, "dead"),
-            ("guest whose domain has entries", hear_guest, "ready"),
-            ("guest", lambda: self.roster.hear(make_agent(domain="south")), "dead"),
+            ("foreign agent whose domain has entries", hear_foreign_agent, "ready"),
+            ("foreign agent", lambda: self.roster.hear(make_agent(domain="south")), "dead"),
         )
         for name, prepare, expected in cases:
             with self.subTest(name):
@@ -197,7 +200,7 @@
                 self.assertEqual([m.state for m in dead], ["dead"] * (expected == "dead"))
                 self.assertEqual(self.state(), expected)
 
-    def test_learnt_members_expire_only_in_the_own_domain(self):
+    def test_relayed_members_expire_only_in_own_domain(self):
         self.roster.relay(make_agent(), peer_of(OTHER_ENTRY))
         self.roster.relay(
             make_agent("ready", 200, "south", "tcp://127.0.0.1:8"), peer_of(FAR_ENTRY)
@@ -227,7 +230,7 @@
         for stale in (0, self.roster.version + 1):
             self.assertEqual(len(self.roster.since(stale)), 3)
 
-    def test_forgotten_members_make_older_versions_whole(self):
+    def test_versions_before_forgotten_members_are_not_covered(self):
         self.roster.observe(ENTRY)
         version = self.roster.version
         self.roster.observe(make_agent("left")._replace(archive="tcp://127.0.0.1:8"))
@@ -254,8 +257,8 @@
         self.assertEqual(self.roster.entries(), [ENTRY])
         self.assertEqual(self.roster.sighting(peer_of(ENTRY)), Sighting())
 
-    def test_newer_word_through_another_entry(self):
-        """A member's newer word counts, whoever was heard directly before."""
+    def test_newer_version_relayed_by_another_entry(self):
+        """A relayed newer version of a member replaces the one that was heard directly."""
         source = peer_of(FAR_ENTRY)
         self.roster.hear(FAR_ENTRY)
         old = make_agent("ejected", 1, "south")._replace(version=3)
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of the runner: offers, revokes, floors, results."""
+"""Tests of the runner: offers, revocation, floors and results."""
 
 import json
 import logging
@@ -24,7 +24,7 @@
 
 
 class Outbox:
-    """A messenger that keeps what is sent."""
+    """A messenger that records the messages sent."""
 
     def __init__(self, me: Peer):
         self.me = me
@@ -35,7 +35,7 @@
         return True
 
     def take(self, kind) -> list:
-        """Return the messages of a type, and forget them."""
+        """Remove and return the messages of a type."""
         found = [message for _, message in self.sent if isinstance(message, kind)]
         self.sent = [row for row in self.sent if not isinstance(row[1], kind)]
         return found
@@ -43,12 +43,12 @@
 
 def make_task(offer, job=1, index=None, run_ms=100.0, rank=0.0, any_slot=True) -> OfferedTask:
     payload = json.dumps({"run_ms": run_ms}).encode()
-    place = offer if index is None else index
-    return OfferedTask(offer, job, place, "fitting", payload, run_ms, rank, 9_000.0, any_slot)
+    position = offer if index is None else index
+    return OfferedTask(offer, job, position, "fitting", payload, run_ms, rank, 9_000.0, any_slot)
 
 
 class RunnerCase(unittest.TestCase):
-    """A runner whose minion is a fake in memory."""
+    """Base class of tests with a runner whose minion is an in-memory fake."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -76,7 +76,7 @@
         return self.outbox.take(Revoked)[-1]
 
     def results(self) -> list[list[int]]:
-        """Return the offers of each message of results so far."""
+        """Remove the result messages; return the offer numbers in each of them."""
         return [[row.offer for row in message.done] for message in self.outbox.take(Results)]
 
     def refusals(self) -> dict[int, str]:
@@ -88,10 +88,10 @@
 
 
 class RunnerTest(RunnerCase):
-    """A runner with two slots and room for four more tasks."""
+    """A runner with two slots and a queue of at most four tasks."""
 
     def test_revoke_states(self):
-        """Each state is told as it is, and never changes to not started."""
+        """Each offer's state is reported, and a started one is never reported as not started."""
         self.offer(*(make_task(number) for number in (1, 2, 3)))
         answer = self.revoke(1, 3, 9)
         self.assertEqual((answer.started, answer.not_started, answer.lost), ((1,), (3, 9), ()))
@@ -105,7 +105,7 @@
         self.assertEqual([self.started(number) for number in (1, 2, 3, 9)], [1, 1, 0, 0])
 
     def test_lost_result(self):
-        """A result that is no longer kept is told as lost, not as not started."""
+        """A result that was dropped is reported as lost, not as not started."""
         limit = runners.KEPT_RESULT_BYTES
         self.addCleanup(setattr, runners, "KEPT_RESULT_BYTES", limit)
         runners.KEPT_RESULT_BYTES = 10
@@ -115,14 +115,14 @@
         self.assertEqual((answer.lost, answer.not_started), ((1,), ()))
 
     def test_stop(self):
-        """A revoke that stops ends a running task; its outcome is a failure."""
+        """A revoke with the stop flag ends a running task, which then fails."""
         self.offer(make_task(1, run_ms=5_000.0))
         self.assertEqual(self.revoke(1, stop=True).started, (1,))
         result = self.outbox.take(Results)[-1].done[0]
         self.assertEqual((result.offer, result.ok), (1, False))
 
     def test_floor(self):
-        """Offers below the floor are settled: refused when late, and never started."""
+        """Offers below the floor are settled: late ones are refused and queued ones never start."""
         self.offer(make_task(1), make_task(2), make_task(3), make_task(4))
         self.offer(make_task(8), floor=8)
         self.outbox.take(Results)
@@ -134,7 +134,7 @@
         self.assertTrue(self.runner.is_idle)
 
     def test_repeated_offer(self):
-        """A repeated offer starts nothing, in whatever state the first is."""
+        """A repeated offer starts nothing, whatever the state of the first."""
         for wait_ms in (0.0, 50.0, 150.0, 500.0):
             with self.subTest(wait_ms=wait_ms):
                 self.make()
@@ -147,7 +147,7 @@
                 self.assertEqual([self.started(number, job) for number in (1, 2, 3)], [1, 1, 1])
 
     def test_home_gone(self):
-        """Nothing new starts for a home that is gone, and no start is denied."""
+        """Nothing starts for a home that is gone, and a started task is not denied."""
         self.offer(*(make_task(number) for number in (1, 2, 3)))
         self.runner.forget_home(HOME)
         self.offer(make_task(4))
@@ -157,7 +157,7 @@
         self.assertEqual([self.started(number) for number in (1, 2, 3, 4)], [1, 1, 0, 0])
 
     def test_refusals(self):
-        """Full, leaving or without a minion, offers are refused at once."""
+        """A full or leaving runner, or one without a minion, refuses offers at once."""
         self.offer(*(make_task(number) for number in range(1, 8)))
         self.assertEqual(self.refusals(), {7: runners.REFUSED_BUSY})
         self.runner.leave()
@@ -172,7 +172,7 @@
         self.assertEqual(self.refusals(), {9: runners.REFUSED_NO_MINION})
 
     def test_connection_refused(self):
-        """A refused connection proves that nothing started; any other fault does not."""
+        """Only a refused connection proves that the task has not started."""
         self.client.script(Fault(FaultKind.REFUSE), "1.1")
         self.client.script(Fault(FaultKind.SILENT), "1.2")
         self.offer(make_task(1), make_task(2))
@@ -182,7 +182,7 @@
         self.assertEqual((result.offer, result.code), (2, "task_outcome_unknown"))
 
     def test_result_batches(self):
-        """Results wait for the last one of their job, within a limit."""
+        """Results are held until the last one of their job is there, for a limited time."""
         cases = (
             ("last of the job", (50.0, 50.0), False, HOME, 55.0, [[1, 2]]),
             ("held for another", (50.0, 900.0), False, HOME, 60.0, []),
@@ -199,7 +199,7 @@
                 self.assertEqual(self.results(), expected)
 
     def test_order_and_reserved_slot(self):
-        """Earlier ranks start first; a kept slot is left to narrow jobs."""
+        """Tasks start in the order of their ranks; one slot is reserved for narrow jobs."""
         self.make(MINION._replace(slots=4))
         self.offer(make_task(20, job=3, run_ms=10.0))
         self.clock.advance(20.0)
@@ -212,8 +212,8 @@
         self.clock.advance(110.0)
         self.assertEqual((self.started(10, 2), self.started(8), self.started(4)), (1, 0, 0))
 
-    def test_slot_is_kept_only_while_narrow_jobs_come(self):
-        """Wide jobs use every slot where no narrow task came lately."""
+    def test_slot_is_reserved_only_while_narrow_jobs_arrive(self):
+        """Wide jobs use every slot if no task of a narrow job arrived recently."""
         self.make(MINION._replace(slots=4))
         self.offer(*(make_task(number, any_slot=False, run_ms=50.0) for number in range(1, 10)))
         self.assertEqual(sum(self.client.starts.values()), 4)
@@ -225,7 +225,7 @@
         self.assertEqual(self.client.running, 4)
 
     def test_stopped_tasks_do_not_eject(self):
-        """Tasks that the dispatcher stopped say nothing about the minion."""
+        """Tasks that the dispatcher stopped do not count against the minion."""
         for number in range(1, 21):
             self.offer(make_task(number, run_ms=5_000.0))
             self.revoke(number, stop=True)
@@ -233,8 +233,8 @@
         self.offer(make_task(99))
         self.assertEqual(self.started(99), 1)
 
-    def test_leaving_repeats_results(self):
-        """What no home has settled is sent once more before the runner goes."""
+    def test_unsettled_results_are_repeated(self):
+        """Results that no home has settled are sent once more before the runner leaves."""
         self.offer(make_task(1), make_task(2))
         self.clock.advance(500.0)
         self.offer(make_task(3), floor=2)
@@ -245,70 +245,70 @@
 
 
 class SlowMinionTest(RunnerCase):
-    """A runner with eight slots whose minion is slow or frozen."""
+    """A runner with eight slots whose minion is slow or does not respond."""
 
     def setUp(self):
         super().setUp()
         self.make(MINION._replace(slots=8))
         self.next = 1
 
-    def give(self, count, run_ms=100.0):
-        """Offer some tasks; return how many of them started."""
+    def offer_tasks(self, count, run_ms=100.0):
+        """Offer tasks and return how many of them started."""
         before = sum(self.client.starts.values())
         tasks = [make_task(self.next + number, run_ms=run_ms) for number in range(count)]
         self.next += count
         self.offer(*tasks)
         return sum(self.client.starts.values()) - before
 
-    def test_queue_comes_back(self):
-        """What has not started on a slow minion is refused, so that it may go elsewhere."""
+    def test_queue_is_returned(self):
+        """Tasks queued for a slow minion are refused, so that other workers can run them."""
         silent = Fault(FaultKind.SILENT)
         cases = (
             ("ten times slower", Fault(slow_factor=10.0), {}, runners.REFUSED_EJECTED),
-            ("frozen", silent, {}, runners.REFUSED_EJECTED),
-            ("no room under the cap", silent, {"may_eject": lambda: False}, ""),
+            ("not responding", silent, {}, runners.REFUSED_EJECTED),
+            ("ejection limit reached", silent, {"may_eject": lambda: False}, ""),
             ("ejection turned off", silent, {"failure_share": lambda: 1.0}, ""),
             ("twice as slow", Fault(slow_factor=2.0), {}, ""),
-            ("as all others", silent, {"pace": Pace(lambda: 2 * SLOW)}, ""),
+            ("as slow as all others", silent, {"pace": Pace(lambda: 2 * SLOW)}, ""),
         )
         for name, fault, health, code in cases:
             with self.subTest(case=name):
                 self.setUp()
                 self.make(MINION._replace(slots=8), **health)
                 self.client.script(fault)
-                self.assertEqual(self.give(20), 8)
+                self.assertEqual(self.offer_tasks(20), 8)
                 self.clock.advance(950.0)
                 queued = range(9, 21)
                 self.assertEqual(self.refusals(), dict.fromkeys(queued, code) if code else {})
                 self.assertEqual(self.runner.load().slots == 0, bool(code))
 
-    def test_one_task_that_hangs(self):
-        """It says nothing of the minion while others end in time."""
+    def test_one_hanging_task(self):
+        """A single hanging task does not eject the minion while others end in time."""
         self.client.script(Fault(FaultKind.SILENT), "1.1")
         for _ in range(40):
-            self.assertGreater(self.give(2), 0)
+            self.assertGreater(self.offer_tasks(2), 0)
             self.clock.advance(200.0)
         self.assertEqual(self.runner.load().free, 7)
 
     def test_stopped_tasks_are_not_late(self):
-        """Tasks that the dispatcher stopped in time say nothing about the minion."""
+        """Tasks that the dispatcher stopped in time do not raise the lateness."""
         self.client.script(Fault(slow_factor=10.0))
         for number in range(1, 41):
-            self.give(1)
+            self.offer_tasks(1)
             self.clock.advance(140.0)
             self.assertGreater(self.runner.load().lateness, 0.0)
             self.revoke(number, stop=True)
             self.assertAlmostEqual(self.runner.load().lateness, 0.0)
 
-    def test_failures_hand_the_queue_back(self):
-        """A minion ejected for its failures keeps no waiting task either."""
+    def test_queue_is_returned_after_failures(self):
+        """Queued tasks are also refused if the minion is ejected for failures."""
         self.client.script(Fault(FaultKind.FAIL))
-        self.give(20)
+        self.offer_tasks(20)
         self.clock.advance(110.0)
         self.assertEqual(self.refusals(), dict.fromkeys(range(13, 21), runners.REFUSED_EJECTED))
 
     def test_pause_of_the_process(self):
-        """Results that came while this process stood still are not late."""
+        """Results that arrived while this process was paused do not count as late."""
         clock, answer = ProcessClock(self.clock), self.client.run
 
         def run(*arguments):
@@ -318,7 +318,7 @@
 
         self.client.run = run
         self.make(MINION._replace(slots=8), clock)
-        self.give(8)
+        self.offer_tasks(8)
         clock.freeze()
         self.clock.advance(9_000.0)
         clock.thaw()
@@ -326,18 +326,18 @@
         self.assertEqual((self.runner.load().free, self.health.is_ejected), (8, False))
 
     def test_probes(self):
-        """A late probe counts as failed; a minion that works again is restored."""
+        """A late probe counts as failed; a minion that recovers is restored."""
         self.client.script(Fault(slow_factor=10.0))
-        self.give(8)
+        self.offer_tasks(8)
         self.clock.advance(3_000.0)
-        self.assertEqual((self.give(2), self.health.is_ejected), (1, True))
+        self.assertEqual((self.offer_tasks(2), self.health.is_ejected), (1, True))
         self.clock.advance(1_500.0)
-        self.assertEqual(self.give(1), 0)
+        self.assertEqual(self.offer_tasks(1), 0)
         self.client.script(Fault())
         self.clock.advance(2_000.0)
         for _ in range(PROBES_TO_RESTORE):
             self.assertTrue(self.health.is_ejected)
-            self.assertEqual((self.runner.load().slots, self.give(2)), (1, 1))
+            self.assertEqual((self.runner.load().slots, self.offer_tasks(2)), (1, 1))
             self.assertEqual(self.runner.load().slots, 0)
             self.clock.advance(200.0)
         self.assertEqual((self.runner.load().free, self.runner.load().lateness), (8, 0.0))
