--- a/geraniumspool/digests.py
+++ b/geraniumspool/digests.py
@@ -52,11 +52,12 @@
 class _Progress:
     """Progress of the digests to one receiver.
 
-    :ivar number: number of the receiver, which spreads the digests with all demand
+    :ivar number: sequence number of the receiver, so that digests with all demand
+        do not go to all receivers in the same round
     :ivar sent_views: roster version and reported members of the latest digests
     :ivar demand: demand in the latest digest
     :ivar digests: number of digests sent
-    :ivar state: state of which the latest digest was made, see ``Digests._state``
+    :ivar state: state at the latest digest, see ``Digests._state``
     :ivar rounds: rounds since the latest digest
     """
 
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -53,7 +53,7 @@
 from geraniumspool.ticket import Ticket, read_ticket
 from geraniumspool.worker import OpenOffer, Worker
 
-# Largest part of its deadline by which a job is put off in favour of others.
+# Largest part of its deadline that a large job is put off by in favour of smaller ones.
 DUE_SHARE = 0.3
 # How long a failed job waits for workers to confirm its revoked offers.
 REVOKE_WAIT_MS = 1_000.0
@@ -139,7 +139,7 @@
 
     @property
     def me(self) -> Peer:
-        """Return this process."""
+        """Return the address and incarnation of this process."""
         return self._messenger.me
 
     def load(self) -> Load:
--- a/geraniumspool/offers.py
+++ b/geraniumspool/offers.py
@@ -29,7 +29,7 @@
 PROBE_MS = 250.0
 # How long a suspected worker is offered nothing.
 SUSPECT_MS = 2_000.0
-# Silence of a worker with open offers after which relayed loads are believed.
+# Silence of a worker with open offers after which relayed loads are accepted.
 HINT_AFTER_MS = 500.0
 # Longest interval between messages to a worker that was given up.
 MAX_SEEK_MS = 10_000.0
@@ -221,8 +221,8 @@
     def hint(self, peer: Peer, load: Load) -> None:
         """Update a worker's load from an indirect report.
 
-        It is ignored while the worker has open offers and was heard recently,
-        since the report may then be older than what is known.
+        The report is ignored if the worker has open offers and sent a message
+        within ``HINT_AFTER_MS``, since it may be older than that message.
         """
         worker = self._workers.get(peer)
         if worker is None:
@@ -236,8 +236,8 @@
         self._next_number += 1
         job, index = task.job, task.index
         run_ms = job.estimates[index]
-        overdue = expect(now, worker.load.wait_ms, run_ms)
-        worker.add(OpenOffer(number, job, index, now, run_ms, overdue))
+        overdue_ms = expect(now, worker.load.wait_ms, run_ms)
+        worker.add(OpenOffer(number, job, index, now, run_ms, overdue_ms))
         job.open_offers[number] = worker.peer
         self._decisions.record(
             TASK_PLACED,
@@ -265,11 +265,11 @@
         if offer is None:
             return
         worker.revoking.discard(number)
-        # Each time the task is reported running, the time until it is overdue
-        # again is the time since it was offered, so that queries become rarer.
+        # Each report of a running task extends its overdue time by the time since
+        # the offer, so that queries about it become rarer.
         now = self._clock.now()
-        overdue = now + max(offer.run_ms, now - offer.sent_ms)
-        worker.open[number] = offer._replace(expected_ms=overdue)
+        overdue_ms = now + max(offer.run_ms, now - offer.sent_ms)
+        worker.open[number] = offer._replace(expected_ms=overdue_ms)
         self._owner.note_started(offer)
 
     def _flush_revokes(self) -> None:
@@ -317,15 +317,15 @@
         eventlet.spawn_n(self._contact_until_heard, worker)
 
     def _contact_until_heard(self, worker: Worker) -> None:
-        pause = SUSPECT_MS
+        pause_ms = SUSPECT_MS
         while self._workers.get(worker.peer) is worker and worker.suspect_until == math.inf:
             self._messenger.send(worker.peer, Revoke(worker.floor(self._next_number), ()))
-            self._clock.sleep(pause)
-            pause = min(pause * 2, MAX_SEEK_MS)
+            self._clock.sleep(pause_ms)
+            pause_ms = min(pause_ms * 2, MAX_SEEK_MS)
 
     def _probe(self, worker: Worker, numbers: set[int], now: float) -> None:
-        oldest_sent = min(worker.open[number].sent_ms for number in numbers)
-        silent_ms = now - max(worker.heard_ms, oldest_sent)
+        oldest_sent_ms = min(worker.open[number].sent_ms for number in numbers)
+        silent_ms = now - max(worker.heard_ms, oldest_sent_ms)
         if silent_ms > self._peer_timeout_ms and worker.probes >= MIN_PROBES:
             self._decisions.record(WORKER_SILENT, worker.peer.address, silent_ms=round(silent_ms))
             self.drop(worker.peer)
--- a/geraniumspool/placement.py
+++ b/geraniumspool/placement.py
@@ -10,8 +10,9 @@
 
 # Usual lookahead: tasks queued at a worker for each of its slots.
 AHEAD_PER_SLOT = 1.0
-# Fewer places than this are not filled at a remote worker without a free slot,
-# unless it has fewer slots, so that messages carry several tasks.
+# Another process's worker without a free slot is offered tasks only if its queue
+# has room for this many, or for as many as it has slots if these are fewer. So
+# a message to it can carry several tasks.
 MIN_REFILL = 4
 # Cost of a message within the failure domain and of one to another domain, as
 # the additional wait in milliseconds that is worth avoiding it.
@@ -139,10 +140,10 @@
         is_own = worker.peer == own
         if free == 0 and not is_own and ahead < min(MIN_REFILL, worker.load.slots):
             ahead = 0
-        first_cost_ms = 0.0 if is_own else _message_cost_ms(worker, domain)
-        first_cost_ms -= FREE_BONUS_MS * min(free, demand.count) * self._random.uniform(0.9, 1.0)
+        first_extra_ms = 0.0 if is_own else _message_cost_ms(worker, domain)
+        first_extra_ms -= FREE_BONUS_MS * min(free, demand.count) * self._random.uniform(0.9, 1.0)
         waiting = worker.urgent if demand.any_slot else worker.waiting
-        return _WorkerPlaces(worker, free, ahead, first_cost_ms, waiting, demand.run_ms)
+        return _WorkerPlaces(worker, free, ahead, first_extra_ms, waiting, demand.run_ms)
 
 
 def _count_free(worker: Worker, demand: Demand) -> int:
@@ -160,7 +161,7 @@
     """The places at one worker in order of cost, and how many of them are taken.
 
     :ivar taken: number of places taken
-    :ivar cost_ms: cost of the next place
+    :ivar cost_ms: cost of the next place; includes that of a message for the first
     """
 
     __slots__ = (
@@ -179,7 +180,7 @@
         worker: Worker,
         free: int,
         ahead: int,
-        first_cost_ms: float,
+        first_extra_ms: float,
         waiting: int,
         run_ms: float,
     ):
@@ -190,7 +191,7 @@
         self._waiting = waiting
         self._step_ms = run_ms / max(1, worker.load.slots)
         self._next_ms = 0.0 if worker.load.free else worker.load.next_ms
-        self.cost_ms = first_cost_ms + self._next_wait_ms()
+        self.cost_ms = first_extra_ms + self._next_wait_ms()
 
     def __lt__(self, other: "_WorkerPlaces") -> bool:
         return self.cost_ms < other.cost_ms
--- a/geraniumspool/roster.py
+++ b/geraniumspool/roster.py
@@ -1,4 +1,6 @@
-"""Roster of all members, that is processes, that one process knows.
+"""Roster: all members known to one process.
+
+Members are the entries and agents, identified by address and incarnation.
 
 Precedence of reports about one incarnation:
 
@@ -54,7 +56,7 @@
 _NO_LOAD = Load()
 
 
-class _Record:
+class _MemberRecord:
     """A member with what this process knows about it.
 
     :ivar sighting: from whom and when this process last learned about the member
@@ -97,10 +99,12 @@
         self._remember_ms = remember_ms
         self._forgotten_version = 0
         # Ordered by each member's last change, so that a suffix holds all later changes.
-        self._records: dict[Peer, _Record] = {}
+        self._records: dict[Peer, _MemberRecord] = {}
         self._incarnations: dict[int, Peer] = {}
+        # The current incarnation at each address.
         self._current: dict[str, Peer] = {}
         self._candidates = Candidates()
+        # Cached result of ``domains`` and the version for which it was computed.
         self._domains: tuple[int, tuple[str, ...]] = (-1, ())
         self._callbacks: list[Callable[[Member], None]] = []
 
@@ -358,7 +362,7 @@
         if record:
             self._replace_sighting(record, sighting)
 
-    def _replace_sighting(self, record: _Record, sighting: Sighting) -> None:
+    def _replace_sighting(self, record: _MemberRecord, sighting: Sighting) -> None:
         old = record.sighting
         record.sighting = sighting
         if (
@@ -368,7 +372,7 @@
         ):
             self.moves += 1
 
-    def _relay_direct_member(self, record: _Record, member: Member, source: Peer) -> bool:
+    def _relay_direct_member(self, record: _MemberRecord, member: Member, source: Peer) -> bool:
         if member.state == MEMBER_DEAD:
             return False
         if member.role != ROLE_ENTRY:
@@ -383,7 +387,7 @@
         return sighting.source not in (None, source) and sighting.source in self._candidates.entries
 
     def _is_silent(
-        self, record: _Record, now: float, timeout_ms: float, learnt_timeout_ms: float | None
+        self, record: _MemberRecord, now: float, timeout_ms: float, learnt_timeout_ms: float | None
     ) -> bool:
         sighting = record.sighting
         if sighting.heard_ms is not None:
@@ -393,7 +397,7 @@
         is_local = record.member.domain == self.domain
         return is_local and now - sighting.learnt_ms > learnt_timeout_ms
 
-    def _assign_other_source(self, record: _Record, now: float) -> bool:
+    def _assign_other_source(self, record: _MemberRecord, now: float) -> bool:
         member = record.member
         sighting = record.sighting
         if sighting.claimed and sighting.claimant in self._candidates.entries:
@@ -410,7 +414,7 @@
     def _add(self, peer: Peer, member: Member) -> bool:
         if not is_final(member):
             self._replace_current(peer)
-        record = _Record(peer, member)
+        record = _MemberRecord(peer, member)
         self._records[peer] = record
         self._incarnations[member.incarnation] = peer
         self._current.setdefault(member.address, peer)
@@ -419,7 +423,7 @@
 
     def _update(
         self,
-        record: _Record,
+        record: _MemberRecord,
         member: Member,
         revive: bool = False,
         override_successor: bool = False,
@@ -435,7 +439,7 @@
         return True
 
     def _may_update(
-        self, record: _Record, member: Member, revive: bool, override_successor: bool
+        self, record: _MemberRecord, member: Member, revive: bool, override_successor: bool
     ) -> bool:
         old = record.member
         if old.state == MEMBER_LEFT:
@@ -459,7 +463,7 @@
         if not is_final(record.member):
             self._change(record, record.member._replace(state=MEMBER_DEAD))
 
-    def _change(self, record: _Record, member: Member) -> None:
+    def _change(self, record: _MemberRecord, member: Member) -> None:
         self.version += 1
         record.version = self.version
         self._records[record.peer] = self._records.pop(record.peer)
@@ -478,11 +482,11 @@
             if record.sighting.source == source and record.member.domain == self.domain:
                 record.sighting = record.sighting._replace(heard_ms=now)
 
-    def _store(self, record: _Record, member: Member) -> None:
+    def _store(self, record: _MemberRecord, member: Member) -> None:
         record.member = member
         self._candidates.put(member)
 
-    def _drop(self, peer: Peer, record: _Record) -> None:
+    def _drop(self, peer: Peer, record: _MemberRecord) -> None:
         del self._records[peer]
         self._forgotten_version = max(self._forgotten_version, record.version)
         if self._incarnations.get(peer.incarnation) == peer:
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -36,17 +36,18 @@
 RESULT_HOLD_MS = 1_000.0
 # How long slots stay reserved after the last task of a narrow job arrived.
 RESERVE_MS = 2_000.0
-# Time of continuous queueing of other tasks after which no slot is reserved.
+# Time for which other tasks have been queued without a break after which no slot
+# is reserved.
 OVERLOAD_MS = 5_000.0
 # Most tasks of narrow jobs that start in a row while others wait.
 MAX_STREAK = 4
-# Queued tasks by slots at which a home with more tasks gets its results at once,
-# so that it can send the next offer in time.
+# Share of the slots: if a home has more tasks and no more than this many are queued
+# here, its results are sent at once, so that the next offer arrives in time.
 LOW_WATER_SHARE = 0.25
 DEFAULT_QUEUE_PER_SLOT = 16.0
 # Most bytes of unsettled results; the oldest are dropped first.
 KEPT_RESULT_BYTES = 16 * 1024 * 1024
-# Most homes that are gone whose late offers are recognised.
+# Most homes remembered as gone, so that their late offers are refused.
 CLOSED_HOMES = 20_000
 # Interval at which the running tasks are checked for lateness.
 LOOK_MS = 50.0
@@ -70,9 +71,9 @@
         A task beyond its estimate is predicted to run as long again as it has
         run so far.
         """
-        elapsed = now - self.started_ms
-        rest_ms = self.estimate_ms - elapsed
-        return rest_ms if rest_ms > 0 else elapsed
+        elapsed_ms = now - self.started_ms
+        remaining_ms = self.estimate_ms - elapsed_ms
+        return remaining_ms if remaining_ms > 0 else elapsed_ms
 
 
 class Runner:
@@ -113,11 +114,13 @@
         self._result_hold_ms = result_hold_ms
         self._ledgers: dict[Peer, Ledger] = {}
         self._gone_homes: OrderedDict[Peer, None] = OrderedDict()
+        # Heaps of queued tasks by ``any_slot``: those of narrow jobs, and all others.
         self._queues: dict[bool, list[tuple[float, int, Entry]]] = {True: [], False: []}
         self._order = itertools.count()
         self._queued = 0
         self._queued_ms = 0.0
         self._queued_urgent = 0
+        # When the latest task of a narrow job arrived, and when no other task was queued.
         self._last_urgent_ms = -RESERVE_MS
         self._other_queue_empty_ms = clock.now()
         self._urgent_streak = 0
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -262,7 +262,7 @@
         self.assertEqual(self.answers(), [("not_run", "job_expired")])
 
     def test_worker_gone(self):
-        """A worker that left, was replaced or is silent fails the jobs with open offers there."""
+        """A worker that left, was replaced or is silent fails the jobs offered there at once."""
 
         def leave():
             self.join(FAR, state=MEMBER_LEFT)
