--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -371,11 +371,13 @@
         return encode_decisions(self._decisions.about(subject))
 
     def _with_decisions(self, record: Record) -> Record:
+        """Return a record with the latest decisions on its job added."""
         subject = f"{read_ticket(record.ticket).job:x}"
         rows = encode_decisions(self._decisions.about(subject)[-KEPT_DECISIONS:])
         return record._replace(answer=record.answer._replace(decisions=rows))
 
     def _join(self, waiter: Waiter, job: Job, digest: bytes | None) -> None:
+        """Add a request to a running job, or answer a conflict if the submitted body differs."""
         if digest is not None and digest != job.digest:
             self._send(waiter, Answer(0, job.text, STATE_CONFLICT))
             return
@@ -498,6 +500,7 @@
         self._finish_if_settled(job)
 
     def _finish_if_settled(self, job: Job) -> None:
+        """Finish an aborted job if it is known whether any of its tasks has started."""
         if job.is_final:
             return
         if job.started:
@@ -506,6 +509,7 @@
             self._finish_failed(job, STATE_NOT_RUN)
 
     def _finish_unsettled(self, job: Job) -> None:
+        """Finish an aborted job whose offers were not all confirmed in time."""
         if not job.is_final:
             self._finish_failed(job, STATE_MAY_HAVE_RUN)
 
--- a/geraniumspool/roster.py
+++ b/geraniumspool/roster.py
@@ -373,6 +373,7 @@
             self.moves += 1
 
     def _relay_direct_member(self, record: _MemberRecord, member: Member, source: Peer) -> bool:
+        """Handle a relayed report about a living member that is heard directly here."""
         if member.state == MEMBER_DEAD:
             return False
         if member.role != ROLE_ENTRY:
@@ -398,6 +399,7 @@
         return is_local and now - sighting.learnt_ms > learnt_timeout_ms
 
     def _assign_other_source(self, record: _MemberRecord, now: float) -> bool:
+        """Make another entry the source of a silent member; return whether one is responsible."""
         member = record.member
         sighting = record.sighting
         if sighting.claimed and sighting.claimant in self._candidates.entries:
@@ -455,6 +457,7 @@
         return current != peer and not is_final(self._records[current].member)
 
     def _replace_current(self, peer: Peer) -> None:
+        """Make an incarnation the current one at its address; a previous one becomes dead."""
         old = self._current.get(peer.address)
         self._current[peer.address] = peer
         if old is None or old == peer:
@@ -464,6 +467,7 @@
             self._change(record, record.member._replace(state=MEMBER_DEAD))
 
     def _change(self, record: _MemberRecord, member: Member) -> None:
+        """Store a changed member under a new version and call the callbacks."""
         self.version += 1
         record.version = self.version
         self._records[record.peer] = self._records.pop(record.peer)
@@ -477,12 +481,14 @@
             callback(member)
 
     def _start_orphan_timeouts(self, source: Peer) -> None:
+        """Start the timeouts of local members whose source, an entry, is gone."""
         now = self._clock.now()
         for record in self._records.values():
             if record.sighting.source == source and record.member.domain == self.domain:
                 record.sighting = record.sighting._replace(heard_ms=now)
 
     def _store(self, record: _MemberRecord, member: Member) -> None:
+        """Store a member without a new version, as for a change of its load."""
         record.member = member
         self._candidates.put(member)
 
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -167,6 +167,7 @@
         )
 
     def _count_usable_slots(self) -> int:
+        """Return the slots to report in the load: for an ejected minion one if a probe is due."""
         if not self.accepts:
             return 0
         if self._health.is_ejected:
@@ -307,6 +308,7 @@
         return self._predict_next_slot() + sum(ahead_ms) / self.slots
 
     def _apply_floor(self, ledger: Ledger, floor: int) -> None:
+        """Drop queued offers and finished ones below a floor, which the home has settled."""
         for entry in ledger.queued_below(floor):
             self._dequeue(entry, REFUSED)
             ledger.close_task(entry.task)
@@ -339,6 +341,7 @@
         heapq.heappush(self._queues[task.any_slot], (due, next(self._order), entry))
 
     def _reason_to_refuse(self, ledger: Ledger, task: OfferedTask) -> str:
+        """Return the reason code with which to refuse a task, empty to accept it."""
         if task.offer < ledger.floor or ledger.home in self._gone_homes:
             return REFUSED_STALE
         if self.minion is None:
@@ -490,6 +493,7 @@
             ledger.hold = self._clock.after(hold_ms, lambda: self._flush(ledger))
 
     def _should_send_now(self, ledger: Ledger, task: OfferedTask, result: TaskResult) -> bool:
+        """Return whether to send a result at once instead of holding it to join others."""
         if ledger.home == self._messenger.me or not result.ok:
             return True
         if ledger.open_tasks[task.job] <= 0:
@@ -504,6 +508,7 @@
             self._drop_result(oldest)
 
     def _drop_result(self, entry: Entry) -> None:
+        """Drop an unsettled result to free memory; its offer counts as lost."""
         offer = entry.task.offer
         if entry.ledger.entries.get(offer) is entry and entry.result is not None:
             self._kept_bytes -= len(entry.result.body)
@@ -511,6 +516,7 @@
             entry.result = None
 
     def _return_task(self, entry: Entry, code: str) -> None:
+        """Mark an accepted task that has not started as refused, for the next message."""
         if entry.state == QUEUED:
             self._dequeue(entry, REFUSED)
         entry.state = REFUSED
@@ -526,6 +532,13 @@
         self._queued_ms = max(0.0, self._queued_ms - entry.task.run_ms)
 
     def _revoke_one(self, ledger: Ledger, offer: int, stop: bool) -> str:
+        """Revoke one offer and return its state, empty if the home has settled it.
+
+        An unknown offer is recorded as refused, so that it is not accepted if it
+        arrives later.
+
+        :param stop: whether to stop the task if it runs
+        """
         if offer < ledger.floor:
             return ""
         entry = ledger.entries.get(offer)
