--- a/geraniumspool/backlog.py
+++ b/geraniumspool/backlog.py
@@ -57,7 +57,7 @@
         heapq.heappush(self._queues[job.width], waiting)
 
     def pop(self, width: Width) -> Waiting | None:
-        """Remove and return the task that is due first among jobs of a width, or None."""
+        """Remove and return the first task due among jobs with a given width, or None."""
         queue = self._queues[width]
         if not queue:
             return None
@@ -66,7 +66,7 @@
         return waiting
 
     def size(self, width: Width) -> int:
-        """Return the number of waiting tasks of jobs of a width."""
+        """Return the number of waiting tasks of jobs with a given width."""
         return len(self._queues[width])
 
     @property
@@ -75,7 +75,7 @@
         return self._work_ms[Width.NARROW]
 
     def count_late(self, width: Width, now: float, most: int) -> int:
-        """Return how many tasks of jobs of a width are past their latest start time.
+        """Return how many tasks of jobs with a given width are past their latest start time.
 
         :param most: largest number to return
         """
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -473,6 +473,7 @@
             self._finish_if_settled(job)
 
     def _seems_slow(self, worker: Worker) -> bool:
+        """Return whether a worker is late, and clearly later than the others."""
         lateness = worker.load.lateness
         return lateness > STANDS_OUT and lateness - self.peers_lateness() > STANDS_OUT
 
--- a/geraniumspool/placer.py
+++ b/geraniumspool/placer.py
@@ -129,9 +129,9 @@
             return
         batches: Batches = {}
         for width in Width:
-            late = self.backlog.count_late(width, self._clock.now(), MAX_LATE)
-            if late:
-                self._place_queue(width, late, LATE_REACH, batches)
+            overdue = self.backlog.count_late(width, self._clock.now(), MAX_LATE)
+            if overdue:
+                self._place_queue(width, overdue, LATE_REACH, batches)
             if self.backlog.size(width):
                 size = self.backlog.size(width)
                 self._place_queue(width, size, REACH_BY_WIDTH[width], batches)
--- a/geraniumspool/roster.py
+++ b/geraniumspool/roster.py
@@ -45,6 +45,8 @@
 # How long members that are dead or have left are kept.
 REMEMBER_MS = 600_000.0
 
+# Order of the states within one version: a state is replaced only by one of the same
+# or a higher rank.
 _RANKS = {
     MEMBER_STARTING: 0,
     MEMBER_READY: 1,
--- a/geraniumspool/sighting.py
+++ b/geraniumspool/sighting.py
@@ -8,6 +8,8 @@
 class Sighting(NamedTuple):
     """From whom and when this process last learned about a member.
 
+    A member is heard directly if its own messages arrive at this process.
+
     :param source: process that relayed the news, None if the member is heard directly
     :param heard_ms: when the member was last heard directly, or when its source
         was lost; None if neither
--- a/tests/test_heartbeat.py
+++ b/tests/test_heartbeat.py
@@ -66,7 +66,7 @@
             PERIOD_MS,
         )
 
-    def know(self, *entries):
+    def add_to_roster(self, *entries):
         for entry in entries:
             self.roster.observe(entry)
 
@@ -88,12 +88,12 @@
         for name, entries, seeds, expected in cases:
             with self.subTest(name):
                 self.setUp()
-                self.know(*entries)
+                self.add_to_roster(*entries)
                 self.heartbeater.add_entries(seeds)
                 self.assertEqual(self.beat(), expected)
 
     def test_failover_from_silent_entry_and_return(self):
-        self.know(*ENTRIES)
+        self.add_to_roster(*ENTRIES)
         [primary] = self.beat()
         self.heartbeater.take_reply(primary, make_reply())
         targets = [self.beat()[0] for _ in range(3)]
@@ -107,7 +107,7 @@
         self.assertEqual(self.beat(), [primary])
 
     def test_silent_entries_are_retried(self):
-        self.know(*ENTRIES, FAR_ENTRY)
+        self.add_to_roster(*ENTRIES, FAR_ENTRY)
         self.heartbeater.add_entries(["tcp://127.0.0.1:7"])
         tried = {self.beat()[0].address for _ in range(12)}
         self.assertEqual(len(tried), 5)
@@ -117,7 +117,7 @@
         def choose(address, entries):
             self.setUp()
             self.me = ME._replace(address=address)
-            self.know(*entries)
+            self.add_to_roster(*entries)
             return self.beat()[0]
 
         addresses = [f"tcp://127.0.0.1:{port}" for port in range(100, 160)]
@@ -128,10 +128,10 @@
         self.assertEqual(set(before), {peer_of(entry) for entry in ENTRIES})
 
     def test_reply_is_applied(self):
-        self.know(ENTRIES[0])
+        self.add_to_roster(ENTRIES[0])
         entry = peer_of(ENTRIES[0])
         other = Member("tcp://127.0.0.1:8", 8, "north", "agent", "dead", "fitting")
-        self.know(other)
+        self.add_to_roster(other)
         reply = make_reply(
             7,
             (other._replace(state="ready"), ME._replace(state="dead")),
@@ -156,7 +156,7 @@
         for revision, newest, expected in cases:
             with self.subTest(revision=revision, newest=newest):
                 self.setUp()
-                self.know(ENTRIES[0])
+                self.add_to_roster(ENTRIES[0])
                 self.configuration.apply([Document("team/opticians", 5, b"{}")])
                 documents = (Document("team/opticians", revision, b"{}"),) if revision else ()
                 reply = make_reply(documents=documents)._replace(config_revision=newest)
@@ -182,7 +182,7 @@
         for name, sender, version, expected in cases:
             with self.subTest(name):
                 self.setUp()
-                self.know(ENTRIES[0])
+                self.add_to_roster(ENTRIES[0])
                 self.beat()
                 for incarnation in (old, new):
                     self.heartbeater.take_reply(entry, make_reply(7, (incarnation,)))
@@ -195,7 +195,7 @@
                 self.assertEqual(living, [expected])
 
     def test_roster_version_is_not_sent_to_another_entry(self):
-        self.know(*ENTRIES)
+        self.add_to_roster(*ENTRIES)
         self.heartbeater.take_reply(Peer("tcp://127.0.0.1:99", 99), make_reply())
         self.beat()
         self.assertEqual(self.messenger.sent[0][1][1:3], (0, 0))
@@ -240,7 +240,7 @@
         for name, act, expected in cases:
             with self.subTest(name):
                 self.setUp()
-                self.know(ENTRIES[0])
+                self.add_to_roster(ENTRIES[0])
                 self.beat()
                 answer()
                 act()
@@ -251,7 +251,7 @@
                     self.assertEqual(message, (0, 7, 0, self.me.load.round_up()))
 
     def test_leaving_is_sent_to_all_entries(self):
-        self.know(*ENTRIES, FAR_ENTRY)
+        self.add_to_roster(*ENTRIES, FAR_ENTRY)
         [primary] = self.beat()
         self.heartbeater.take_reply(primary, make_reply())
         self.me = ME._replace(state="leaving")
@@ -263,7 +263,7 @@
             self.assertEqual(heartbeat.roster_entry, primary.incarnation)
 
     def test_new_incarnation_of_an_entry(self):
-        self.know(ENTRIES[0])
+        self.add_to_roster(ENTRIES[0])
         self.beat()
         self.heartbeater.take_rejection(Peer("tcp://127.0.0.1:8", 8))
         self.heartbeater.take_rejection(Peer(ENTRIES[0].address, 77))
@@ -274,7 +274,7 @@
         self.assertEqual(self.beat(), [Peer(ENTRIES[0].address, 77)])
 
     def test_run_starts_at_random_time_and_continues(self):
-        self.know(ENTRIES[0])
+        self.add_to_roster(ENTRIES[0])
         task = eventlet.spawn(self.heartbeater.run)
         self.addCleanup(task.kill)
         self.clock.advance(0)
