--- a/geraniumspool/admission.py
+++ b/geraniumspool/admission.py
@@ -65,7 +65,7 @@
         retry_ms = 0.0 if workers else NO_CAPACITY_RETRY_MS
         return Verdict(
             JOB_REFUSED_NO_CAPACITY,
-            "no known minion is large enough for every task",
+            "no known minion fits every task",
             retry_ms,
             0.0,
         )
@@ -80,8 +80,7 @@
         retry_ms = max(MIN_RETRY_MS, wait_ms)
         return Verdict(
             JOB_REFUSED_OVERLOAD,
-            f"{tasks} tasks with {size_bytes} payload bytes would wait at this home, at most "
-            f"{MAX_PENDING_TASKS} tasks with {MAX_PENDING_BYTES} bytes may",
+            "too many tasks wait here",
             retry_ms,
             wait_ms,
         )
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -392,11 +392,11 @@
             findings.add("", str(error))
             raise InvalidInput(findings.all) from error
         if announcement.slots < 1:
-            findings.add("slots", f"must be at least 1, not {announcement.slots}")
+            findings.add("slots", "must be at least 1")
         if announcement.connections < 1:
-            findings.add("connections", f"must be at least 1, not {announcement.connections}")
+            findings.add("connections", "must be at least 1")
         if not announcement.url.startswith("http://"):
-            findings.add("url", f"must start with http://, not {announcement.url!r}")
+            findings.add("url", "must be an http address")
     return announcement
 
 
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -154,7 +154,7 @@
             return
         job = Job(ticket, submit)
         if self.leaving:
-            detail = "the home is leaving; request a new ticket, which names another home"
+            detail = "the home is leaving; a new ticket names another"
             code = codes.JOB_REFUSED_LEAVING
             self._refuse(waiter, job, code, detail, NEW_TICKET_RETRY_MS)
             return
@@ -252,7 +252,7 @@
         self._decisions.record(
             codes.TASK_OUTCOME_UNKNOWN, job.subject, task=offer.index, reason=code
         )
-        self._abort(job, code, f"task {offer.index} may have run, but its result is lost")
+        self._abort(job, code, f"task {offer.index} may have run; its result is lost")
         self._finish_if_settled(job)
 
     def expire_records(self) -> None:
@@ -272,7 +272,7 @@
     def abandon(self) -> None:
         """Fail every running job because the process is stopping."""
         for job in list(self._jobs.values()):
-            self._abort(job, CODE_STOPPED, "the home stopped before the job finished")
+            self._abort(job, CODE_STOPPED, "the home stopped before the job was done")
 
     @property
     def watermark(self) -> Watermark:
@@ -336,7 +336,7 @@
         if ticket.home != self.me:
             return self.archives.judge_missing(ticket, text)
         if self._records.may_have_evicted(ticket):
-            detail = "the record of the job may have been evicted"
+            detail = "the ticket is older than what is still remembered"
             return Answer(0, text, STATE_MAY_HAVE_RUN, CODE_EVICTED, detail)
         return None
 
--- a/geraniumspool/quota.py
+++ b/geraniumspool/quota.py
@@ -207,7 +207,7 @@
             return None
         if tasks > limit:
             return Shortage(f"the team may run {limit} tasks at once, never {tasks}", 0.0)
-        detail = f"the team runs {usage.running} tasks here, its part of the quota is {allowed:.0f}"
+        detail = f"{usage.running} tasks of the team run here, {allowed:.0f} may"
         return Shortage(detail, 200.0)
 
     def _check_rate(
