--- a/geraniumspool/callers.py
+++ b/geraniumspool/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface of an entry."""
+"""HTTP API of an entry for callers: issues tickets, accepts, queries and cancels jobs."""
 
 import logging
 
@@ -57,7 +57,10 @@
 
 
 class Callers:
-    """Serves callers: tickets, jobs, states, reasons."""
+    """Handles callers' requests for tickets, jobs, job states and decisions.
+
+    A refusal says that the job did not run only where no earlier request can have run it.
+    """
 
     def __init__(
         self,
@@ -73,10 +76,11 @@
         default_deadline_ms: float,
         max_running_jobs: int,
     ):
-        """Connect the parts.
+        """Store the collaborators and limits.
 
-        :param default_deadline_ms: deadline of jobs where nothing names one
-        :param max_running_jobs: jobs in flight above which new ones are refused
+        :param default_deadline_ms: deadline of a job when neither the request nor a document of
+            its service names one
+        :param max_running_jobs: most calls to homes in flight; at this number new jobs are refused
         """
         self._keyring = keyring
         self._homes = homes
@@ -92,7 +96,7 @@
         self.ready = False
 
     def routes(self) -> list[Route]:
-        """Return the routes of this interface."""
+        """Return the routes of the callers' API."""
         return [
             Route("POST", "/v1/tickets", self._post_tickets),
             Route("POST", "/v1/jobs", self._post_job),
@@ -106,26 +110,26 @@
         ]
 
     def get_job(self, request: Request) -> Reply:
-        """Tell a job's state, or its kept answer."""
+        """Return a job's state, or its recorded answer when it has ended."""
         text, ticket = self._read_ticket(request)
-        return self._ask(text, ticket, Inquire(self._calls.next_number(), text))
+        return self._query(text, ticket, Inquire(self._calls.next_number(), text))
 
     def delete_job(self, request: Request) -> Reply:
-        """Cancel a job."""
+        """Cancel a job at its home and return the resulting state."""
         text, ticket = self._read_ticket(request)
         peer = self._homes.find(ticket).peer
         if peer is None:
-            return self._reply_gone(text, ticket)
+            return self._reply_home_gone(text, ticket)
         cancel = Cancel(self._calls.next_number(), text)
         answer = self._calls.submit(peer, cancel, ASK_LIMIT_MS)
         return self._reply(text, ticket, peer, answer)
 
     def get_decisions(self, request: Request) -> Reply:
-        """Tell every decision on a job that is still kept."""
+        """Return the decisions on a job that this entry and the job's home still keep."""
         text, ticket = self._read_ticket(request)
         peer = self._homes.find(ticket).peer
-        own = self._decisions.about(f"{ticket.job:x}")
-        rows = [describe(decision) for decision in own]
+        local = self._decisions.about(f"{ticket.job:x}")
+        rows = [describe(decision) for decision in local]
         if peer is not None:
             inquire = Inquire(self._calls.next_number(), text, True)
             answer = self._calls.ask(peer, inquire, ASK_LIMIT_MS)
@@ -145,7 +149,7 @@
         return self._submit(text, ticket, submission)
 
     def _post_job(self, request: Request) -> Reply:
-        key = _read_key(request)
+        key = _parse_idempotency_key(request)
         submission = self._read_submission(request)
         try:
             text = self._homes.issue(submission.service)
@@ -155,13 +159,16 @@
             try:
                 text = self._bindings.bind(submission.team, key, text)
             except (BindingUnavailable, KeyExpired) as error:
-                return self._reply_unbound(submission, error)
+                return self._reply_binding_failed(submission, error)
             return self._submit(text, self._keyring.verify(text), submission)
-        return self._submit_unknown(text, submission)
+        return self._submit_new(text, submission)
 
     def _reply_no_home(self, request: Request, service: str, error: NoHome) -> Reply:
-        """Refuse: not run, unless an idempotency key may have run before."""
-        outcome = STATE_MAY_HAVE_RUN if _read_key(request) else STATE_NOT_RUN
+        """Refuse a job because no agent serves its service.
+
+        With an idempotency key an earlier request may have run, so the outcome is "may have run".
+        """
+        outcome = STATE_MAY_HAVE_RUN if _parse_idempotency_key(request) else STATE_NOT_RUN
         decision = self._decisions.record(SERVICE_UNSERVED, service, reason=error.code)
         return reply_problem(
             error.status,
@@ -172,12 +179,12 @@
             retry_after_ms=error.retry_after_ms,
         )
 
-    def _reply_unbound(
+    def _reply_binding_failed(
         self, submission: Submission, error: BindingUnavailable | KeyExpired
     ) -> Reply:
-        """Refuse a job whose key could not be looked up, or is too old to be.
+        """Refuse a job whose idempotency key could not be bound or has expired.
 
-        An earlier request under this key may have run, so "not run" is not said.
+        An earlier request with this key may have run, so the outcome is "may have run".
         """
         decision = self._decisions.record(
             KEY_UNBOUND, submission.service, team=submission.team, reason=error.code
@@ -191,13 +198,13 @@
             retry_after_ms=error.retry_after_ms,
         )
 
-    def _submit_unknown(self, text: str, submission: Submission) -> Reply:
-        """Submit under a ticket that nobody else has seen."""
-        shortage = self._find_shortage(submission)
+    def _submit_new(self, text: str, submission: Submission) -> Reply:
+        """Submit a job under a ticket that was just issued, so no other submission can exist."""
+        refusal = self._find_refusal(submission)
         ticket = self._keyring.verify(text)
-        if shortage is not None:
-            code, detail, retry_ms = shortage
-            decision = self._note_refusal(ticket, code, detail, retry_ms)
+        if refusal is not None:
+            code, detail, retry_ms = refusal
+            decision = self._record_refusal(ticket, code, detail, retry_ms)
             answer = Answer(0, text, STATE_NOT_RUN, code, detail, retry_ms, decision=decision)
             return self._reply(text, ticket, ticket.home, answer)
         try:
@@ -206,25 +213,27 @@
             self._quotas.give_back(submission.team, len(submission.tasks))
 
     def _submit(self, text: str, ticket: Ticket, submission: Submission) -> Reply:
-        """Submit under a ticket that may have been submitted before.
+        """Submit a job under a ticket that may have been submitted before.
+
+        A refusal is sent to the home first: only the home knows whether the job
+        has run, and can record the refusal so that the job never runs later.
 
-        A refusal goes to the home first: only the home can tell that the
-        job has not run, and keep it so.
+        :raises ForeignService: if the ticket was issued for another service
         """
         if submission.service != ticket.service:
             raise ForeignService(f"the ticket is for service {ticket.service!r}")
         peer, is_archive = self._homes.find(ticket)
         if peer is None:
-            return self._reply_gone(text, ticket)
+            return self._reply_home_gone(text, ticket)
         if is_archive:
             return self._send(text, ticket, peer, submission._replace(tasks=()))
-        shortage = self._find_shortage(submission)
-        if shortage is not None:
-            code, detail, retry_ms = shortage
-            self._note_refusal(ticket, code, detail, retry_ms)
+        refusal = self._find_refusal(submission)
+        if refusal is not None:
+            code, detail, retry_ms = refusal
+            self._record_refusal(ticket, code, detail, retry_ms)
             number = self._calls.next_number()
             decline = Decline(number, text, submission.digest, code, detail, retry_ms)
-            limit_ms = self._deadline(submission)
+            limit_ms = self._effective_deadline_ms(submission)
             return self._reply(text, ticket, peer, self._calls.submit(peer, decline, limit_ms))
         try:
             return self._send(text, ticket, peer, submission)
@@ -232,7 +241,7 @@
             self._quotas.give_back(submission.team, len(submission.tasks))
 
     def _send(self, text: str, ticket: Ticket, peer: Peer, submission: Submission) -> Reply:
-        deadline_ms = self._deadline(submission)
+        deadline_ms = self._effective_deadline_ms(submission)
         submit = Submit(
             self._calls.next_number(),
             text,
@@ -246,19 +255,22 @@
         self._decisions.record(HOME_CHOSEN, f"{ticket.job:x}", home=peer.address)
         answer = self._calls.submit(peer, submit, deadline_ms)
         if isinstance(answer, NoAnswer):
-            answer = self._ask_archive(ticket, peer, submit) or answer
+            answer = self._query_archive(ticket, peer, submit) or answer
         return self._reply(text, ticket, peer, answer)
 
-    def _ask_archive(self, ticket: Ticket, asked: Peer, submit: Submit) -> Answer | None:
-        """Ask who keeps the records of a home that left without its answer arriving."""
+    def _query_archive(self, ticket: Ticket, home: Peer, submit: Submit) -> Answer | None:
+        """Query the process that holds the records of a home that left without answering.
+
+        :returns: its answer, or None if there is no such process or it did not answer
+        """
         route = self._homes.find(ticket)
-        if not route.is_archive or route.peer in (None, asked):
+        if not route.is_archive or route.peer in (None, home):
             return None
-        again = submit._replace(request=self._calls.next_number(), tasks=())
-        answer = self._calls.submit(route.peer, again, ASK_LIMIT_MS)
+        resubmit = submit._replace(request=self._calls.next_number(), tasks=())
+        answer = self._calls.submit(route.peer, resubmit, ASK_LIMIT_MS)
         return None if isinstance(answer, NoAnswer) else answer
 
-    def _find_shortage(self, submission: Submission) -> tuple[str, str, float] | None:
+    def _find_refusal(self, submission: Submission) -> tuple[str, str, float] | None:
         if len(self._calls) >= self._max_running_jobs:
             return JOB_REFUSED_OVERLOAD, "too many jobs are in flight here", OVERLOAD_RETRY_MS
         shortage: Shortage | None = self._quotas.take(submission.team, len(submission.tasks))
@@ -266,13 +278,13 @@
             return JOB_REFUSED_QUOTA, shortage.detail, shortage.retry_after_ms
         return None
 
-    def _note_refusal(self, ticket: Ticket, code: str, detail: str, retry_ms: float) -> str:
+    def _record_refusal(self, ticket: Ticket, code: str, detail: str, retry_ms: float) -> str:
         self._metrics.add("jobs_refused", code=code)
         subject = f"{ticket.job:x}"
         retry_after_ms = round(retry_ms)
         return self._decisions.record(code, subject, detail=detail, retry_after_ms=retry_after_ms)
 
-    def _deadline(self, submission: Submission) -> float:
+    def _effective_deadline_ms(self, submission: Submission) -> float:
         if submission.deadline_ms > 0:
             return submission.deadline_ms
         if self._configuration.held(f"service/{submission.service}") is None:
@@ -288,15 +300,15 @@
         text = request.parameters[0]
         return text, self._keyring.verify(text)
 
-    def _ask(self, text: str, ticket: Ticket, message: Inquire | Cancel) -> Reply:
+    def _query(self, text: str, ticket: Ticket, message: Inquire | Cancel) -> Reply:
         peer = self._homes.find(ticket).peer
         if peer is None:
-            return self._reply_gone(text, ticket)
+            return self._reply_home_gone(text, ticket)
         return self._reply(text, ticket, peer, self._calls.ask(peer, message, ASK_LIMIT_MS))
 
     def _reply(self, text: str, ticket: Ticket, peer: Peer, answer: Answer | NoAnswer) -> Reply:
         if isinstance(answer, NoAnswer):
-            return self._reply_silent(text, ticket, answer)
+            return self._reply_no_answer(text, ticket, answer)
         if answer.request:
             self._homes.note_load(peer, answer.load)
         if answer.state == STATE_COMPLETE:
@@ -318,7 +330,7 @@
 
     def _reply_failed(self, text: str, ticket: Ticket, answer: Answer) -> Reply:
         status = STATUS_OF_CODE.get(answer.code, STATUS_OF_OUTCOME[answer.state])
-        is_new_try = answer.state == STATE_NOT_RUN
+        can_retry = answer.state == STATE_NOT_RUN
         decision = answer.decision or self._decisions.record(
             TICKET_HOME_GONE, f"{ticket.job:x}", home=ticket.home.address, reason=answer.code
         )
@@ -329,11 +341,11 @@
             outcome=answer.state,
             decision=decision,
             retry_after_ms=answer.retry_after_ms or None,
-            next_ticket=self._next_ticket(ticket.service) if is_new_try else None,
+            next_ticket=self._next_ticket(ticket.service) if can_retry else None,
             job=text,
         )
 
-    def _reply_silent(self, text: str, ticket: Ticket, answer: NoAnswer) -> Reply:
+    def _reply_no_answer(self, text: str, ticket: Ticket, answer: NoAnswer) -> Reply:
         decision = self._decisions.record(
             TICKET_HOME_GONE, f"{ticket.job:x}", home=ticket.home.address, reason=answer.code
         )
@@ -346,8 +358,10 @@
             job=text,
         )
 
-    def _reply_gone(self, text: str, ticket: Ticket) -> Reply:
-        return self._reply_silent(text, ticket, NoAnswer(CODE_HOME_GONE, "the job's home is gone"))
+    def _reply_home_gone(self, text: str, ticket: Ticket) -> Reply:
+        return self._reply_no_answer(
+            text, ticket, NoAnswer(CODE_HOME_GONE, "the job's home is gone")
+        )
 
     def _next_ticket(self, service: str) -> str | None:
         try:
@@ -367,6 +381,6 @@
         return Reply(200, self._metrics.render(), PROMETHEUS_TEXT)
 
 
-def _read_key(request: Request) -> IdempotencyKey | None:
+def _parse_idempotency_key(request: Request) -> IdempotencyKey | None:
     text = request.header(HEADER)
     return parse_key(text) if text else None
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -1,4 +1,4 @@
-"""The entry: serves callers and operators, and keeps the membership."""
+"""The entry process: serves callers and operators over HTTP and tracks cluster membership."""
 
 import logging
 
@@ -55,7 +55,7 @@
 
 
 class Entry(Application):
-    """One entry process."""
+    """Wires the parts of an entry process together and runs them."""
 
     def __init__(
         self,
@@ -65,7 +65,14 @@
         clock: Clock,
         metrics: Metrics,
     ):
-        """Connect the parts; nothing runs before :meth:`start`."""
+        """Create and connect the components; nothing runs old_revision :meth:`start`.
+
+        :param settings: validated settings
+        :param messenger: sends and receives messages between processes
+        :param store: the platform's store
+        :param clock: source of time
+        :param metrics: counters of this process
+        """
         super().__init__(clock, metrics)
         self._settings = settings
         self._messenger = messenger
@@ -74,14 +81,14 @@
         self.roster = Roster(clock, settings.domain)
         self.configuration = Configuration(clock, metrics)
         self.calls = Calls(messenger, clock, metrics, self.roster.is_gone)
-        self._connect_membership(store, clock)
-        self._connect_configuration(store, clock)
-        self._connect_web(store, clock)
+        self._create_membership(store, clock)
+        self._create_configuration(store, clock)
+        self._create_web_servers(store, clock)
         self._handlers = self._make_handlers()
         self.roster.subscribe(self._member_changed)
 
     def start(self) -> None:
-        """Bind the listeners, register, and begin to follow the store."""
+        """Start the listeners, register this entry and start to watch the store."""
         self._messenger.start(self._receive)
         self._callers_server.start()
         self._operators_server.start()
@@ -91,7 +98,7 @@
         self._run(self.watcher.run)
 
     def ready_line(self) -> ReadyLine:
-        """Return the inbox and the addresses of both listeners."""
+        """Return the addresses of the inbox and of both HTTP listeners."""
         return ReadyLine(
             ready=ROLE_ENTRY,
             inbox=self._messenger.me.address,
@@ -100,11 +107,14 @@
         )
 
     def describe(self) -> Member:
-        """Return this entry as the others should know it."""
+        """Return the membership record that this entry announces to other processes."""
         return Member(*self._messenger.me, self._settings.domain, ROLE_ENTRY, self._state)
 
     def drain(self) -> bool:
-        """Take no new requests and finish those in flight."""
+        """Stop accepting requests and wait for those in flight.
+
+        :returns: whether all of them finished within ``drain_limit_ms``
+        """
         self.decisions.record(DRAIN_STARTED, self._messenger.me.address)
         self.callers.ready = False
         self._state = MEMBER_LEAVING
@@ -116,13 +126,13 @@
         return finished
 
     def stop(self) -> None:
-        """Close links and listeners."""
+        """Stop background work, close the HTTP listeners and the links to other processes."""
         super().stop()
         self._callers_server.stop()
         self._operators_server.stop()
         self._messenger.stop()
 
-    def _connect_membership(self, store: Store, clock: Clock) -> None:
+    def _create_membership(self, store: Store, clock: Clock) -> None:
         self.registry = Registry(
             self._messenger,
             self.roster,
@@ -143,7 +153,7 @@
             store, self.roster, clock, self.describe, self._settings.registration_ttl_ms
         )
 
-    def _connect_configuration(self, store: Store, clock: Clock) -> None:
+    def _create_configuration(self, store: Store, clock: Clock) -> None:
         self.watcher = ConfigurationWatcher(
             store, self.configuration, clock, self._configuration_changed
         )
@@ -155,7 +165,7 @@
             self._configuration_changed,
         )
 
-    def _connect_web(self, store: Store, clock: Clock) -> None:
+    def _create_web_servers(self, store: Store, clock: Clock) -> None:
         settings = self._settings
         keyring = Keyring(list(settings.ticket_keys))
         homes = Homes(self.roster, keyring, clock, settings.domain)
@@ -188,44 +198,46 @@
             self.request_exit,
         )
         self._callers_server = self._serve(self.callers.routes(), settings.callers_listen)
-        shared = [
+        job_routes = [
             Route("GET", "/v1/jobs/{ticket}", self.callers.get_job),
             Route("DELETE", "/v1/jobs/{ticket}", self.callers.delete_job),
             Route("GET", "/v1/jobs/{ticket}/decisions", self.callers.get_decisions),
         ]
-        self._operators_server = self._serve(operators.routes(shared), settings.operators_listen)
+        self._operators_server = self._serve(
+            operators.routes(job_routes), settings.operators_listen
+        )
 
     def _serve(self, routes: list[Route], listen: str) -> WebServer:
         application = WebApplication(routes, self._settings.max_body_bytes, self.metrics, _LOG)
-        connections = self._settings.max_running_jobs + 100
-        longest = self._settings.max_header_bytes
-        return WebServer(application, listen, self._clock, connections, longest)
+        max_connections = self._settings.max_running_jobs + 100
+        max_header_bytes = self._settings.max_header_bytes
+        return WebServer(application, listen, self._clock, max_connections, max_header_bytes)
 
     def _make_handlers(self) -> dict:
         return {
             Answer: self.calls.take_answer,
             Heartbeat: self.registry.take_heartbeat,
             ShortHeartbeat: self.registry.take_short_heartbeat,
-            Digest: self._take_digest,
-            Inquire: self._take_inquire,
-            WrongIncarnation: self._take_rejection,
+            Digest: self._handle_digest,
+            Inquire: self._handle_inquire,
+            WrongIncarnation: self._handle_wrong_incarnation,
             Drain: self._take_drain,
         }
 
-    def _take_digest(self, sender: Peer, digest: Digest) -> None:
-        before = self.configuration.revision
+    def _handle_digest(self, sender: Peer, digest: Digest) -> None:
+        old_revision = self.configuration.revision
         self.registry.take_digest(sender, digest)
-        if self.configuration.revision > before:
+        if self.configuration.revision > old_revision:
             self.registry.push_configuration()
 
-    def _take_inquire(self, sender: Peer, inquire: Inquire) -> None:
-        """Tell another entry about a decision of this one."""
+    def _handle_inquire(self, sender: Peer, inquire: Inquire) -> None:
+        """Answer another entry's query for a decision that this entry recorded."""
         decision = self.decisions.get(inquire.ticket)
         rows = encode_decisions([decision] if decision else [])
         answer = Answer(inquire.request, inquire.ticket, "unknown", decisions=rows)
         self._messenger.send(sender, answer)
 
-    def _take_rejection(self, sender: Peer, rejection: WrongIncarnation) -> None:
+    def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
         self.calls.take_rejection(sender, rejection.meant)
         self.registry.take_rejection(sender, rejection.meant)
 
@@ -240,9 +252,9 @@
 
 
 def build_entry(settings: EntrySettings) -> Entry:
-    """Return an entry with real parts.
+    """Return an entry that uses the system clock, NNG links and etcd.
 
-    :param settings: checked settings
+    :param settings: validated settings
     """
     clock = SystemClock()
     metrics = Metrics(ROLE_ENTRY, settings.domain)
--- a/geraniumspool/homes.py
+++ b/geraniumspool/homes.py
@@ -1,4 +1,7 @@
-"""Choice of homes for new jobs, and the way to the homes of known ones."""
+"""Selection of homes for new jobs and lookup of the process that answers for a job.
+
+The home of a job is the agent that its ticket names, the only one that may run it.
+"""
 
 import random
 from collections import Counter
@@ -17,17 +20,17 @@
 
 
 class NoHome(DispatchError):
-    """No agent that serves the service is known and ready."""
+    """No ready agent that serves the service is known."""
 
     code = "no_home"
     status = 503
 
 
 class Route(NamedTuple):
-    """Where to ask about a job.
+    """The process that answers for a job.
 
-    :param peer: the process to ask, or None where there is none any more
-    :param is_archive: whether it only keeps the home's records
+    :param peer: the process to send requests to, or None if none is left
+    :param is_archive: whether the home has left; ``peer`` then only holds its records
     """
 
     peer: Peer | None
@@ -35,7 +38,7 @@
 
 
 class Homes:
-    """Picks homes by load and finds those that tickets name."""
+    """Selects homes by load and resolves the homes that tickets name."""
 
     def __init__(
         self,
@@ -45,9 +48,13 @@
         domain: str,
         source: random.Random | None = None,
     ):
-        """Connect the parts.
+        """Store the collaborators and subscribe to membership changes.
 
-        :param source: source of random draws
+        :param roster: known members
+        :param keyring: signs the tickets
+        :param clock: source of time
+        :param domain: failure domain of this process, whose agents are preferred
+        :param source: source of random numbers, or None for a new one
         """
         self._roster = roster
         self._keyring = keyring
@@ -55,29 +62,35 @@
         self._domain = domain
         self._random = source or random.Random()
         self._loads: dict[Peer, Load] = {}
-        self._routed: Counter[Peer] = Counter()
+        self._tasks_since_report: Counter[Peer] = Counter()
         roster.subscribe(self._member_changed)
 
     def issue(self, service: str) -> str:
-        """Return a ticket whose home is chosen by load.
+        """Return a ticket for a home chosen by load.
 
-        :raises NoHome: if no agent serves the service
+        :raises NoHome: if no ready agent serves the service
         """
         return self._keyring.issue(self.choose(service), service, self._clock.wall())
 
     def choose(self, service: str) -> Peer:
-        """Return the less loaded of two agents drawn, own failure domain first.
+        """Return the less loaded of two agents sampled at random.
+
+        Agents of other failure domains are considered only if the own one has none.
 
-        :raises NoHome: if no agent serves the service
+        :raises NoHome: if no ready agent serves the service
         """
         members = self._roster.agents(service, self._domain) or self._roster.agents(service)
         if not members:
             raise NoHome(f"no ready agent serves {service!r}", RETRY_MS)
-        drawn = self._random.sample(members, min(2, len(members)))
-        return peer_of(min(drawn, key=self._weigh))
+        sampled = self._random.sample(members, min(2, len(members)))
+        return peer_of(min(sampled, key=self._rank_by_load))
 
     def find(self, ticket: Ticket) -> Route:
-        """Return where to ask about a ticket's job."""
+        """Return the process that answers for a ticket's job.
+
+        A home that left names the process that took over its records; such
+        references are followed at most ``MAX_ARCHIVE_HOPS`` times.
+        """
         peer, hops = ticket.home, 0
         member = self._roster.get(peer)
         while member is not None and member.state == MEMBER_LEFT:
@@ -89,23 +102,27 @@
         return Route(peer, hops > 0)
 
     def note_routed(self, peer: Peer, tasks: int) -> None:
-        """Count tasks sent to a home since its load was last heard of."""
-        self._routed[peer] += tasks
+        """Count tasks sent to a home since it last reported its load.
+
+        :param peer: the home
+        :param tasks: number of tasks sent
+        """
+        self._tasks_since_report[peer] += tasks
 
     def note_load(self, peer: Peer, load: Load) -> None:
-        """Take a home's load from its answer."""
+        """Store the load that a home reported in an answer and reset its count of sent tasks."""
         self._loads[peer] = load
-        self._routed.pop(peer, None)
+        self._tasks_since_report.pop(peer, None)
 
-    def _weigh(self, member: Member) -> tuple[float, int]:
+    def _rank_by_load(self, member: Member) -> tuple[float, int]:
         peer = peer_of(member)
         load = self._loads.get(peer, member.load)
         slots = max(1, load.slots)
-        excess = max(0, self._routed[peer] - load.free)
+        excess = max(0, self._tasks_since_report[peer] - load.free)
         wait_ms = load.wait_ms + load.backlog_ms / slots
-        return wait_ms + excess * ROUTED_TASK_MS / slots, self._routed[peer] - load.free
+        return wait_ms + excess * ROUTED_TASK_MS / slots, self._tasks_since_report[peer] - load.free
 
     def _member_changed(self, member: Member) -> None:
         peer = peer_of(member)
         self._loads.pop(peer, None)
-        self._routed.pop(peer, None)
+        self._tasks_since_report.pop(peer, None)
--- a/geraniumspool/submission.py
+++ b/geraniumspool/submission.py
@@ -1,4 +1,4 @@
-"""Callers' request bodies, checked with all findings at once."""
+"""Parsing and validation of callers' request bodies; all errors are reported together."""
 
 import hashlib
 from collections.abc import Iterator
@@ -25,10 +25,13 @@
 
 
 class Submission(NamedTuple):
-    """A job as its caller sent it.
+    """A job as submitted by a caller.
 
-    :param deadline_ms: time the caller will wait, or 0 for the service's default
-    :param digest: hash of everything but the deadline
+    :param service: name of the service that runs the tasks
+    :param team: team whose quota the job uses
+    :param deadline_ms: longest time the caller waits, or 0 for the service's default
+    :param tasks: the tasks, in the order in which their results are returned
+    :param digest: hash of all fields except the deadline
     """
 
     service: str
@@ -39,7 +42,10 @@
 
 
 class TicketOrder(NamedTuple):
-    """A request for tickets."""
+    """A request to issue tickets.
+
+    :param count: number of tickets to issue
+    """
 
     service: str
     team: str
@@ -47,28 +53,32 @@
 
 
 class Findings:
-    """Faults found in one document."""
+    """Collects the validation errors of one document, at most ``MAX_FINDINGS``."""
 
     def __init__(self, place: str):
-        """Start with none.
+        """Start with an empty list.
 
-        :param place: name of the document
+        :param place: name of the document, used as the place of each finding
         """
         self._place = place
         self.all: list[Finding] = []
 
     def add(self, path: str, text: str) -> None:
-        """Record one fault."""
+        """Add a finding, unless the limit is reached.
+
+        :param path: path of the invalid field, such as ``tasks[0].size``
+        :param text: what is wrong with it
+        """
         if len(self.all) < MAX_FINDINGS:
             self.all.append(Finding(self._place, 0, path, text))
 
 
 @contextmanager
 def collect(place: str) -> Iterator[Findings]:
-    """Collect findings and raise them together at the end.
+    """Return a context that collects findings and raises them together when it exits.
 
     :param place: name of the document
-    :raises InvalidInput: if there was any
+    :raises InvalidInput: if there is at least one finding
     """
     findings = Findings(place)
     yield findings
@@ -77,10 +87,10 @@
 
 
 def parse_submission(body: bytes) -> Submission:
-    """Return the job in a request body.
+    """Parse the body of a job submission.
 
-    :param body: JSON text
-    :raises InvalidInput: with all findings
+    :param body: JSON object as UTF-8
+    :raises InvalidInput: with all findings, if the body is invalid
     """
     with collect("job") as findings:
         fields = _read_object(body, "", findings, _JOB_FIELDS)
@@ -94,9 +104,10 @@
 
 
 def parse_ticket_order(body: bytes) -> TicketOrder:
-    """Return the request for tickets in a request body.
+    """Parse the body of a request for tickets.
 
-    :raises InvalidInput: with all findings
+    :param body: JSON object as UTF-8
+    :raises InvalidInput: with all findings, if the body is invalid
     """
     with collect("tickets") as findings:
         fields = _read_object(body, "", findings, _TICKET_FIELDS)
@@ -109,9 +120,11 @@
 
 
 def check_limits(submission: Submission, service: ServiceDocument) -> None:
-    """Check a job against its service's limits.
+    """Check a job against the limits of its service.
 
-    :raises InvalidInput: with all findings
+    :param submission: the job
+    :param service: document of the job's service
+    :raises InvalidInput: with all findings, if a limit is exceeded
     """
     with collect("job") as findings:
         if len(submission.tasks) > service.max_tasks:
@@ -123,7 +136,7 @@
 
 
 def digest_job(service: str, team: str, tasks: tuple[Task, ...]) -> bytes:
-    """Return a hash by which another body under the same ticket is noticed."""
+    """Return a hash that reveals a different job submitted under the same ticket."""
     data = msgspec.msgpack.encode((service, team, tasks))
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
--- a/geraniumspool/ticket.py
+++ b/geraniumspool/ticket.py
@@ -1,4 +1,4 @@
-"""Tickets: signed job ids that name the one process that may run the job."""
+"""Tickets: signed job ids that name the home, the only process that may run the job."""
 
 import base64
 import binascii
@@ -19,10 +19,10 @@
 
 
 class Ticket(NamedTuple):
-    """What a ticket says.
+    """Contents of a ticket.
 
-    :param home: the process that may run the job
-    :param service: the service the job is for
+    :param home: the only process that may run the job
+    :param service: name of the service that the job uses
     :param issued_ms: issue time, milliseconds since the epoch
     :param job: random number that identifies the job
     """
@@ -38,41 +38,41 @@
 
 
 class Keyring:
-    """The keys tickets are signed with: the first signs, all verify."""
+    """HMAC keys for tickets: the first key signs, every key verifies, so keys can be rotated."""
 
     def __init__(self, keys: list[str]):
-        """Take the keys.
+        """Store the keys.
 
-        :param keys: secrets from the settings, newest first
-        :raises ValueError: if there is none
+        :param keys: secrets from the settings, newest first; only the first ``MAX_KEYS`` are used
+        :raises ValueError: if the list is empty
         """
         if not keys:
             raise ValueError("a keyring needs at least one key")
         self._keys = [key.encode() for key in keys[:MAX_KEYS]]
 
     def issue(self, home: Peer, service: str, issued_ms: int) -> str:
-        """Return a new ticket.
+        """Return a new signed ticket with a random job number.
 
-        :param home: the process that may run the job
-        :param service: the service the job is for
-        :param issued_ms: milliseconds since the epoch
+        :param home: the only process that may run the job
+        :param service: name of the service that the job uses
+        :param issued_ms: issue time, milliseconds since the epoch
         """
         return self.sign(Ticket(home, service, issued_ms, secrets.randbits(RANDOM_BITS)))
 
     def sign(self, ticket: Ticket) -> str:
-        """Return the text form of a ticket."""
+        """Return a ticket as base64url text, signed with the first key."""
         body = _ENCODER.encode(ticket)
         signature = _sign(self._keys[0], body)
         return base64.urlsafe_b64encode(signature + body).rstrip(b"=").decode()
 
     def verify(self, text: str) -> Ticket:
-        """Return what a ticket says.
+        """Verify a ticket's signature and return its contents.
 
-        :param text: the ticket as its caller sent it
-        :raises MalformedTicket: if it is no ticket at all
-        :raises ForgedTicket: if no key signed it
+        :param text: the ticket as received from a caller
+        :raises MalformedTicket: if the text cannot be decoded as a ticket
+        :raises ForgedTicket: if the signature matches none of the keys
         """
-        data = _unwrap(text)
+        data = _decode_text(text)
         signature, body = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
         if not any(hmac.compare_digest(signature, _sign(key, body)) for key in self._keys):
             raise ForgedTicket("no configured key signed this ticket")
@@ -86,7 +86,7 @@
     return hmac.new(key, body, hashlib.sha256).digest()[:SIGNATURE_BYTES]
 
 
-def _unwrap(text: str) -> bytes:
+def _decode_text(text: str) -> bytes:
     if len(text) > MAX_TICKET_CHARS:
         raise MalformedTicket("a ticket is not that long")
     try:
@@ -99,13 +99,14 @@
 
 
 def read_ticket(text: str) -> Ticket:
-    """Return what a ticket says without checking who signed it.
+    """Return the contents of a ticket without verifying its signature.
 
-    For processes behind the entries, which have checked it.
+    For processes that receive tickets from entries, which have verified them.
 
-    :raises MalformedTicket: if it is no ticket at all
+    :param text: the ticket
+    :raises MalformedTicket: if the text cannot be decoded as a ticket
     """
     try:
-        return _DECODER.decode(_unwrap(text)[SIGNATURE_BYTES:])
+        return _DECODER.decode(_decode_text(text)[SIGNATURE_BYTES:])
     except msgspec.MsgspecError as error:
         raise MalformedTicket(str(error)) from error
