--- a/geraniumspool/calls.py
+++ b/geraniumspool/calls.py
@@ -1,4 +1,4 @@
-"""Calls from an entry to the homes of jobs, each until its answer."""
+"""Requests from an entry to the homes of jobs, matched with their answers."""
 
 import itertools
 from collections.abc import Callable
@@ -27,14 +27,18 @@
 
 
 class NoAnswer(NamedTuple):
-    """Why a home gave no answer."""
+    """The reason why no answer of a home is available.
+
+    :param code: ``home_gone`` or ``home_silent``
+    :param detail: the reason as a sentence
+    """
 
     code: str
     detail: str
 
 
 class _Call:
-    """One question that waits for its answer."""
+    """One outstanding request and the latest answer to it."""
 
     def __init__(self, peer: Peer):
         self.peer = peer
@@ -47,18 +51,18 @@
             self.event.send()
 
     def take(self) -> Answer | None:
-        """Return the answer that came, and wait for another from now on."""
+        """Return the answer received so far, if any, and rearm the event for the next one."""
         answer, self.answer = self.answer, None
         self.event = Event()
         return answer
 
 
 class Calls:
-    """Questions of this entry that wait for answers.
+    """Outstanding requests of this entry.
 
-    A lost message is found by asking for the job's state, at growing
-    intervals: a home that does not know the job is sent it again, which is
-    safe, since the home joins what it knows.
+    To recover from lost messages, an entry queries the job's state at growing
+    intervals. If the home does not know the job, it is submitted again; that
+    is idempotent, since a home joins a submission to a job that it already has.
     """
 
     def __init__(
@@ -68,9 +72,12 @@
         counters: Counters,
         is_suspect: Callable[[Peer], bool],
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
-        :param is_suspect: tells whether the membership thinks a peer is dead
+        :param messenger: sends the requests
+        :param clock: source of time
+        :param counters: counters for dropped answers and repeated requests
+        :param is_suspect: returns whether the membership considers a peer dead
         """
         self._messenger = messenger
         self._clock = clock
@@ -78,21 +85,23 @@
         self._is_suspect = is_suspect
         self._numbers = itertools.count(1)
         self._calls: dict[int, _Call] = {}
-        self._usual_ms = MIN_PROBE_MS
+        self._average_response_ms = MIN_PROBE_MS
 
     def __len__(self) -> int:
-        """Return the number of questions that wait."""
+        """Return the number of outstanding requests."""
         return len(self._calls)
 
     def next_number(self) -> int:
-        """Return a number for the next question."""
+        """Return a new request number, unique within this process."""
         return next(self._numbers)
 
     def submit(self, peer: Peer, message: Message, limit_ms: float) -> Answer | NoAnswer:
-        """Send a message on a job and return the job's final answer.
+        """Send a message about a job and wait for the job's final answer.
 
-        :param message: has ``request`` from :meth:`next_number`, and ``ticket``
-        :param limit_ms: longest wait in milliseconds
+        :param peer: the home
+        :param message: has a ``request`` number from :meth:`next_number` and a ``ticket``
+        :param limit_ms: longest wait in milliseconds, to which ``GRACE_MS`` is added
+        :returns: the final answer, or the reason why there is none
         """
         call = self._open(peer, message)
         try:
@@ -101,19 +110,26 @@
             del self._calls[message.request]
 
     def ask(self, peer: Peer, message: Message, limit_ms: float) -> Answer | NoAnswer:
-        """Send a question and return the first answer, final or not."""
+        """Send a request and return the first answer, whether final or not.
+
+        The request is sent a second time if no answer arrives within half of ``limit_ms``.
+
+        :param peer: the process to ask
+        :param message: has a ``request`` number from :meth:`next_number`
+        :param limit_ms: longest wait in milliseconds
+        """
         call = self._open(peer, message)
         try:
             for _ in range(2):
                 if self._clock.wait(call.event, limit_ms / 2):
                     break
                 self._messenger.send(peer, message)
-            return call.take() or self._describe(call)
+            return call.take() or self._make_no_answer(call)
         finally:
             del self._calls[message.request]
 
     def take_answer(self, sender: Peer, answer: Answer) -> None:
-        """Take an answer; one that nobody waits for is dropped."""
+        """Pass an answer to its request; drop it if no request to this sender waits for it."""
         call = self._calls.get(answer.request)
         if call is None or call.peer != sender:
             self._counters.add("answers_dropped")
@@ -122,7 +138,11 @@
         call.wake()
 
     def take_rejection(self, sender: Peer, meant: int) -> None:
-        """Learn that a home's address belongs to another process now."""
+        """Fail the requests to a home whose address now belongs to another process.
+
+        :param sender: the process that now has the address
+        :param meant: incarnation to which the rejected message was addressed
+        """
         gone = Peer(sender.address, meant)
         for call in self._calls.values():
             if call.peer == gone:
@@ -130,7 +150,7 @@
                 call.wake()
 
     def wake(self, peer: Peer) -> None:
-        """Have the questions to a peer looked at, since it may be dead."""
+        """Wake the requests to a peer that may be dead, so that they apply the shorter timeout."""
         for call in self._calls.values():
             if call.peer == peer:
                 call.wake()
@@ -141,46 +161,48 @@
         return call
 
     def _await_final(self, call: _Call, message: Message, limit_ms: float) -> Answer | NoAnswer:
-        begin = heard = self._clock.now()
-        end = begin + limit_ms + GRACE_MS
-        pause = self._first_pause()
+        start_ms = last_answer_ms = self._clock.now()
+        end_ms = start_ms + limit_ms + GRACE_MS
+        delay_ms = self._first_probe_delay()
         while True:
             now = self._clock.now()
-            self._clock.wait(call.event, min(pause, max(0.0, end - now)))
+            self._clock.wait(call.event, min(delay_ms, max(0.0, end_ms - now)))
             answer = call.take()
             now = self._clock.now()
             if answer is not None:
-                heard = now
+                last_answer_ms = now
                 if answer.state in FINAL_STATES or answer.state == STATE_CONFLICT:
-                    self._learn(now - begin)
+                    self._record_response_time(now - start_ms)
                     return answer
-            if call.gone or now >= end or self._is_silent(call, now - heard):
-                return self._describe(call)
-            pause = self._probe(call, message, answer, pause)
+            if call.gone or now >= end_ms or self._is_silent(call, now - last_answer_ms):
+                return self._make_no_answer(call)
+            delay_ms = self._send_probe(call, message, answer, delay_ms)
 
-    def _first_pause(self) -> float:
-        """Return how long to wait before asking, scaled to what jobs usually take."""
-        return min(MAX_PROBE_MS, max(MIN_PROBE_MS, PROBE_FACTOR * self._usual_ms))
+    def _first_probe_delay(self) -> float:
+        """Return the delay before the first state query, in proportion to usual response times."""
+        return min(MAX_PROBE_MS, max(MIN_PROBE_MS, PROBE_FACTOR * self._average_response_ms))
 
-    def _learn(self, response_ms: float) -> None:
-        self._usual_ms += LEARNING_RATE * (response_ms - self._usual_ms)
+    def _record_response_time(self, response_ms: float) -> None:
+        self._average_response_ms += LEARNING_RATE * (response_ms - self._average_response_ms)
 
     def _is_silent(self, call: _Call, silent_ms: float) -> bool:
-        limit = SUSPECT_SILENCE_MS if self._is_suspect(call.peer) else SILENCE_MS
-        return silent_ms > limit
+        timeout_ms = SUSPECT_SILENCE_MS if self._is_suspect(call.peer) else SILENCE_MS
+        return silent_ms > timeout_ms
 
-    def _probe(self, call: _Call, message: Message, answer: Answer | None, pause: float) -> float:
+    def _send_probe(
+        self, call: _Call, message: Message, answer: Answer | None, delay_ms: float
+    ) -> float:
         if answer is not None and answer.state == STATE_UNKNOWN:
             self._counters.add("submits_repeated")
             self._messenger.send(call.peer, message)
-            return self._first_pause()
+            return self._first_probe_delay()
         if answer is not None:
-            return min(MAX_PROBE_MS, pause * 2)
+            return min(MAX_PROBE_MS, delay_ms * 2)
         self._counters.add("inquiries_sent")
         self._messenger.send(call.peer, Inquire(message.request, message.ticket))
-        return pause if self._is_suspect(call.peer) else min(MAX_PROBE_MS, pause * 2)
+        return delay_ms if self._is_suspect(call.peer) else min(MAX_PROBE_MS, delay_ms * 2)
 
-    def _describe(self, call: _Call) -> NoAnswer:
+    def _make_no_answer(self, call: _Call) -> NoAnswer:
         if call.gone:
             return NoAnswer("home_gone", "the job's home is gone")
         return NoAnswer("home_silent", "the job's home did not answer in time")
--- a/geraniumspool/hints.py
+++ b/geraniumspool/hints.py
@@ -1,4 +1,4 @@
-"""Samples of workers' loads for the replies to heartbeats."""
+"""Samples of agents' loads that replies to heartbeats carry as placement hints."""
 
 import heapq
 import math
@@ -15,12 +15,14 @@
 
 
 class Hints:
-    """Loads of some agents, half of them among the least loaded."""
+    """Selects agents whose loads to report: up to half of them from the least loaded ones."""
 
     def __init__(self, roster: Roster, clock: Clock, generator: random.Random):
-        """Connect the parts.
+        """Store the collaborators.
 
-        :param generator: source of random samples
+        :param roster: known members and their loads
+        :param clock: source of time
+        :param generator: source of random numbers
         """
         self._roster = roster
         self._clock = clock
@@ -28,15 +30,15 @@
         self._best: dict[tuple[str, str], tuple[float, list[Member]]] = {}
 
     def choose(self, agent: Member, window: frozenset[str]) -> tuple[tuple[str, int, Load], ...]:
-        """Return loads of agents of the same service, by address and incarnation.
+        """Return address, incarnation and load of some agents of the same service.
 
-        :param agent: who is told
-        :param window: addresses of the foreign agents that it knows
+        :param agent: the agent that receives the hints
+        :param window: addresses of the agents of other failure domains that it knows
         """
-        near = self._roster.agents(agent.service, agent.domain)
-        best = self._find_best(agent.service, agent.domain, near)
+        local = self._roster.agents(agent.service, agent.domain)
+        best = self._find_best(agent.service, agent.domain, local)
         chosen = dict.fromkeys(self._sample(best, HINTS_PER_REPLY // 2))
-        chosen |= dict.fromkeys(self._sample(near, HINTS_PER_REPLY))
+        chosen |= dict.fromkeys(self._sample(local, HINTS_PER_REPLY))
         if len(chosen) <= HINTS_PER_REPLY:
             others = self._roster.agents(agent.service)
             chosen |= dict.fromkeys(m for m in others if m.address in window)
@@ -50,8 +52,8 @@
 
     def _find_best(self, service: str, domain: str, agents: list[Member]) -> list[Member]:
         now = self._clock.now()
-        made_ms, best = self._best.get((service, domain), (-math.inf, []))
-        if now - made_ms >= HINTS_CACHE_MS:
+        cached_ms, best = self._best.get((service, domain), (-math.inf, []))
+        if now - cached_ms >= HINTS_CACHE_MS:
             best = heapq.nlargest(
                 HINT_CANDIDATES, agents, key=lambda member: member.load.free - member.load.queued
             )
--- a/geraniumspool/idempotency.py
+++ b/geraniumspool/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of callers: UUIDs of version 7 (RFC 9562), which name their time."""
+"""Idempotency keys of callers: UUIDs of version 7 (RFC 9562), which contain a timestamp."""
 
 import secrets
 import uuid
@@ -18,10 +18,10 @@
 
 
 class IdempotencyKey(NamedTuple):
-    """A caller's key.
+    """A parsed idempotency key.
 
-    :param text: the UUID in its canonical form
-    :param made_ms: when its caller made it, milliseconds since the epoch
+    :param text: the UUID in canonical lower-case form
+    :param made_ms: creation time by the caller's clock, milliseconds since the epoch
     """
 
     text: str
@@ -29,9 +29,9 @@
 
 
 def make_key(made_ms: int) -> str:
-    """Return a new key, to be kept and sent with every repeat of one request.
+    """Return a new key; a caller sends the same key with every retry of one request.
 
-    :param made_ms: milliseconds since the epoch, now by the caller's clock
+    :param made_ms: current time by the caller's clock, milliseconds since the epoch
     """
     high, low = divmod(secrets.randbits(RANDOM_BITS), 1 << _LOW_RANDOM_BITS)
     time_and_version = made_ms << _TIME_SHIFT | KEY_VERSION << _VERSION_SHIFT
@@ -39,9 +39,10 @@
 
 
 def parse_key(text: str) -> IdempotencyKey:
-    """Return what a key says.
+    """Parse the value of an ``Idempotency-Key`` header.
 
-    :raises InvalidInput: if it is no UUID of version 7
+    :param text: the header's value
+    :raises InvalidInput: if it is not a UUID of version 7 in its usual form with hyphens
     """
     try:
         value = uuid.UUID(text)
@@ -53,8 +54,8 @@
 
 
 def invalid_key(text: str) -> InvalidInput:
-    """Return the refusal of a key.
+    """Return the error for an invalid idempotency key.
 
-    :param text: what is wrong with it
+    :param text: what is wrong with the key
     """
     return InvalidInput([Finding("headers", 0, HEADER, text)])
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -1,13 +1,13 @@
-"""Membership at an entry: heartbeats taken, digests exchanged.
+"""Membership at an entry: handles agents' heartbeats and exchanges digests with entries.
 
-Who passes on what, so that news cannot go round in circles:
+Membership updates propagate along these paths, so that they cannot circulate forever:
 
-* An agent beats at one entry, which is the source of the news about it.
+* An agent sends heartbeats to one entry, which is the source of updates about it.
 * Inside a failure domain each entry sends digests to all others, with the
-  members that it hears itself and those that other domains told it of.
+  members that it hears directly and those reported by other domains.
 * To each other domain, the entry with the lowest address sends digests to one
   entry, with the members of its own domain. An entry that hears an agent of a
-  domain without entries passes that agent on likewise.
+  domain without entries includes that agent in its digests to other domains too.
 """
 
 import logging
@@ -36,7 +36,7 @@
 
 
 class Registry:
-    """Membership as one entry keeps it and passes it on."""
+    """Maintains membership at one entry and propagates it to agents and other entries."""
 
     def __init__(
         self,
@@ -50,25 +50,25 @@
         demand: Callable[[], Demand] = tuple,
         generator: random.Random | None = None,
     ):
-        """Connect the parts.
+        """Create the components and add this entry to the roster.
 
         :param configuration: has ``revision``, ``apply(documents)`` and
             ``since(revision, limit_bytes)``
-        :param me: returns this entry as it is now
-        :param heartbeat_period_ms: shortest period of agents' heartbeats
-        :param heartbeat_timeout_ms: silence that means death, at that period
-        :param demand: returns tasks a second and running tasks, per team
-        :param generator: source of random samples, seeded by the own address by default
+        :param me: returns the current membership record of this entry
+        :param heartbeat_period_ms: shortest heartbeat period of agents, and interval of rounds
+        :param heartbeat_timeout_ms: silence after which a member counts as dead, at that period
+        :param demand: returns task rate per second and running tasks, per team
+        :param generator: source of random numbers; by default seeded with this entry's address
         """
         self._messenger = messenger
         self._roster = roster
         self._clock = clock
         self._configuration = configuration
         self._me = me
-        self._floor_ms = heartbeat_period_ms
+        self._min_period_ms = heartbeat_period_ms
         self._timeout_ms = heartbeat_timeout_ms
         self._rounds = 0
-        self._watched_version = 0
+        self._checked_version = 0
         self._replies = Replies(
             messenger,
             roster,
@@ -102,49 +102,55 @@
 
     @property
     def period_ms(self) -> float:
-        """Period that agents are told, which grows with their number."""
-        return max(self._floor_ms, len(self._replies) * 1000.0 / HEARTBEATS_PER_S)
+        """Heartbeat period that agents are asked to use.
+
+        It grows with their number, so that at most ``HEARTBEATS_PER_S`` arrive here.
+        """
+        return max(self._min_period_ms, len(self._replies) * 1000.0 / HEARTBEATS_PER_S)
 
     @property
     def timeout_ms(self) -> float:
-        """Silence that means death, in proportion to the period."""
-        return self._timeout_ms * self.period_ms / self._floor_ms
+        """Silence after which a member counts as dead, in proportion to :attr:`period_ms`."""
+        return self._timeout_ms * self.period_ms / self._min_period_ms
 
     def run(self) -> None:
-        """Do a round each period, for ever."""
+        """Run a round every heartbeat period, forever."""
         while True:
             self.run_round()
-            self._clock.sleep(self._floor_ms)
+            self._clock.sleep(self._min_period_ms)
 
     def run_round(self) -> None:
-        """Expire silent members and send the digests that are due."""
+        """Declare is_dead_entry members dead and send the digests that are due."""
         self._rounds += 1
         self._roster.observe(self._me(), revive=True)
-        self._watch_unheard()
-        for member in self._roster.expire(self.timeout_ms, self._learnt_timeout_ms()):
-            _LOG.info("%s %s is silent", member.role, member.address)
+        self._watch_unreported()
+        for member in self._roster.expire(self.timeout_ms, self._relayed_timeout_ms()):
+            _LOG.info("%s %s timed out and counts as dead", member.role, member.address)
         if self._rounds % FORGET_ROUNDS == 0:
             self._forget()
         self._prune()
         self._revisions.watch()
         self._digests.send_all()
         if self._rounds % PROBE_ROUNDS == 0:
-            self._probe_silent()
+            self._probe_dead_entries()
 
     def take_heartbeat(self, sender: Peer, heartbeat: Heartbeat) -> None:
-        """Take an agent's heartbeat and reply, if this entry is in charge of it."""
+        """Handle an agent's heartbeat; reply if the agent follows this entry.
+
+        A copy of a heartbeat meant for another entry only updates the roster.
+        """
         member = heartbeat.member
         if peer_of(member) != sender:
             return
         member = member._replace(load=member.load.round_up())
         if heartbeat.roster_entry not in (0, self._messenger.me.incarnation):
-            self._take_copy(heartbeat)
+            self._handle_copy(heartbeat)
             return
         self._roster.hear(member)
         self._replies.send(sender, heartbeat)
 
     def take_short_heartbeat(self, sender: Peer, heartbeat: ShortHeartbeat) -> None:
-        """Take an agent's heartbeat without its state, or ask for that where it is not known."""
+        """Handle a heartbeat without the agent's state; request the state if it is not known."""
         load = heartbeat.load.round_up()
         member = self._roster.hear_again(sender, heartbeat.version, load)
         if member is None:
@@ -154,7 +160,7 @@
         self._replies.send(sender, Heartbeat(member, *known, heartbeat.config_revision))
 
     def take_digest(self, sender: Peer, digest: Digest) -> None:
-        """Take another entry's digest and answer it if it asks for one."""
+        """Apply another entry's digest; send one back if it asks for that."""
         if peer_of(digest.sender) != sender:
             return
         if digest.sender.domain == self._roster.domain:
@@ -172,9 +178,12 @@
             self._digests.answer(digest.sender)
 
     def take_rejection(self, sender: Peer, meant: int) -> None:
-        """Learn that another process took over an entry's address, and greet it.
+        """Request a digest from a process that replaced an entry at the same address.
+
+        A process that started while the store was unavailable may know no other entry.
 
-        It may know nobody, where it started while the store was out.
+        :param sender: the process that now has the address
+        :param meant: incarnation to which the rejected message was addressed
         """
         replaced = self._roster.get(Peer(sender.address, meant))
         if (
@@ -185,34 +194,34 @@
             self._digests.greet(sender)
 
     def push_configuration(self) -> None:
-        """Send new configuration to entries now and to agents in small batches."""
+        """Send new configuration to other entries at once and to agents in small batches."""
         self._digests.send_all()
         self._replies.push()
 
-    def _take_copy(self, heartbeat: Heartbeat) -> None:
-        serving = self._roster.find_incarnation(heartbeat.roster_entry)
-        if serving is None or is_final(serving):
+    def _handle_copy(self, heartbeat: Heartbeat) -> None:
+        followed_entry = self._roster.find_incarnation(heartbeat.roster_entry)
+        if followed_entry is None or is_final(followed_entry):
             self._roster.observe(heartbeat.member)
         else:
-            self._roster.relay(heartbeat.member, peer_of(serving))
+            self._roster.relay(heartbeat.member, peer_of(followed_entry))
 
-    def _watch_unheard(self) -> None:
-        """Let the silence of members that nobody told of as their source count from now."""
-        if self._watched_version == self._roster.version:
+    def _watch_unreported(self) -> None:
+        """Start the silence timeout of this domain's members that no process reports hearing."""
+        if self._checked_version == self._roster.version:
             return
-        self._watched_version = self._roster.version
-        nobody = Sighting()
-        own = self._messenger.me
+        self._checked_version = self._roster.version
+        unreported = Sighting()
+        me = self._messenger.me
         for member in self._roster.members():
             peer = peer_of(member)
-            if peer == own or member.domain != self._roster.domain or is_final(member):
+            if peer == me or member.domain != self._roster.domain or is_final(member):
                 continue
-            if self._roster.sighting(peer) == nobody:
+            if self._roster.sighting(peer) == unreported:
                 self._roster.watch(peer)
 
-    def _learnt_timeout_ms(self) -> float:
+    def _relayed_timeout_ms(self) -> float:
         turns = 1 + math.ceil(len(self._roster.members()) / REFRESH_PER_DIGEST)
-        return self.timeout_ms + REFRESH_TURNS * turns * self._floor_ms
+        return self.timeout_ms + REFRESH_TURNS * turns * self._min_period_ms
 
     def _forget(self) -> None:
         known = len(self._roster.members())
@@ -226,9 +235,13 @@
         self._digests.prune(living)
         self._reports.prune(living)
 
-    def _probe_silent(self) -> None:
+    def _probe_dead_entries(self) -> None:
         living = {entry.address for entry in self._roster.entries()}
         for member in self._roster.members():
-            silent = member.role == ROLE_ENTRY and member.state == MEMBER_DEAD
-            if silent and member.domain == self._roster.domain and member.address not in living:
+            is_dead_entry = member.role == ROLE_ENTRY and member.state == MEMBER_DEAD
+            if (
+                is_dead_entry
+                and member.domain == self._roster.domain
+                and member.address not in living
+            ):
                 self._digests.greet(peer_of(member))
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -1,11 +1,11 @@
-"""Replies to agents' heartbeats, and configuration pushed to them.
-
-A reply holds the changes of the roster since the version that the agent has:
-all of its own failure domain and of the entries, and of other domains those
-in its window; what leaves the window is released, since nothing more will be
-told of it. Whoever comes without a version gets all of it. Agents at which
-tasks wait are told loads of workers as well; the others learn those from
-offers and results.
+"""Replies to agents' heartbeats, and configuration pushes to agents.
+
+A reply contains the roster changes since the version that the agent has: all
+members of its own failure domain, all entries, and the members of other domains
+in its window. Members that left the window are listed as released, since the
+agent gets no more updates about them. An agent without a version gets the full
+selection. Agents with queued tasks also get loads of workers; the others learn
+these from offers and results.
 """
 
 import random
@@ -36,13 +36,13 @@
 
 class _AgentView(NamedTuple):
     config_revision: int
-    foreign: frozenset[str]
+    known_window: frozenset[str]
     sent_version: int
-    sent_foreign: frozenset[str]
+    sent_window: frozenset[str]
 
 
 class Replies:
-    """What the agents that beat here are told."""
+    """Replies to the agents that send their heartbeats to this entry."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         period_ms: Callable[[], float],
         generator: random.Random,
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
         :param configuration: has ``revision`` and ``since(revision, limit_bytes)``
-        :param period_ms: returns how long agents should wait before they beat again
-        :param generator: source of random samples
+        :param period_ms: returns the heartbeat period that agents should use
+        :param generator: source of random numbers for samples of loads
         """
         self._messenger = messenger
         self._roster = roster
@@ -70,12 +70,12 @@
         self._push_timer = Timer(lambda: None)
 
     def __len__(self) -> int:
-        """Return the number of agents that beat here."""
+        """Return the number of agents that send heartbeats to this entry."""
         return len(self._agents)
 
     @property
     def agents(self) -> list[Peer]:
-        """The agents that beat here."""
+        """The agents that send heartbeats to this entry."""
         return list(self._agents)
 
     def send(self, sender: Peer, heartbeat: Heartbeat) -> None:
@@ -83,25 +83,25 @@
         self._messenger.send(sender, self._reply(sender, heartbeat))
 
     def ask_again(self, sender: Peer) -> None:
-        """Ask an agent for all of its state."""
+        """Ask an agent to send a heartbeat with its full state."""
         self._messenger.send(sender, self._make(again=True))
 
     def push(self) -> None:
         """Send new configuration to the agents in small batches.
 
-        It does not block: a timer sends the batches after the first.
+        This does not block: a timer sends the batches after the first.
         """
         self._push_timer.cancel()
         self._push(deque(self._agents))
 
     def documents(self, revision: int) -> tuple[Document, ...]:
-        """Return the documents to send next to somebody who has a revision."""
+        """Return the next documents for a process whose configuration is at a revision."""
         if revision >= self._configuration.revision:
             return ()
         return tuple(self._configuration.since(revision, DOCUMENT_BYTES))
 
     def served_revisions(self) -> dict[str, int]:
-        """Return the lowest configuration revision per failure domain of the agents here."""
+        """Return the lowest configuration revision of this entry's agents, per failure domain."""
         lowest: dict[str, int] = {}
         for peer, view in self._agents.items():
             member = self._roster.get(peer)
@@ -111,30 +111,30 @@
         return lowest
 
     def has_guests(self) -> bool:
-        """Return whether agents of other failure domains beat here."""
+        """Return whether agents of other failure domains send heartbeats to this entry."""
         members = map(self._roster.get, self._agents)
         return any(member and member.domain != self._roster.domain for member in members)
 
     def prune(self) -> None:
-        """Forget agents that are gone or beat elsewhere."""
+        """Remove agents that are gone or send their heartbeats to another entry."""
         for peer in list(self._agents):
             if self._roster.is_gone(peer) or not self._roster.sighting(peer).direct:
                 del self._agents[peer]
 
     def forget_rings(self) -> None:
-        """Choose windows anew, since members were forgotten."""
+        """Discard the hash rings, which still contain members that the roster has removed."""
         self._windows.clear()
 
     def _push(self, waiting: deque[Peer]) -> None:
-        pushed = 0
-        while waiting and pushed < PUSHES_AT_ONCE:
+        sent = 0
+        while waiting and sent < PUSHES_AT_ONCE:
             peer = waiting.popleft()
             view = self._agents.get(peer)
             if view is None or view.config_revision >= self._configuration.revision:
                 continue
             documents = self.documents(view.config_revision)
             self._messenger.send(peer, self._make(documents=documents))
-            pushed += 1
+            sent += 1
         if waiting:
             self._push_timer = self._clock.after(PUSH_PAUSE_MS, lambda: self._push(waiting))
 
@@ -147,9 +147,9 @@
         documents = self.documents(heartbeat.config_revision)
         if whole and leaving:
             return self._make(documents=documents)
-        known = frozenset() if whole else view.foreign
+        known = frozenset() if whole else view.known_window
         if not whole and version == view.sent_version:
-            known = view.sent_foreign
+            known = view.sent_window
         window = self._windows.choose(member)
         self._agents[sender] = _AgentView(
             heartbeat.config_revision, known, self._roster.version, window
@@ -201,9 +201,11 @@
             )
         changed = self._roster.since(version)
         selected = [m for m in changed if is_near(m) or m.address in window or m.address in known]
-        fresh = window - known if window is not known else None
-        if fresh:
-            done = set(map(peer_of, selected))
+        added = window - known if window is not known else None
+        if added:
+            already_selected = set(map(peer_of, selected))
             living = [m for m in self._roster.members() if not is_final(m)]
-            selected += [m for m in living if m.address in fresh and peer_of(m) not in done]
+            selected += [
+                m for m in living if m.address in added and peer_of(m) not in already_selected
+            ]
         return tuple(selected)
--- a/geraniumspool/reports.py
+++ b/geraniumspool/reports.py
@@ -1,4 +1,4 @@
-"""What the other entries said in their last digests."""
+"""Demand and configuration revisions that other entries reported in their last digests."""
 
 from typing import NamedTuple
 
@@ -12,8 +12,8 @@
 class PeerDemand(NamedTuple):
     """Demand that another entry reported.
 
-    :param entry: the entry; one of another domain reports for its whole domain
-    :param demand: tasks a second and running tasks, per team
+    :param entry: the reporting entry; one of another domain reports its whole domain's demand
+    :param demand: task rate per second and running tasks, per team
     """
 
     entry: Peer
@@ -21,12 +21,13 @@
 
 
 class Report(NamedTuple):
-    """What one entry said of itself.
+    """The last report of one entry.
 
-    :param domain: its failure domain
-    :param heard_ms: when it was heard
-    :param in_force: lowest configuration revision per failure domain it serves
-    :param config_revision: newest configuration revision it has
+    :param domain: the entry's failure domain
+    :param heard_ms: time of its last digest, in milliseconds of the clock
+    :param demand: task rate per second and running tasks, per team
+    :param in_force: lowest configuration revision of its agents, per failure domain
+    :param config_revision: newest configuration revision that the entry has
     """
 
     domain: str
@@ -37,19 +38,20 @@
 
 
 class Reports:
-    """The last report of each other entry."""
+    """Stores the last report of each other entry."""
 
     def __init__(self, clock: Clock, timeout_ms: float):
-        """Start with none.
+        """Start empty.
 
-        :param timeout_ms: how long a report counts as fresh
+        :param clock: source of time
+        :param timeout_ms: age up to which a report counts as fresh
         """
         self._clock = clock
         self._timeout_ms = timeout_ms
         self._reports: dict[Peer, Report] = {}
 
     def take(self, sender: Peer, digest: Digest) -> None:
-        """Keep what a digest says."""
+        """Update the sender's report from a digest."""
         report = self._reports.get(sender)
         known = report.demand if report and not digest.all_demand else ()
         self._reports[sender] = Report(
@@ -61,31 +63,32 @@
         )
 
     def get(self, peer: Peer) -> Report | None:
-        """Return an entry's report, or None."""
+        """Return an entry's last report, or None if there is none."""
         return self._reports.get(peer)
 
     def fresh(self) -> list[tuple[Peer, Report]]:
-        """Return the reports that are not too old to count."""
+        """Return the reports that are not older than the timeout, with their senders."""
         limit_ms = self._clock.now() - self._timeout_ms
         return [(peer, r) for peer, r in self._reports.items() if r.heard_ms >= limit_ms]
 
     def demand(self) -> list[PeerDemand]:
-        """Return the demand that other entries reported lately."""
+        """Return the demand in the fresh reports of other entries."""
         return [PeerDemand(peer, report.demand) for peer, report in self.fresh()]
 
     def prune(self, living: set[Peer]) -> None:
-        """Drop the reports of entries that are gone.
+        """Remove the reports of entries that are gone.
 
-        :param living: those that are not
+        :param living: entries whose reports to keep
         """
         for peer in [peer for peer in self._reports if peer not in living]:
             del self._reports[peer]
 
 
 def merge(known: Demand, changes: Demand) -> Demand:
-    """Return demand after changes.
+    """Apply changes to a demand and return the result.
 
-    :param changes: rows that are new or differ; of a team that has no demand any more, zeros
+    :param known: demand before the changes
+    :param changes: new and changed rows; a row of zeros removes a team
     """
     if not changes:
         return known
@@ -94,7 +97,11 @@
 
 
 def find_changes(told: Demand, demand: Demand) -> Demand:
-    """Return the changes that make ``demand`` of what was told."""
+    """Return the changes that turn the demand reported last into the current one.
+
+    :param told: demand that the receiver has
+    :param demand: current demand
+    """
     if told is demand:
         return ()
     before = {row[0]: row for row in told}
--- a/geraniumspool/revisions.py
+++ b/geraniumspool/revisions.py
@@ -1,8 +1,8 @@
-"""Configuration revisions in force, and failure domains that fell silent.
+"""Configuration revisions in force, and detection of unreachable failure domains.
 
-An entry knows the revisions of the agents that beat at it. Of other failure
-domains it knows what digests tell, directly or through its neighbours. Where
-they tell of a domain no more, the domain is unreachable.
+An entry knows the revisions of the agents that send heartbeats to it. Revisions
+of other failure domains come in digests, directly or through entries of this
+domain. A domain that digests no longer report counts as unreachable.
 """
 
 import logging
@@ -14,25 +14,25 @@
 from geraniumspool.reports import Reports
 from geraniumspool.roster import Roster
 
-# Where nothing changed, digests to other failure domains go out every second round.
+# Without changes, digests to other failure domains are sent every second round.
 FAR_ROUNDS = 2
 TOLD_ROUNDS = FAR_ROUNDS + 1
-# One lost digest is not silence.
+# One lost digest must not make a domain unreachable.
 SILENT_ROUNDS = 2 * FAR_ROUNDS + 1
-# Neighbours tell in every round what they heard, for TOLD_ROUNDS.
+# Entries of this domain repeat what they heard directly in every round, for TOLD_ROUNDS.
 NEAR_SILENT_ROUNDS = 3
 
 _LOG = logging.getLogger(__name__)
 
 
-class _Afar(NamedTuple):
+class _ForeignRevision(NamedTuple):
     revision: int
     heard_ms: float
     direct: bool
 
 
 class Revisions:
-    """The lowest revision in force per failure domain, as far as it is known here."""
+    """Tracks the lowest revision in force per failure domain and unreachable domains."""
 
     def __init__(
         self,
@@ -43,31 +43,32 @@
         served: Callable[[], dict[str, int]],
         period_ms: float,
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
         :param configuration: has ``revision``
-        :param served: returns the lowest revision per domain of the agents that beat here
-        :param period_ms: period of digests
+        :param reports: last reports of other entries
+        :param served: returns the lowest revision of this entry's agents, per failure domain
+        :param period_ms: interval of rounds, in which digests are sent
         """
         self._roster = roster
         self._clock = clock
         self._configuration = configuration
         self._reports = reports
-        self._serve = served
+        self._get_agent_revisions = served
         self._period_ms = period_ms
         self._started_ms = clock.now()
-        self._afar: dict[str, _Afar] = {}
+        self._foreign: dict[str, _ForeignRevision] = {}
 
     def take(self, digest: Digest) -> None:
-        """Take what a digest tells of other failure domains."""
+        """Store the revisions of other failure domains that a digest reports."""
         direct = digest.sender.domain != self._roster.domain
         for domain, revision in digest.in_force:
-            if domain != self._roster.domain and (direct or not self._is_told(domain)):
-                self._afar[domain] = _Afar(revision, self._clock.now(), direct)
+            if domain != self._roster.domain and (direct or not self._is_forwarded(domain)):
+                self._foreign[domain] = _ForeignRevision(revision, self._clock.now(), direct)
         self.watch()
 
     def watch(self) -> None:
-        """Tell the roster of which failure domains nothing is heard any more."""
+        """Update the roster's set of unreachable failure domains and log changes."""
         before = self._roster.unreachable
         self._roster.set_unreachable(filter(self._is_silent, self._roster.domains()))
         for domain in sorted(self._roster.unreachable ^ before):
@@ -75,55 +76,60 @@
             _LOG.warning("failure domain %s is %s", domain, state)
 
     def in_force(self) -> dict[str, int]:
-        """Return the lowest revision per failure domain.
+        """Return the lowest revision in force per failure domain.
 
-        Of a domain that is silent it is the last that was reported.
+        For an unreachable domain this is the last reported one.
         """
-        own = self._roster.domain
-        lowest = self._served()
+        own_domain = self._roster.domain
+        lowest = self._get_served_revisions()
         for _, report in self._reports.fresh():
-            told = [revision for domain, revision in report.in_force if domain == own]
-            if report.domain == own:
-                told.append(report.config_revision)
-            lowest[own] = min([lowest[own], *told])
-        afar = {domain: news.revision for domain, news in self._afar.items()}
-        return afar | lowest
+            reported = [revision for domain, revision in report.in_force if domain == own_domain]
+            if report.domain == own_domain:
+                reported.append(report.config_revision)
+            lowest[own_domain] = min([lowest[own_domain], *reported])
+        foreign = {domain: known.revision for domain, known in self._foreign.items()}
+        return foreign | lowest
 
     def near(self) -> dict[str, int]:
-        """Return what to tell other entries of the own failure domain."""
-        told = {d: news.revision for d, news in self._afar.items() if self._is_told(d)}
-        return told | self._served()
+        """Return the revisions to report to other entries of this failure domain."""
+        reported = {
+            d: known.revision for d, known in self._foreign.items() if self._is_forwarded(d)
+        }
+        return reported | self._get_served_revisions()
 
     def far(self, speaks: bool) -> dict[str, int]:
-        """Return what to tell entries of other failure domains.
+        """Return the revisions to report to entries of other failure domains.
 
-        :param speaks: whether this entry speaks for its domain
+        :param speaks: whether this entry reports for its whole domain
         """
-        served = self._served()
-        own = self._roster.domain
+        served = self._get_served_revisions()
+        own_domain = self._roster.domain
         if speaks:
-            served[own] = self.in_force()[own]
+            served[own_domain] = self.in_force()[own_domain]
         else:
-            del served[own]
+            del served[own_domain]
         return served
 
-    def _served(self) -> dict[str, int]:
-        own, revision = self._roster.domain, self._configuration.revision
-        served = self._serve()
-        return served | {own: min(revision, served.get(own, revision))}
+    def _get_served_revisions(self) -> dict[str, int]:
+        own_domain, revision = self._roster.domain, self._configuration.revision
+        served = self._get_agent_revisions()
+        return served | {own_domain: min(revision, served.get(own_domain, revision))}
 
-    def _is_told(self, domain: str) -> bool:
-        """Return whether this entry tells its neighbours what it heard of a domain."""
-        news = self._afar.get(domain)
-        if news is None or not news.direct:
+    def _is_forwarded(self, domain: str) -> bool:
+        """Return whether this entry forwards a domain's revision to entries of its domain.
+
+        It does so for ``TOLD_ROUNDS`` after it last heard of the domain directly.
+        """
+        known = self._foreign.get(domain)
+        if known is None or not known.direct:
             return False
-        return self._clock.now() - news.heard_ms <= TOLD_ROUNDS * self._period_ms
+        return self._clock.now() - known.heard_ms <= TOLD_ROUNDS * self._period_ms
 
     def _is_silent(self, domain: str) -> bool:
         if domain == self._roster.domain:
             return False
-        news = self._afar.get(domain)
-        heard_ms = news.heard_ms if news else self._started_ms
-        rounds = NEAR_SILENT_ROUNDS if news and not news.direct else SILENT_ROUNDS
+        known = self._foreign.get(domain)
+        heard_ms = known.heard_ms if known else self._started_ms
+        rounds = NEAR_SILENT_ROUNDS if known and not known.direct else SILENT_ROUNDS
         is_late = self._clock.now() - heard_ms > rounds * self._period_ms
-        return is_late and domain not in self._serve()
+        return is_late and domain not in self._get_agent_revisions()
--- a/geraniumspool/status.py
+++ b/geraniumspool/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators of the failure domains."""
+"""Status of a failure domain as an entry reports it to operators."""
 
 from typing import TypedDict
 
@@ -7,9 +7,20 @@
 
 
 class DomainStatus(TypedDict):
-    """What an entry knows of one failure domain.
+    """State of one failure domain as an entry knows it.
 
-    Of an unreachable one it is what was last heard.
+    For an unreachable domain these are the values last reported.
+
+    :ivar state: ``reachable`` or ``unreachable``
+    :ivar agents: agents that are neither dead nor left
+    :ivar ready: agents that accept tasks
+    :ivar leaving: agents that drain
+    :ivar ejected: agents ejected for failures
+    :ivar slots: slots of all agents
+    :ivar free: free slots
+    :ivar queued: queued tasks
+    :ivar config_revision: lowest configuration revision in force
+    :ivar evacuated: whether operators have evacuated the domain
     """
 
     domain: str
--- a/geraniumspool/views.py
+++ b/geraniumspool/views.py
@@ -1,6 +1,6 @@
-"""Which members an entry tells other entries of.
+"""Selection of the members that an entry reports to other entries.
 
-Kept until a member changes, or another process is heard to be its source.
+A selection is cached until a member changes or the source of its updates does.
 """
 
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 from geraniumspool.roster import Roster
 from geraniumspool.sighting import Sighting
 
-_Key = tuple[int, int, bool]
+_CacheKey = tuple[int, int, bool]
 
 
 class View(NamedTuple):
-    """Members to tell receivers of one kind of.
+    """The members to report to entries of this domain, or to those of other domains.
 
-    :param order: in the order of their last change
-    :param peers: the same, for look-ups
+    :param order: the members, in the order of their last change
+    :param peers: the same members as a set
     """
 
     order: tuple[Peer, ...]
@@ -25,54 +25,63 @@
 
 
 class Views:
-    """The members to tell of inside the own failure domain, and outside."""
+    """The members to report inside and outside this entry's failure domain."""
 
     def __init__(self, roster: Roster, me: Peer):
-        """Follow a roster.
+        """Start with an empty cache.
 
-        :param me: this process, of which digests tell anyway
+        :param roster: cached_key members
+        :param me: this process, left out because each digest contains its sender
         """
         self._roster = roster
         self._me = me
-        self._kept: dict[bool, tuple[_Key, View]] = {}
+        self._cache: dict[bool, tuple[_CacheKey, View]] = {}
 
     def near(self) -> View:
-        """Return members heard here, and those that other domains told of."""
-        return self._keep(True, False)
+        """Return the members to report to entries of this domain.
+
+        These are the members heard directly and those reported by other domains.
+        """
+        return self._get_cached(True, False)
 
     def far(self, speaks: bool) -> View:
-        """Return guests heard here, and if this entry speaks for its domain that domain's own."""
-        return self._keep(False, speaks)
+        """Return the members to report to entries of other domains.
+
+        These are agents of other domains heard directly, which have no entry of their own.
+
+        :param speaks: whether this entry reports the members of its own domain as well
+        """
+        return self._get_cached(False, speaks)
 
-    def _keep(self, near: bool, speaks: bool) -> View:
+    def _get_cached(self, near: bool, speaks: bool) -> View:
         key = (self._roster.version, self._roster.moves, speaks)
-        known, view = self._kept.get(near, (None, None))
-        if view is None or known != key:
-            is_told = self._is_near_news if near else self._is_far_news
+        cached_key, view = self._cache.get(near, (None, None))
+        if view is None or cached_key != key:
+            is_reported = self._is_reported_locally if near else self._is_reported_abroad
             members = ((m, self._roster.sighting(peer_of(m))) for m in self._roster.members())
-            order = tuple(peer_of(m) for m, sighting in members if is_told(m, sighting, speaks))
+            order = tuple(peer_of(m) for m, sighting in members if is_reported(m, sighting, speaks))
             view = View(order, frozenset(order))
-            self._kept[near] = (key, view)
+            self._cache[near] = (key, view)
         return view
 
-    def _is_near_news(self, member: Member, sighting: Sighting, _speaks: bool) -> bool:
+    def _is_reported_locally(self, member: Member, sighting: Sighting, _speaks: bool) -> bool:
         if peer_of(member) == self._me:
             return False
-        return _is_heard_here(sighting) or self._is_from_afar(sighting)
+        return _is_heard_directly(sighting) or self._comes_from_other_domain(sighting)
 
-    def _is_far_news(self, member: Member, sighting: Sighting, speaks: bool) -> bool:
+    def _is_reported_abroad(self, member: Member, sighting: Sighting, speaks: bool) -> bool:
         if peer_of(member) == self._me:
             return False
         if member.domain != self._roster.domain:
-            return _is_heard_here(sighting)
-        return speaks and not self._is_from_afar(sighting)
+            return _is_heard_directly(sighting)
+        return speaks and not self._comes_from_other_domain(sighting)
 
-    def _is_from_afar(self, sighting: Sighting) -> bool:
+    def _comes_from_other_domain(self, sighting: Sighting) -> bool:
         if sighting.source is None:
             return False
         source = self._roster.get(sighting.source)
         return source is not None and source.domain != self._roster.domain
 
 
-def _is_heard_here(sighting: Sighting) -> bool:
+def _is_heard_directly(sighting: Sighting) -> bool:
     return sighting.direct and not sighting.claimed
--- a/geraniumspool/windows.py
+++ b/geraniumspool/windows.py
@@ -1,7 +1,8 @@
-"""Which members of other failure domains an agent is told of.
+"""Selection of the members of other failure domains that an agent is informed about.
 
-The agents of all domains stand on a ring, in the order of a hash. An agent is
-told of those that follow its own place, so each is known to about as many.
+All agents are placed on a ring, ordered by the hash of their address. An agent's
+window holds the agents of other domains that follow its own position, so that
+each agent is known to about the same number of others.
 """
 
 import bisect
@@ -16,30 +17,33 @@
 
 
 class _Ring(NamedTuple):
-    places: list[tuple[bytes, str]]
+    positions: list[tuple[bytes, str]]
     entries: int
-    chosen: dict[str, frozenset[str]]
+    windows: dict[str, frozenset[str]]
 
 
 class Windows:
-    """Windows of foreign members, from rings that are kept until a member changes."""
+    """Windows of agents of other failure domains.
+
+    One hash ring per domain is cached until a member on it changes.
+    """
 
     def __init__(self, roster: Roster):
-        """Follow a roster."""
+        """Subscribe to membership changes of a roster."""
         self._roster = roster
         self._rings: dict[str, _Ring] = {}
-        roster.subscribe(self._drop)
+        roster.subscribe(self._invalidate)
 
     def choose(self, agent: Member) -> frozenset[str]:
-        """Return the addresses of other domains' agents that an agent is told of."""
+        """Return the addresses of the agents of other domains in an agent's window."""
         ring = self._ring(agent.domain)
-        window = ring.chosen.get(agent.address)
+        window = ring.windows.get(agent.address)
         if window is None:
-            window = ring.chosen[agent.address] = _choose(ring, agent.address)
+            window = ring.windows[agent.address] = _select_window(ring, agent.address)
         return window
 
     def clear(self) -> None:
-        """Drop all rings, since members were forgotten."""
+        """Discard all cached rings; called after the roster has removed members."""
         self._rings.clear()
 
     def _ring(self, domain: str) -> _Ring:
@@ -49,25 +53,25 @@
         foreign = [m for m in self._roster.members() if m.domain != domain]
         addresses = {member.address for member in foreign if member.role == ROLE_AGENT}
         entries = sum(m.role == ROLE_ENTRY and not is_final(m) for m in foreign)
-        places = sorted((_place(address), address) for address in addresses)
-        self._rings[domain] = _Ring(places, entries, {})
+        positions = sorted((_hash_address(address), address) for address in addresses)
+        self._rings[domain] = _Ring(positions, entries, {})
         return self._rings[domain]
 
-    def _drop(self, member: Member) -> None:
-        """Drop the rings that a changed member belongs to."""
+    def _invalidate(self, member: Member) -> None:
+        """Discard the cached rings that contain a changed member."""
         for domain in [domain for domain in self._rings if domain != member.domain]:
             del self._rings[domain]
 
 
-def _choose(ring: _Ring, address: str) -> frozenset[str]:
+def _select_window(ring: _Ring, address: str) -> frozenset[str]:
     size = max(0, FOREIGN_MEMBERS - ring.entries)
-    places = ring.places
-    if len(places) <= size:
-        return frozenset(address for _, address in places)
-    start = bisect.bisect(places, (_place(address), ""))
-    chosen = (places + places[:size])[start : start + size]
-    return frozenset(address for _, address in chosen)
+    positions = ring.positions
+    if len(positions) <= size:
+        return frozenset(address for _, address in positions)
+    start = bisect.bisect(positions, (_hash_address(address), ""))
+    selected = (positions + positions[:size])[start : start + size]
+    return frozenset(address for _, address in selected)
 
 
-def _place(address: str) -> bytes:
+def _hash_address(address: str) -> bytes:
     return hashlib.blake2b(address.encode(), digest_size=8).digest()
