--- a/geraniumspool/audit.py
+++ b/geraniumspool/audit.py
@@ -1,8 +1,8 @@
-"""Audit trail of the operators' changes of the configuration.
+"""Audit trail of operators' configuration changes.
 
-Each stored configuration value carries its whole change, so a record that was
-not written, by a crash or a lost answer, is filled in by the next reader or
-change. A change is recorded before another one replaces it.
+Each configuration value in the store contains its complete change. If a crash or
+a lost answer prevents the audit record from being written, the next reader or
+change writes it. A change is always recorded before another one replaces it.
 """
 
 from typing import NamedTuple, TypedDict
@@ -21,12 +21,15 @@
 
 
 class ChangeEnvelope(NamedTuple):
-    """What is stored under a configuration key: a document and its change.
+    """Value stored under a configuration key: a document and the change that made it.
 
+    :param change_id: id that the operator chose for the change
+    :param who: operator who made the change
+    :param why: reason for the change
     :param at_ms: time of the change, milliseconds since the epoch
-    :param body: the document as its operator wrote it, None where it was deleted
+    :param body: the document as the operator wrote it, None if it was deleted
     :param previous: revision that the change replaced, or 0
-    :param before: the document that the change replaced, None where there was none
+    :param before: the document that the change replaced, None if there was none
     """
 
     change_id: str
@@ -39,14 +42,17 @@
 
 
 class AuditRecord(NamedTuple):
-    """One accepted change.
+    """Audit record of one accepted change.
 
     :param key: key of the document, such as ``team/opticians``
-    :param revision: revision that the change made
+    :param revision: revision that the change created
+    :param who: operator who made the change
     :param at_ms: time of the change, milliseconds since the epoch
-    :param previous: revision that it replaced, or 0
-    :param before: document that it replaced, None where there was none
-    :param after: the new document, None where it was deleted
+    :param why: reason for the change
+    :param change_id: id that the operator chose for the change
+    :param previous: revision that the change replaced, or 0
+    :param before: document that the change replaced, None if there was none
+    :param after: the new document, None if it was deleted
     """
 
     key: str
@@ -61,103 +67,108 @@
 
 
 class History(NamedTuple):
-    """Changes of one key, the newest first.
+    """Changes of one document.
 
-    :param records: the changes
-    :param fresh: whether they were read from the store just now
+    :param records: the changes, newest first
+    :param fresh: whether they were just read from the store, not from this process's cache
     """
 
     records: tuple[AuditRecord, ...]
     fresh: bool
 
 
-# Stored as objects, while msgspec reads a named tuple from an array.
-_ENVELOPES = msgspec.json.Decoder(TypedDict("_EnvelopeObject", ChangeEnvelope.__annotations__))
-_RECORDS = msgspec.json.Decoder(TypedDict("_RecordObject", AuditRecord.__annotations__))
+# The store holds JSON objects, but msgspec decodes a named tuple from an array only.
+_ENVELOPE_DECODER = msgspec.json.Decoder(
+    TypedDict("_EnvelopeObject", ChangeEnvelope.__annotations__)
+)
+_RECORD_DECODER = msgspec.json.Decoder(TypedDict("_RecordObject", AuditRecord.__annotations__))
 
 
 def encode_envelope(envelope: ChangeEnvelope) -> bytes:
-    """Return the stored form of an envelope, a JSON object."""
+    """Return an envelope as a JSON object."""
     return msgspec.json.encode(envelope._asdict())
 
 
 def decode_envelope(value: bytes) -> ChangeEnvelope | None:
-    """Return the envelope in a stored value, None where it is anything else."""
+    """Return the envelope in a stored value, or None if the value is not an envelope."""
     try:
-        return ChangeEnvelope(**_ENVELOPES.decode(value))
+        return ChangeEnvelope(**_ENVELOPE_DECODER.decode(value))
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
 
 
 def _decode_record(value: bytes) -> AuditRecord | None:
     try:
-        return AuditRecord(**_RECORDS.decode(value))
+        return AuditRecord(**_RECORD_DECODER.decode(value))
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
 
 
 class AuditTrail:
-    """The changes accepted so far, kept in the platform's store."""
+    """Writes and reads audit records in the platform's store.
+
+    Records read before are cached, to be served while the store is unavailable.
+    """
 
     def __init__(self, store: Store, clock: Clock):
-        """Start with nothing read.
+        """Start with an empty cache.
 
-        :param store: where the records are kept
+        :param store: holds the records
         :param clock: source of time
         """
         self._store = store
         self._clock = clock
-        self._recorded: dict[str, int] = {}
-        self._known: dict[str, tuple[AuditRecord, ...]] = {}
+        self._recorded_revisions: dict[str, int] = {}
+        self._cached_records: dict[str, tuple[AuditRecord, ...]] = {}
         self.last_read_ms: float | None = None
 
     def settle(self, key: str) -> None:
-        """Make sure that the latest change of a key is recorded.
+        """Write the audit record of a key's latest change if it is missing.
 
         :param key: key of a document
-        :raises StoreError: if the store failed; it is safe to repeat
+        :raises StoreError: if the store failed; the call can be repeated safely
         """
         stored = self._store.get(CONFIG_PREFIX + key)
         if stored is not None:
             self.record(key, stored)
 
     def record(self, key: str, stored: KeyValue) -> None:
-        """Make sure that the change in a stored value is recorded.
+        """Write the audit record of the change in a stored value if it is missing.
 
         :param key: key of a document
-        :param stored: its envelope as read from the store
-        :raises StoreError: if the store failed; it is safe to repeat
+        :param stored: the key's value as read from the store
+        :raises StoreError: if the store failed; the call can be repeated safely
         """
         envelope = decode_envelope(stored.value)
-        if envelope is None or self._recorded.get(key, 0) >= stored.revision:
+        if envelope is None or self._recorded_revisions.get(key, 0) >= stored.revision:
             return
         audit_key = f"{AUDIT_PREFIX}{key}/{stored.revision:0{REVISION_DIGITS}d}"
         record = _make_record(key, stored.revision, envelope)
         if self._store.get(audit_key) is None:
             self._store.swap(audit_key, 0, msgspec.json.encode(record._asdict()))
-        self._recorded[key] = stored.revision
+        self._recorded_revisions[key] = stored.revision
 
     def list(self, key: str, limit: int = MAX_RECORDS) -> History:
-        """Return the latest changes of a key, the newest first.
+        """Return the latest changes of a key, newest first.
 
-        In an outage of the store these are the ones read here before.
+        If the store fails, the cached changes are returned.
 
         :param key: key of a document
-        :param limit: most changes to return, at most ``MAX_RECORDS``
+        :param limit: maximum number of changes to return, capped at ``MAX_RECORDS``
         """
         limit = max(0, min(limit, MAX_RECORDS))
         try:
             self.settle(key)
             records = self._read(key)
         except StoreError:
-            return History(self._known.get(key, ())[:limit], fresh=False)
+            return History(self._cached_records.get(key, ())[:limit], fresh=False)
         return History(records[:limit], fresh=True)
 
     def find(self, key: str, change_id: str) -> AuditRecord | None:
-        """Return a change by its id, None where it is not among the latest.
+        """Return a change by its id, or None if it is not among the latest ``MAX_RECORDS``.
 
         :param key: key of a document
-        :param change_id: id that the operator gave
+        :param change_id: id that the operator chose
         :raises StoreError: if the store failed
         """
         for record in self._read(key):
@@ -171,16 +182,16 @@
         decoded = [_decode_record(pair.value) for pair in pairs]
         records = tuple(record for record in decoded if record is not None)
         self.last_read_ms = self._clock.now()
-        self._keep(key, records)
+        self._cache_records(key, records)
         return records
 
-    def _keep(self, key: str, records: tuple[AuditRecord, ...]) -> None:
+    def _cache_records(self, key: str, records: tuple[AuditRecord, ...]) -> None:
         if not records:
             return
-        self._known.pop(key, None)
-        if len(self._known) >= KEPT_KEYS:
-            del self._known[next(iter(self._known))]
-        self._known[key] = records[:KEPT_RECORDS]
+        self._cached_records.pop(key, None)
+        if len(self._cached_records) >= KEPT_KEYS:
+            del self._cached_records[next(iter(self._cached_records))]
+        self._cached_records[key] = records[:KEPT_RECORDS]
 
 
 def _make_record(key: str, revision: int, envelope: ChangeEnvelope) -> AuditRecord:
--- a/geraniumspool/change_desk.py
+++ b/geraniumspool/change_desk.py
@@ -1,4 +1,4 @@
-"""Operators' changes of the configuration, each accepted at most once."""
+"""Operators' configuration changes: validated, written with compare-and-swap, idempotent."""
 
 import logging
 import re
@@ -31,10 +31,10 @@
 
 
 class ChangeReceipt(NamedTuple):
-    """An accepted change.
+    """Confirmation of an accepted change.
 
-    :param status: ``STATUS_ACCEPTED``
-    :param revision: revision that the change made
+    :param status: always ``STATUS_ACCEPTED``
+    :param revision: revision that the change created
     """
 
     status: str
@@ -42,11 +42,12 @@
 
 
 class CurrentDocument(NamedTuple):
-    """A document to base a change on.
+    """The current version of a document, on which a change can be based.
 
-    :param revision: revision to give as the expected one, 0 where there is none
-    :param body: text as its operator wrote it, empty where there is none
-    :param fresh: whether it was read from the store just now
+    :param key: a kind and a name, such as ``service/fitting``
+    :param revision: revision to pass as the expected one, 0 if there is no document
+    :param body: text as the operator wrote it, empty if there is no document
+    :param fresh: whether it was just read from the store, not applied from this process
     """
 
     key: str
@@ -64,11 +65,12 @@
     why: str
 
 
-class _Base(NamedTuple):
-    """What a change would replace.
+class _CurrentVersion(NamedTuple):
+    """The version of a document that a change would replace.
 
-    :param stored_revision: the key's revision in the store, or 0
-    :param revision: newest revision known of it
+    :param stored_revision: the key's revision in the store, or 0 if the key is absent
+    :param revision: newest known revision, which may come from this process
+    :param text: the document, or None if there is none
     """
 
     stored_revision: int
@@ -77,7 +79,7 @@
 
 
 class ChangeDesk:
-    """Accepts the operators' changes, each at most once."""
+    """Applies operators' configuration changes, each at most once per change id."""
 
     def __init__(
         self,
@@ -87,13 +89,13 @@
         clock: Clock,
         on_change: Callable[[list[Document]], None] | None = None,
     ):
-        """Record the parts.
+        """Store the collaborators.
 
         :param store: the platform's store
-        :param configuration: what is in force at this process
-        :param audit: where accepted changes are recorded
+        :param configuration: the documents in force in this process
+        :param audit: records accepted changes
         :param clock: source of time
-        :param on_change: called with the documents taken; must not block
+        :param on_change: called with the documents that came into force here; must not block
         """
         self._store = store
         self._configuration = configuration
@@ -110,149 +112,159 @@
         who: str,
         why: str,
     ) -> ChangeReceipt:
-        """Change one document; repeating a call with its id is safe.
+        """Change one document; the call is idempotent for the same change id.
 
         :param key: a kind and a name, such as ``service/fitting``
         :param body: the new document, or None to delete it
-        :param expected_revision: revision the change is based on, 0 for none
-        :param change_id: id that the operator made up for this change
-        :param who: who changes it
+        :param expected_revision: revision that the change is based on, 0 for a new document
+        :param change_id: id that the operator chose for this change
+        :param who: operator who makes the change
         :param why: reason for the change
         :raises InvalidInput: with all findings; nothing was written
-        :raises StaleRevision: if another change came first; nothing was written
-        :raises ChangeUnknown: if the store did not tell; repeat the call
+        :raises StaleRevision: if another change was accepted first; nothing was written
+        :raises ChangeUnknown: if the outcome is unknown; repeat the call with the same id
         """
         _check_proposal(key, body, change_id, who, why)
         text = None if body is None else body.decode("utf-8-sig")
         proposal = _Proposal(key, text, expected_revision, change_id, who, why)
         delay_ms = PROPOSE_FIRST_DELAY_MS
-        fault = "other changes came in between"
+        cause = "other changes came in between"
         for attempt in range(PROPOSE_ATTEMPTS):
             try:
-                receipt = self._attempt(proposal)
+                receipt = self._try_change(proposal)
             except StoreError as error:
-                fault = error.detail
+                cause = error.detail
                 if attempt + 1 < PROPOSE_ATTEMPTS:
                     self._clock.sleep(delay_ms)
                     delay_ms *= 2
                 continue
             if receipt is not None:
                 return receipt
-        detail = f"change {change_id} is not known to be accepted ({fault}); repeat it as it is"
+        detail = f"change {change_id} is not known to be accepted ({cause}); repeat it as it is"
         raise ChangeUnknown(detail, retry_after_ms=PROPOSE_RETRY_AFTER_MS)
 
     def current(self, key: str) -> CurrentDocument:
-        """Return a document from the store, in its outage what is in force.
+        """Return a document from the store, or the version in force here if the store fails.
 
         :param key: a kind and a name, such as ``service/fitting``
-        :raises InvalidInput: if it is none
+        :raises InvalidInput: if the key is invalid
         """
         _raise_findings(check_key(key))
         try:
             stored = self._store.get(CONFIG_PREFIX + key)
         except StoreError:
-            base = self._find_base(key, None)
-            return CurrentDocument(key, base.revision, (base.text or "").encode(), fresh=False)
-        base = self._find_base(key, stored)
-        return CurrentDocument(key, base.revision, (base.text or "").encode(), fresh=True)
+            current_version = self._find_current(key, None)
+            return CurrentDocument(
+                key, current_version.revision, (current_version.text or "").encode(), fresh=False
+            )
+        current_version = self._find_current(key, stored)
+        return CurrentDocument(
+            key, current_version.revision, (current_version.text or "").encode(), fresh=True
+        )
 
     def history(self, key: str, limit: int = 100) -> History:
-        """Return the latest changes of a document, the newest first.
+        """Return the latest changes of a document, newest first.
 
         :param key: a kind and a name, such as ``service/fitting``
-        :param limit: most changes to return
-        :raises InvalidInput: if it is none
+        :param limit: maximum number of changes to return
+        :raises InvalidInput: if the key is invalid
         """
         _raise_findings(check_key(key))
         return self._audit.list(key, limit)
 
-    def _attempt(self, proposal: _Proposal) -> ChangeReceipt | None:
+    def _try_change(self, proposal: _Proposal) -> ChangeReceipt | None:
         stored = self._read(proposal.key)
-        receipt = self._find_accepted(proposal, stored)
+        receipt = self._find_earlier_receipt(proposal, stored)
         if receipt is not None:
             return receipt
-        base = self._find_base(proposal.key, stored)
-        recreates = base.text is None and proposal.expected_revision == 0
-        if proposal.expected_revision != base.revision and not recreates:
-            raise StaleRevision(_describe_winner(proposal.key, base, stored))
+        current_version = self._find_current(proposal.key, stored)
+        recreates = current_version.text is None and proposal.expected_revision == 0
+        if proposal.expected_revision != current_version.revision and not recreates:
+            raise StaleRevision(_describe_conflict(proposal.key, current_version, stored))
         envelope = ChangeEnvelope(
             change_id=proposal.change_id,
             who=proposal.who,
             why=proposal.why,
             at_ms=self._clock.wall(),
             body=proposal.text,
-            previous=base.revision,
-            before=base.text,
+            previous=current_version.revision,
+            before=current_version.text,
         )
         stored_key = CONFIG_PREFIX + proposal.key
         value = encode_envelope(envelope)
-        outcome = self._store.swap(stored_key, base.stored_revision, value)
+        outcome = self._store.swap(stored_key, current_version.stored_revision, value)
         if not outcome.swapped:
             return None
-        return self._accept(proposal.key, KeyValue(stored_key, value, outcome.revision))
+        return self._complete_change(proposal.key, KeyValue(stored_key, value, outcome.revision))
 
     def _read(self, key: str) -> KeyValue | None:
-        known_revision = self._configuration.store_revision
+        applied_revision = self._configuration.store_revision
         snapshot = self._store.list(CONFIG_PREFIX)
-        if snapshot.revision < known_revision:
-            # A revision below the ones in force would never come in force.
-            detail = f"the store went back from revision {known_revision} to {snapshot.revision}"
+        if snapshot.revision < applied_revision:
+            # A change made now would get a revision below the one in force and never take effect.
+            detail = f"the store went back from revision {applied_revision} to {snapshot.revision}"
             raise ChangeUnknown(detail, retry_after_ms=PROPOSE_RETRY_AFTER_MS)
         matches = [pair for pair in snapshot.pairs if pair.key == CONFIG_PREFIX + key]
         return matches[0] if matches else None
 
-    def _find_accepted(self, proposal: _Proposal, stored: KeyValue | None) -> ChangeReceipt | None:
+    def _find_earlier_receipt(
+        self, proposal: _Proposal, stored: KeyValue | None
+    ) -> ChangeReceipt | None:
         envelope = decode_envelope(stored.value) if stored else None
         if envelope is not None and envelope.change_id == proposal.change_id:
-            _check_same(proposal, envelope.body)
-            return self._accept(proposal.key, stored)
+            _check_same_change(proposal, envelope.body)
+            return self._complete_change(proposal.key, stored)
         if stored is not None:
             self._audit.record(proposal.key, stored)
         record = self._audit.find(proposal.key, proposal.change_id)
         if record is None:
             return None
-        _check_same(proposal, record.after)
+        _check_same_change(proposal, record.after)
         return ChangeReceipt(STATUS_ACCEPTED, record.revision)
 
-    def _accept(self, key: str, stored: KeyValue) -> ChangeReceipt:
+    def _complete_change(self, key: str, stored: KeyValue) -> ChangeReceipt:
         try:
             self._audit.record(key, stored)
             self._refresh()
         except StoreError as error:
-            _LOG.warning("change of %s accepted, its record or watch lags: %s", key, error)
+            _LOG.warning(
+                "change of %s accepted, but audit record or refresh failed: %s", key, error
+            )
         return ChangeReceipt(STATUS_ACCEPTED, stored.revision)
 
     def _refresh(self) -> None:
-        # The whole prefix, as taking one key alone could skip an older change of another.
-        known_revision = self._configuration.store_revision
+        # Read the whole prefix: applying one key alone could skip an older change of another key.
+        applied_revision = self._configuration.store_revision
         snapshot = self._store.list(CONFIG_PREFIX)
-        taken = self._configuration.apply_snapshot(snapshot, known_revision)
-        if taken and self._on_change is not None:
-            self._on_change(taken)
+        applied = self._configuration.apply_snapshot(snapshot, applied_revision)
+        if applied and self._on_change is not None:
+            self._on_change(applied)
 
-    def _find_base(self, key: str, stored: KeyValue | None) -> _Base:
-        held = self._configuration.held(key)
+    def _find_current(self, key: str, stored: KeyValue | None) -> _CurrentVersion:
+        in_force = self._configuration.held(key)
         stored_revision = stored.revision if stored else 0
-        if held is not None and held.revision > stored_revision:
-            return _Base(stored_revision, held.revision, held.body.decode() or None)
+        if in_force is not None and in_force.revision > stored_revision:
+            return _CurrentVersion(
+                stored_revision, in_force.revision, in_force.body.decode() or None
+            )
         if stored is None:
-            return _Base(0, 0, None)
+            return _CurrentVersion(0, 0, None)
         envelope = decode_envelope(stored.value)
         text = envelope.body if envelope else stored.value.decode(errors="replace")
-        return _Base(stored_revision, stored_revision, text)
+        return _CurrentVersion(stored_revision, stored_revision, text)
 
 
-def _describe_winner(key: str, base: _Base, stored: KeyValue | None) -> str:
-    text = f"{key} is at revision {base.revision}"
-    if base.revision == 0:
+def _describe_conflict(key: str, current_version: _CurrentVersion, stored: KeyValue | None) -> str:
+    text = f"{key} is at revision {current_version.revision}"
+    if current_version.revision == 0:
         return f"{key} does not exist"
     envelope = decode_envelope(stored.value) if stored else None
-    if envelope is None or stored.revision != base.revision:
+    if envelope is None or stored.revision != current_version.revision:
         return text
     return f"{text}, changed by {envelope.who}: {envelope.why} (change {envelope.change_id})"
 
 
-def _check_same(proposal: _Proposal, accepted_text: str | None) -> None:
+def _check_same_change(proposal: _Proposal, accepted_text: str | None) -> None:
     if proposal.text != accepted_text:
         text = "was given to another change of this document"
         raise InvalidInput([Finding(proposal.key, 0, "change_id", text)])
--- a/geraniumspool/decisions.py
+++ b/geraniumspool/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions a process took, kept in memory so that they can be asked about."""
+"""In-memory log of the decisions of one process, kept so that operators can query them."""
 
 import logging
 import math
@@ -99,13 +99,14 @@
 
 
 class Decision(NamedTuple):
-    """One decision with the figures it was taken on.
+    """One decision with the values on which it was based.
 
-    :param id: unique id, which names the incarnation that took the decision
+    :param id: unique id, which contains the incarnation of the process that decided
     :param at_ms: time, milliseconds since the epoch
     :param code: one of the codes in ``EXPLANATIONS``
-    :param subject: a job's random number in hex, a peer or a document key
-    :param figures: names and values, in the order they were given
+    :param subject: a job's random number in hex, a peer's address, a document key or a
+        failure domain
+    :param figures: names and values, in the order in which they were recorded
     """
 
     id: str
@@ -116,7 +117,7 @@
 
 
 class DecisionDocument(TypedDict):
-    """JSON form of a decision."""
+    """JSON form of a decision, with the fields of :class:`Decision`."""
 
     id: str
     at_ms: int
@@ -126,7 +127,7 @@
 
 
 class DecisionLog:
-    """The latest decisions of one process, bounded in number and in size."""
+    """Keeps the latest decisions of one process, limited in number and size."""
 
     def __init__(
         self,
@@ -139,10 +140,10 @@
         """Start empty.
 
         :param incarnation: incarnation of this process, part of every id
-        :param clock: gives the time of each decision
-        :param logger: gets the codes in ``LOGGED_CODES`` at info, others at debug
-        :param max_entries: decisions kept in all; the oldest go first
-        :param max_per_subject: decisions kept on one subject
+        :param clock: source of the time of each decision
+        :param logger: logs the codes in ``LOGGED_CODES`` at info, others at debug
+        :param max_entries: maximum number of decisions kept; the oldest are dropped first
+        :param max_per_subject: maximum number of decisions kept per subject
         """
         self._prefix = f"d-{incarnation:x}-"
         self._incarnation = incarnation
@@ -150,43 +151,47 @@
         self._logger = logger
         self._max_entries = max_entries
         self._max_per_subject = max_per_subject
-        self._last = 0
+        self._last_number = 0
         self._entries: OrderedDict[int, Decision] = OrderedDict()
         self._numbers: dict[str, deque[int]] = {}
 
     def __len__(self) -> int:
-        """Return how many decisions are kept."""
+        """Return the number of decisions kept."""
         return len(self._entries)
 
     def record(self, code: str, subject: str, /, **figures: Figure) -> str:
-        """Keep a decision.
+        """Record and log a decision.
 
         :param code: one of the codes in ``EXPLANATIONS``
-        :param subject: what it is about
-        :param figures: what it was taken on; long texts and lists are cut
+        :param subject: the job, peer, document or domain that it concerns
+        :param figures: values on which it was based; at most ``MAX_FIGURES`` are kept, and
+            long texts are truncated
         :returns: the decision's id
         """
-        self._last = number = self._last + 1
+        self._last_number = number = self._last_number + 1
         subject = subject[:MAX_TEXT_CHARS]
-        kept = tuple((name, _clean(value)) for name, value in figures.items())[:MAX_FIGURES]
-        decision = Decision(f"{self._prefix}{number}", self._clock.wall(), code, subject, kept)
+        trimmed = tuple((name, _limit_value(value)) for name, value in figures.items())[
+            :MAX_FIGURES
+        ]
+        decision = Decision(f"{self._prefix}{number}", self._clock.wall(), code, subject, trimmed)
         self._entries[number] = decision
-        self._index(subject, number)
+        self._add_to_subject(subject, number)
         if len(self._entries) > self._max_entries:
             self._drop_oldest()
-        self._write(decision)
+        self._log_decision(decision)
         return decision.id
 
     def about(self, subject: str) -> list[Decision]:
         """Return the decisions kept on a subject, oldest first.
 
-        :param subject: a job's random number in hex, a peer or a document key
+        :param subject: a job's random number in hex, a peer's address, a document key or a
+            failure domain
         """
         numbers = self._numbers.get(subject[:MAX_TEXT_CHARS], ())
         return [self._entries[number] for number in numbers]
 
     def get(self, decision_id: str) -> Decision | None:
-        """Return one decision, or None if it is not or no longer kept.
+        """Return one decision, or None if it is unknown or no longer kept.
 
         :param decision_id: an id that :meth:`record` returned
         """
@@ -195,7 +200,7 @@
             return None
         return self._entries.get(int(match[2]))
 
-    def _index(self, subject: str, number: int) -> None:
+    def _add_to_subject(self, subject: str, number: int) -> None:
         numbers = self._numbers.get(subject)
         if numbers is None:
             numbers = self._numbers[subject] = deque()
@@ -210,7 +215,7 @@
         if not numbers:
             del self._numbers[oldest.subject]
 
-    def _write(self, decision: Decision) -> None:
+    def _log_decision(self, decision: Decision) -> None:
         level = logging.INFO if decision.code in LOGGED_CODES else logging.DEBUG
         if self._logger.isEnabledFor(level):
             fields = (("decision", decision.id), ("subject", decision.subject), *decision.figures)
@@ -218,10 +223,7 @@
 
 
 def describe(decision: Decision) -> DecisionDocument:
-    """Return the JSON form of a decision.
-
-    :param decision: the decision
-    """
+    """Return the JSON form of a decision."""
     return DecisionDocument(
         id=decision.id,
         at_ms=decision.at_ms,
@@ -232,18 +234,15 @@
 
 
 def encode_decisions(decisions: list[Decision]) -> bytes:
-    """Return decisions as a JSON array of objects.
-
-    :param decisions: the decisions, in the order to keep
-    """
+    """Encode decisions as a JSON array of objects, in the given order."""
     return msgspec.json.encode([describe(decision) for decision in decisions])
 
 
 def decode_decisions(data: bytes) -> list[Decision]:
-    """Return the decisions in ``data``.
+    """Decode decisions.
 
-    :param data: what :func:`encode_decisions` returned
-    :raises MalformedMessage: if it is anything else
+    :param data: result of :func:`encode_decisions`
+    :raises MalformedMessage: if the data cannot be decoded
     """
     try:
         documents = msgspec.json.decode(data, type=list[DecisionDocument])
@@ -262,7 +261,7 @@
 
 
 def parse_decision_id(text: str) -> int | None:
-    """Return the incarnation that a decision id names, or None if it is no id.
+    """Return the incarnation in a decision id, or None if the text is not a decision id.
 
     :param text: text that may be a decision id
     """
@@ -270,7 +269,7 @@
     return None if match is None else int(match[1], 16)
 
 
-def _clean(value: Figure) -> Figure:
+def _limit_value(value: Figure) -> Figure:
     kind = type(value)
     if kind is float:
         return value if math.isfinite(value) else str(value)
--- a/geraniumspool/documents.py
+++ b/geraniumspool/documents.py
@@ -1,4 +1,4 @@
-"""The operators' configuration documents, as YAML or JSON."""
+"""Schemas and parsing of the operators' configuration documents, written in YAML or JSON."""
 
 import re
 from collections.abc import Mapping
@@ -18,15 +18,15 @@
 
 
 class ServiceDocument(NamedTuple):
-    """How jobs of one service are dispatched.
-
-    :param run_limit_ms: longest run of a task before its outcome counts as unknown
-    :param deadline_ms: deadline of jobs that name none
-    :param max_tasks: most tasks of a job
-    :param max_task_bytes: longest payload of a task
-    :param ejection_failure_share: share of failed tasks from which a minion is ejected
-    :param ejection_domain_share: largest share of a failure domain ejected at once
-    :param narrow_tasks: most tasks of a job that counts as narrow
+    """Dispatch parameters of one service.
+
+    :param run_limit_ms: time after which the outcome of a running task counts as unknown
+    :param deadline_ms: default deadline of jobs
+    :param max_tasks: maximum number of tasks per job
+    :param max_task_bytes: maximum payload size of a task
+    :param ejection_failure_share: share of failed tasks, 0 to 1, at which a minion is ejected
+    :param ejection_domain_share: maximum share of a failure domain, 0 to 1, ejected at a time
+    :param narrow_tasks: maximum number of tasks of a job that is classified as narrow
     """
 
     run_limit_ms: float = 30_000
@@ -39,11 +39,11 @@
 
 
 class TeamDocument(NamedTuple):
-    """What one team may use.
+    """Quota of one team.
 
-    :param weight: share of the slots relative to other teams
-    :param rate_tasks_per_s: most tasks a second, or None for no limit
-    :param running_tasks: most tasks running at once, or None for no limit
+    :param weight: weight of the team when slots are shared among teams
+    :param rate_tasks_per_s: maximum task rate per second, or None for no limit
+    :param running_tasks: maximum number of tasks running at a time, or None for no limit
     """
 
     weight: float = 1.0
@@ -52,9 +52,9 @@
 
 
 class DomainDocument(NamedTuple):
-    """What operators ask of one failure domain.
+    """Operators' settings for one failure domain.
 
-    :param evacuated: whether no task may be started there
+    :param evacuated: whether no task may start there
     """
 
     evacuated: bool = False
@@ -100,23 +100,27 @@
     "team": (TeamDocument, make_validator(_TEAM_SCHEMA)),
     DOMAIN_KIND: (DomainDocument, make_validator(_DOMAIN_SCHEMA)),
 }
-_KEYS_TEXT = "must be " + " or ".join(f"{kind}/NAME" for kind in _KINDS)
+_KEY_RULE = "must be " + " or ".join(f"{kind}/NAME" for kind in _KINDS)
 
 
 def check_key(key: str) -> list[Finding]:
-    """Return what is wrong with a document's key."""
+    """Validate a document's key.
+
+    :param key: a kind and a name, such as ``service/fitting``
+    :returns: the findings, empty if the key is valid
+    """
     kind, _, name = key.partition("/")
     if kind not in _KINDS or not re.match(NAME_PATTERN, name):
-        return [Finding(key, 0, "", _KEYS_TEXT)]
+        return [Finding(key, 0, "", _KEY_RULE)]
     return []
 
 
 def parse_document(key: str, body: bytes) -> OperatorDocument:
-    """Return the configuration document in ``body``.
+    """Parse and validate a configuration document.
 
     :param key: a kind and a name, such as ``service/fitting``
     :param body: JSON or YAML text as the operator wrote it
-    :raises InvalidInput: with all findings
+    :raises InvalidInput: with all findings, if the key or the document is invalid
     """
     findings = check_key(key)
     if findings:
--- a/geraniumspool/operators.py
+++ b/geraniumspool/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of an entry, behind a token."""
+"""HTTP API of an entry for operators; every request needs the operators' bearer token."""
 
 import hmac
 import logging
@@ -32,7 +32,14 @@
 
 
 class ChangeRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a configuration change."""
+    """Body of a request to change a configuration document.
+
+    :ivar change_id: id chosen by the operator; a retry with it has no further effect
+    :ivar expected_revision: revision that the change is based on, 0 for a new document
+    :ivar body: the new document as YAML or JSON, or None to delete it
+    :ivar who: operator who makes the change
+    :ivar why: reason for the change
+    """
 
     change_id: str
     expected_revision: int
@@ -42,7 +49,12 @@
 
 
 class DrainRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a request to drain a process."""
+    """Body of a request to drain a process.
+
+    :ivar address: inbox address of the process
+    :ivar who: operator who asks for it
+    :ivar why: reason for the drain
+    """
 
     address: str
     who: str
@@ -50,7 +62,7 @@
 
 
 class Operators:
-    """Serves operators: status, roster, configuration, drain, reasons."""
+    """Handles operators' requests on status, members, configuration, drains and decisions."""
 
     def __init__(
         self,
@@ -68,11 +80,11 @@
         me: Callable[[], Member],
         request_exit: Callable[[], None],
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
-        :param token: what operators must present
-        :param me: returns this entry as it is now
-        :param request_exit: asks this process itself to drain
+        :param token: bearer token that operators must send
+        :param me: returns the current membership record of this entry
+        :param request_exit: makes this process drain and exit
         """
         self._token = token
         self._messenger = messenger
@@ -89,9 +101,9 @@
         self._request_exit = request_exit
 
     def routes(self, job_routes: list[Route]) -> list[Route]:
-        """Return the routes of this interface, each behind the token.
+        """Return the routes of the operators' API, each of which checks the token.
 
-        :param job_routes: routes on jobs that callers have as well
+        :param job_routes: routes for jobs that the callers' API has as well
         """
         own = [
             Route("GET", "/v1/status", self._get_status),
@@ -105,25 +117,25 @@
             Route("GET", "/v1/decisions/{id}", self._get_decision),
         ]
         return [
-            Route(route.method, route.pattern, self._guard(route.handler))
+            Route(route.method, route.pattern, self._require_token(route.handler))
             for route in own + job_routes
         ]
 
-    def _guard(self, handler: Callable[[Request], Reply]) -> Callable[[Request], Reply]:
+    def _require_token(self, handler: Callable[[Request], Reply]) -> Callable[[Request], Reply]:
         expected = (BEARER + self._token).encode()
 
-        def guarded(request: Request) -> Reply:
+        def check_token(request: Request) -> Reply:
             presented = request.header("Authorization").encode("latin-1", "replace")
             if not hmac.compare_digest(presented, expected):
                 raise Unauthorized("the operators' token is missing or wrong")
             return handler(request)
 
-        return guarded
+        return check_token
 
     def _get_status(self, _request: Request) -> Reply:
         me = self._me()
-        last = self._watcher.last_contact_ms
-        age_ms = None if last is None else round(self._clock.now() - last)
+        last_contact_ms = self._watcher.last_contact_ms
+        age_ms = None if last_contact_ms is None else round(self._clock.now() - last_contact_ms)
         return reply_json(
             200,
             {
@@ -213,7 +225,7 @@
 
     def _put_document(self, request: Request) -> Reply:
         key = "/".join(request.parameters)
-        change = _parse(request.body, ChangeRequest, "change")
+        change = _parse_body(request.body, ChangeRequest, "change")
         body = None if change.body is None else change.body.encode()
         receipt = self._desk.propose(
             key, body, change.expected_revision, change.change_id, change.who, change.why
@@ -246,7 +258,7 @@
         return reply_json(200, {"newest": self._configuration.revision, "domains": rows})
 
     def _post_drain(self, request: Request) -> Reply:
-        order = _parse(request.body, DrainRequest, "drain")
+        order = _parse_body(request.body, DrainRequest, "drain")
         members = [member for member in self._roster.members() if not is_final(member)]
         found = [member for member in members if member.address == order.address]
         if not found:
@@ -257,7 +269,7 @@
         else:
             self._messenger.send(peer, Drain(order.who, order.why))
         _LOG.info(
-            "drain asked for",
+            "drain requested",
             extra={"fields": (("address", order.address), ("who", order.who), ("why", order.why))},
         )
         return reply_json(HTTP_ACCEPTED, {"address": order.address, "state": "asked"})
@@ -271,12 +283,12 @@
             decision = self._decisions.get(name)
             rows = [] if decision is None else [describe(decision)]
         else:
-            rows = self._ask_decision(incarnation, name)
+            rows = self._fetch_decision(incarnation, name)
         if not rows:
             raise NotFound(f"decision {name!r} is not kept any more")
         return reply_json(200, {"decisions": rows})
 
-    def _ask_decision(self, incarnation: int, name: str) -> list:
+    def _fetch_decision(self, incarnation: int, name: str) -> list:
         member = self._roster.find_incarnation(incarnation)
         if member is None:
             return []
@@ -288,7 +300,7 @@
         return msgspec.json.decode(answer.decisions or b"[]")
 
 
-def _parse(body: bytes, kind: type, place: str):
+def _parse_body(body: bytes, kind: type, place: str):
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
--- a/geraniumspool/settings.py
+++ b/geraniumspool/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs, read from YAML files."""
+"""Settings of entries and agents, read from YAML files."""
 
 from collections.abc import Iterable, Mapping
 from pathlib import Path as FilePath
@@ -18,25 +18,26 @@
 
 
 class EntrySettings(NamedTuple):
-    """Settings of an entry; addresses with port 0 take any free port.
+    """Settings of an entry; port 0 in an address selects any free port.
 
-    :param domain: failure domain it runs in
-    :param operators_token: what operators must present
+    :param domain: failure domain in which the entry runs
+    :param operators_token: bearer token that operators must send
     :param ticket_keys: secrets for tickets; the first signs, all verify
-    :param store_urls: base addresses of the platform's store
-    :param inbox: address for messages of other processes
+    :param store_urls: base URLs of the platform's store
+    :param inbox: address that receives messages from other processes
     :param callers_listen: address of the callers' HTTP listener
     :param operators_listen: address of the operators' HTTP listener
-    :param store_timeout_ms: longest wait for an answer of the store
-    :param registration_ttl_ms: time to live of its registration in the store
-    :param heartbeat_period_ms: shortest period asked of agents
+    :param store_timeout_ms: timeout of a request to the store
+    :param registration_ttl_ms: time to live of the entry's registration in the store
+    :param heartbeat_period_ms: shortest heartbeat period of agents
     :param heartbeat_timeout_ms: silence after which an agent counts as dead
-    :param max_body_bytes: longest request body
-    :param max_running_jobs: most callers' requests held open at once
-    :param max_header_bytes: longest request head
-    :param drain_limit_ms: longest graceful shutdown
+    :param max_body_bytes: maximum size of a request body
+    :param max_running_jobs: maximum number of calls to homes in flight
+    :param max_header_bytes: maximum size of a request's head
+    :param drain_limit_ms: longest duration of a graceful shutdown
     :param log_level: lowest level that is logged
-    :param default_deadline_ms: deadline of jobs where nothing names one
+    :param default_deadline_ms: deadline of a job when neither the request nor a document of
+        its service names one
     """
 
     domain: str
@@ -59,26 +60,27 @@
 
 
 class AgentSettings(NamedTuple):
-    """Settings of an agent; addresses with port 0 take any free port.
-
-    :param domain: failure domain it runs in
-    :param store_urls: base addresses of the platform's store
-    :param inbox: address for messages of other processes
-    :param minion_listen: address of the listener where its minion announces itself
-    :param entries: inbox addresses of entries to try where the store gives none
-    :param store_timeout_ms: longest wait for an answer of the store
-    :param heartbeat_period_ms: period of its heartbeats to entries
-    :param announcement_timeout_ms: silence after which its minion counts as gone
+    """Settings of an agent; port 0 in an address selects any free port.
+
+    :param domain: failure domain in which the agent runs
+    :param store_urls: base URLs of the platform's store
+    :param inbox: address that receives messages from other processes
+    :param minion_listen: address of the listener to which the minion sends its announcements
+    :param entries: inbox addresses of entries, tried when the store lists none
+    :param store_timeout_ms: timeout of a request to the store
+    :param heartbeat_period_ms: period of the heartbeats to entries
+    :param announcement_timeout_ms: silence after which the minion counts as gone
     :param peer_timeout_ms: silence after which another agent counts as dead
-    :param max_record_bytes: most memory for records of finished jobs
-    :param max_record_age_ms: longest time a record of a finished job is kept
-    :param drain_limit_ms: longest graceful shutdown
-    :param queue_per_slot: most tasks waiting for each slot
-    :param placement: how its home chooses workers: late, random, least or two
-    :param ahead_per_slot: tasks its home offers ahead for each slot, with late
-    :param result_hold_ms: longest time a result waits for company
+    :param max_record_bytes: maximum memory for records of finished jobs
+    :param max_record_age_ms: longest time for which the record of a finished job is kept
+    :param drain_limit_ms: longest duration of a graceful shutdown
+    :param queue_per_slot: maximum number of queued tasks per slot
+    :param placement: placement policy of the home: late, random, least or two
+    :param ahead_per_slot: tasks per slot that the home offers before the slot is free, with
+        the policy late
+    :param result_hold_ms: longest delay of a result so that it is sent with others
     :param log_level: lowest level that is logged
-    :param minion: its minion, where it does not announce itself
+    :param minion: the minion, or None if it announces itself
     """
 
     domain: str
@@ -170,10 +172,12 @@
 }
 
 
-class _Order(NamedTuple):
-    """Two settings of which the second must not be below the first.
+class _OrderRule(NamedTuple):
+    """Requirement that one setting is not below another.
 
-    :param strict: whether it must be above it
+    :param lower: path of the setting that bounds the other from below
+    :param higher: path of the other setting
+    :param strict: whether the two must not be equal either
     """
 
     lower: tuple[str, ...]
@@ -181,13 +185,15 @@
     strict: bool = True
 
 
-class _Role(NamedTuple):
+class _RoleSchema(NamedTuple):
     settings: type
     validator: Draft202012Validator
-    orders: tuple[_Order, ...]
+    orders: tuple[_OrderRule, ...]
 
 
-def _make_role(name: str, settings: type, properties: dict, orders: Iterable[_Order]) -> _Role:
+def _make_role(
+    name: str, settings: type, properties: dict, orders: Iterable[_OrderRule]
+) -> _RoleSchema:
     optional = settings._field_defaults
     schema = {
         "type": "object",
@@ -195,7 +201,7 @@
         "properties": {"role": {"const": name}, **properties},
         "required": ["role", *(field for field in settings._fields if field not in optional)],
     }
-    return _Role(settings, make_validator(schema), tuple(orders))
+    return _RoleSchema(settings, make_validator(schema), tuple(orders))
 
 
 _ROLES = {
@@ -204,8 +210,8 @@
         EntrySettings,
         _ENTRY_PROPERTIES,
         (
-            _Order(("heartbeat_period_ms",), ("heartbeat_timeout_ms",)),
-            _Order(("store_timeout_ms",), ("registration_ttl_ms",)),
+            _OrderRule(("heartbeat_period_ms",), ("heartbeat_timeout_ms",)),
+            _OrderRule(("store_timeout_ms",), ("registration_ttl_ms",)),
         ),
     ),
     AGENT: _make_role(
@@ -213,35 +219,36 @@
         AgentSettings,
         _AGENT_PROPERTIES,
         (
-            _Order(("heartbeat_period_ms",), ("peer_timeout_ms",)),
-            _Order(("minion", "slots"), ("minion", "connections"), strict=False),
+            _OrderRule(("heartbeat_period_ms",), ("peer_timeout_ms",)),
+            _OrderRule(("minion", "slots"), ("minion", "connections"), strict=False),
         ),
     ),
 }
 
 
 def load_entry_settings(path: str) -> EntrySettings:
-    """Return the settings of an entry.
+    """Load the settings of an entry.
 
-    :param path: name of a YAML file with ``role: entry``
-    :raises InvalidInput: with all findings
+    :param path: path of a YAML file with ``role: entry``
+    :raises InvalidInput: with all findings, if the file is unreadable or invalid
     """
     return _load(path, ENTRY)
 
 
 def load_agent_settings(path: str) -> AgentSettings:
-    """Return the settings of an agent.
+    """Load the settings of an agent.
 
-    :param path: name of a YAML file with ``role: agent``
-    :raises InvalidInput: with all findings
+    :param path: path of a YAML file with ``role: agent``
+    :raises InvalidInput: with all findings, if the file is unreadable or invalid
     """
     return _load(path, AGENT)
 
 
 def check_file(path: str) -> list[Finding]:
-    """Return all findings in a settings file of either role.
+    """Validate a settings file of either role.
 
-    :param path: name of a YAML file
+    :param path: path of a YAML file
+    :returns: all findings, empty if the file is valid
     """
     try:
         data = _read(path)
@@ -253,12 +260,12 @@
     reading = read_yaml(str(path), data, validator)
     if not isinstance(reading.value, dict) or reading.value.get("role") not in (ENTRY, AGENT):
         return reading.findings
-    return _check(str(path), data, _ROLES[reading.value["role"]]).findings
+    return _validate(str(path), data, _ROLES[reading.value["role"]]).findings
 
 
 def _load(path: str, role_name: str) -> Any:
     role = _ROLES[role_name]
-    reading = _check(str(path), _read(path), role)
+    reading = _validate(str(path), _read(path), role)
     if reading.findings:
         raise InvalidInput(reading.findings)
     values = {name: normalize(value) for name, value in reading.value.items() if name != "role"}
@@ -279,20 +286,20 @@
         raise InvalidInput([Finding(str(path), 0, "", text)]) from error
 
 
-def _check(place: str, data: bytes, role: _Role) -> Reading:
+def _validate(place: str, data: bytes, role: _RoleSchema) -> Reading:
     reading = read_yaml(place, data, role.validator)
     if not isinstance(reading.value, dict):
         return reading
     defaults = role.settings._field_defaults
     findings = list(reading.findings)
     for order in role.orders:
-        findings += _check_order(place, reading, order, defaults)
+        findings += _check_order_rule(place, reading, order, defaults)
     findings.sort(key=lambda finding: (finding.line, finding.path))
     return reading._replace(findings=findings)
 
 
-def _check_order(
-    place: str, reading: Reading, order: _Order, defaults: Mapping[str, Any]
+def _check_order_rule(
+    place: str, reading: Reading, order: _OrderRule, defaults: Mapping[str, Any]
 ) -> list[Finding]:
     lower = _look_up(reading.value, order.lower, defaults)
     higher = _look_up(reading.value, order.higher, defaults)
@@ -300,10 +307,10 @@
         return []
     if higher > lower or (higher == lower and not order.strict):
         return []
-    written = order.higher if order.higher in reading.lines else order.lower
+    reported_path = order.higher if order.higher in reading.lines else order.lower
     relation = "more than" if order.strict else "at least"
     text = f"{show_path(order.higher)} must be {relation} {show_path(order.lower)}"
-    return [Finding(place, reading.lines[written], show_path(written), text)]
+    return [Finding(place, reading.lines[reported_path], show_path(reported_path), text)]
 
 
 def _look_up(value: Any, path: Iterable[str], defaults: Mapping[str, Any]) -> float | None:
--- a/geraniumspool/yamldoc.py
+++ b/geraniumspool/yamldoc.py
@@ -1,7 +1,7 @@
-"""YAML read with line numbers and validated by a JSON schema.
+"""YAML parsing with line numbers and validation against a JSON schema.
 
-A text is YAML, or JSON as a part of it. All faults are reported at once, each
-with its line and path and without the value, which may be a secret.
+Input is YAML, or JSON, which is parsed as YAML. All errors are reported together,
+each with its line and path. The invalid value is left out, as it may be a secret.
 """
 
 import math
@@ -19,29 +19,31 @@
 
 Path: TypeAlias = tuple[str | int, ...]
 
-_TAG = "tag:yaml.org,2002:"
-_TAGS = frozenset(_TAG + kind for kind in ("map", "seq", "str", "int", "float", "bool", "null"))
+_TAG_PREFIX = "tag:yaml.org,2002:"
+_JSON_TAGS = frozenset(
+    _TAG_PREFIX + kind for kind in ("map", "seq", "str", "int", "float", "bool", "null")
+)
 _MAX_PORT = 65535
 _CONSTRUCTION_ERRORS = (ValueError, KeyError, IndexError, TypeError)
 
 
 class _Loader(yaml.SafeLoader):
-    """Safe loader of the types that JSON has."""
+    """Safe loader restricted to the types of JSON."""
 
 
 _Loader.yaml_implicit_resolvers = {
-    first: [(tag, pattern) for tag, pattern in resolvers if tag in _TAGS]
+    first: [(tag, pattern) for tag, pattern in resolvers if tag in _JSON_TAGS]
     for first, resolvers in yaml.SafeLoader.yaml_implicit_resolvers.items()
 }
-# YAML 1.1 takes JSON's 1e3 for a string.
+# YAML 1.1 parses JSON's 1e3 as a string.
 _Loader.add_implicit_resolver(
-    _TAG + "float",
+    _TAG_PREFIX + "float",
     re.compile(r"^-?[0-9]+(?:\.[0-9]+)?[eE][-+]?[0-9]+$"),
     list("-0123456789"),
 )
 
 
-_FORMATS = FormatChecker(formats=())
+_FORMAT_CHECKER = FormatChecker(formats=())
 _FORMAT_TEXTS = {
     "listen": "must be IP:PORT, such as 127.0.0.1:0",
     "inbox": "must be tcp://IP:PORT with an IP that other processes can dial",
@@ -50,7 +52,7 @@
 }
 
 
-def _is_address(text: str, lowest_port: int, dialled: bool) -> bool:
+def _is_address(text: str, lowest_port: int, remote: bool) -> bool:
     host, _, port = text.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
@@ -62,30 +64,30 @@
         address = ip_address(host)
     except ValueError:
         return False
-    return not (dialled and address.is_unspecified)
+    return not (remote and address.is_unspecified)
 
 
-@_FORMATS.checks("listen")
+@_FORMAT_CHECKER.checks("listen")
 def _is_listen(value: object) -> bool:
-    return not isinstance(value, str) or _is_address(value, 0, dialled=False)
+    return not isinstance(value, str) or _is_address(value, 0, remote=False)
 
 
-@_FORMATS.checks("inbox")
+@_FORMAT_CHECKER.checks("inbox")
 def _is_inbox(value: object) -> bool:
     return not isinstance(value, str) or _is_tcp(value, 0)
 
 
-@_FORMATS.checks("peer")
+@_FORMAT_CHECKER.checks("peer")
 def _is_peer(value: object) -> bool:
     return not isinstance(value, str) or _is_tcp(value, 1)
 
 
 def _is_tcp(value: str, lowest_port: int) -> bool:
     scheme, separator, address = value.partition("://")
-    return scheme == "tcp" and bool(separator) and _is_address(address, lowest_port, dialled=True)
+    return scheme == "tcp" and bool(separator) and _is_address(address, lowest_port, remote=True)
 
 
-@_FORMATS.checks("url", raises=ValueError)
+@_FORMAT_CHECKER.checks("url", raises=ValueError)
 def _is_url(value: object) -> bool:
     if not isinstance(value, str):
         return True
@@ -98,20 +100,20 @@
 
 
 def make_validator(schema: Mapping[str, Any]) -> Draft202012Validator:
-    """Return a validator of a JSON schema with this project's formats.
+    """Return a validator for a JSON schema that also checks the address formats above.
 
-    :param schema: schema whose objects are closed by ``additionalProperties``
+    :param schema: schema whose objects all set ``additionalProperties`` to false
     """
     Draft202012Validator.check_schema(schema)
-    return Draft202012Validator(schema, format_checker=_FORMATS)
+    return Draft202012Validator(schema, format_checker=_FORMAT_CHECKER)
 
 
 class Reading(NamedTuple):
-    """A YAML text that was read and validated.
+    """Result of parsing and validating a YAML text.
 
-    :param value: its value, None where it could not be read
-    :param lines: line of each path, from 1
-    :param findings: all faults, in the order of their lines
+    :param value: the parsed value, or None if the text could not be parsed
+    :param lines: line number of each path, counted from 1
+    :param findings: all errors, ordered by line and path
     """
 
     value: Any
@@ -119,8 +121,8 @@
     findings: list[Finding]
 
 
-class _Walk:
-    """Collects the lines of a node tree, and what JSON could not express."""
+class _NodeVisitor:
+    """Walks a YAML node tree; collects line numbers and constructs that JSON does not have."""
 
     def __init__(self, place: str):
         self.lines: dict[Path, int] = {}
@@ -136,20 +138,20 @@
             self.constructible = False
             return
         self._seen.add(id(node))
-        if node.tag not in _TAGS:
+        if node.tag not in _JSON_TAGS:
             self._add(line, path, "has an unsupported type tag")
             self.constructible = False
         if isinstance(node, yaml.MappingNode):
             self._visit_mapping(node, path)
         elif isinstance(node, yaml.SequenceNode):
             for index, item in enumerate(node.value):
-                self.visit(item, (*path, index), _line_of(item))
+                self.visit(item, (*path, index), _get_line(item))
 
     def _visit_mapping(self, node: yaml.MappingNode, path: Path) -> None:
         first_lines: dict[str, int] = {}
         for key, value in node.value:
-            line = _line_of(key)
-            if key.tag != _TAG + "str":
+            line = _get_line(key)
+            if key.tag != _TAG_PREFIX + "str":
                 self._add(line, path, "keys must be strings")
                 self.constructible = False
                 continue
@@ -164,12 +166,12 @@
         self.findings.append(Finding(self._place, line, show_path(path), text))
 
 
-def _line_of(node: yaml.Node) -> int:
+def _get_line(node: yaml.Node) -> int:
     return node.start_mark.line + 1
 
 
 def show_path(path: Iterable[str | int]) -> str:
-    """Return a path as text, such as ``minion.slots`` or ``ticket_keys[1]``."""
+    """Format a path as text, such as ``minion.slots`` or ``ticket_keys[1]``."""
     text = ""
     for step in path:
         text += f"[{step}]" if isinstance(step, int) else f".{step}"
@@ -177,11 +179,11 @@
 
 
 def read_yaml(place: str, data: bytes, validator: Draft202012Validator) -> Reading:
-    """Read and validate one YAML or JSON text.
+    """Parse and validate one YAML or JSON text.
 
-    :param place: file name or document key that findings name
-    :param data: the text as UTF-8
-    :param validator: what :func:`make_validator` returned
+    :param place: file name or document key, used as the place of each finding
+    :param data: the text as UTF-8, with or without a byte order mark
+    :param validator: result of :func:`make_validator`
     """
     try:
         text = data.decode("utf-8-sig")
@@ -189,7 +191,7 @@
         line = data.count(b"\n", 0, error.start) + 1
         return Reading(None, {}, [Finding(place, line, "", "is not UTF-8 text")])
     if text.lstrip().startswith("{"):
-        # YAML refuses tabs where JSON allows them.
+        # JSON allows tabs in places where YAML rejects them.
         text = text.replace("\t", " ")
     try:
         return _read_text(place, text, validator)
@@ -205,22 +207,22 @@
         node = loader.get_single_node()
         if node is None:
             return Reading(None, {}, [Finding(place, 1, "", "is empty")])
-        walk = _Walk(place)
-        walk.visit(node, (), _line_of(node))
-        if not walk.constructible:
-            return Reading(None, walk.lines, _sort(walk.findings))
+        visitor = _NodeVisitor(place)
+        visitor.visit(node, (), _get_line(node))
+        if not visitor.constructible:
+            return Reading(None, visitor.lines, _sort(visitor.findings))
         try:
             value = loader.construct_document(node)
         except _CONSTRUCTION_ERRORS:
             finding = Finding(place, 1, "", "has a value that does not fit its type tag")
-            return Reading(None, walk.lines, _sort([*walk.findings, finding]))
+            return Reading(None, visitor.lines, _sort([*visitor.findings, finding]))
     finally:
         loader.dispose()
-    findings = walk.findings
-    findings += _find_infinite(place, value, (), walk.lines)
+    findings = visitor.findings
+    findings += _find_infinite(place, value, (), visitor.lines)
     for error in validator.iter_errors(value):
-        findings += _describe(place, error, walk.lines)
-    return Reading(value, walk.lines, _sort(findings))
+        findings += _convert_schema_error(place, error, visitor.lines)
+    return Reading(value, visitor.lines, _sort(findings))
 
 
 def _sort(findings: list[Finding]) -> list[Finding]:
@@ -252,7 +254,9 @@
     return findings
 
 
-def _describe(place: str, error: ValidationError, lines: Mapping[Path, int]) -> list[Finding]:
+def _convert_schema_error(
+    place: str, error: ValidationError, lines: Mapping[Path, int]
+) -> list[Finding]:
     path = tuple(error.absolute_path)
     line = lines.get(path, 0)
     if error.validator == "additionalProperties":
@@ -262,14 +266,14 @@
             for key in unknown
         ]
     if error.validator == "required":
-        # The library names the missing key in its message alone.
+        # jsonschema gives the name of the missing key only in the message.
         missing = re.match(r"'(.*)' is a required property", error.message)
         inner = (*path, missing.group(1)) if missing else path
         return [Finding(place, line, show_path(inner), "is missing")]
-    return [Finding(place, line, show_path(path), _describe_limit(error))]
+    return [Finding(place, line, show_path(path), _describe_rule(error))]
 
 
-def _describe_limit(error: ValidationError) -> str:
+def _describe_rule(error: ValidationError) -> str:
     limit = error.validator_value
     if error.validator == "type":
         kinds = [limit] if isinstance(limit, str) else limit
@@ -293,7 +297,7 @@
 
 
 def normalize(value: Any) -> Any:
-    """Return a validated value with tuples for lists and ints for whole floats."""
+    """Return a validated value with lists as tuples and integral floats as ints."""
     if isinstance(value, list):
         return tuple(normalize(item) for item in value)
     if isinstance(value, float) and value.is_integer():
