--- a/geraniumspool/callers.py
+++ b/geraniumspool/callers.py
@@ -43,6 +43,7 @@
 
 _LOG = logging.getLogger(__name__)
 
+# Longest wait for a home's answer to a query.
 ASK_LIMIT_MS = 2_000.0
 OVERLOAD_RETRY_MS = 250.0
 HTTP_CREATED = 201
@@ -59,7 +60,7 @@
 class Callers:
     """Handles callers' requests for tickets, jobs, job states and decisions.
 
-    A refusal says that the job did not run only where no earlier request can have run it.
+    The outcome "not run" is reported only if no earlier request can have run the job.
     """
 
     def __init__(
--- a/geraniumspool/calls.py
+++ b/geraniumspool/calls.py
@@ -17,12 +17,17 @@
     Peer,
 )
 
+# Limits of the delay between queries for a job's state.
 MIN_PROBE_MS = 500.0
 MAX_PROBE_MS = 3_000.0
+# First delay as a multiple of the average response time, within the limits above.
 PROBE_FACTOR = 4.0
+# Weight of a new response time in the moving average.
 LEARNING_RATE = 0.1
+# A request fails after this time without an answer; sooner if the peer is considered dead.
 SILENCE_MS = 4_000.0
 SUSPECT_SILENCE_MS = 500.0
+# Time past a job's deadline for the home's answer to arrive.
 GRACE_MS = 2_000.0
 
 
--- a/geraniumspool/change_desk.py
+++ b/geraniumspool/change_desk.py
@@ -47,7 +47,7 @@
     :param key: a kind and a name, such as ``service/fitting``
     :param revision: revision to pass as the expected one, 0 if there is no document
     :param body: text as the operator wrote it, empty if there is no document
-    :param fresh: whether it was just read from the store, not applied from this process
+    :param fresh: whether it was just read from the store, not taken from this process
     """
 
     key: str
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -65,7 +65,7 @@
         clock: Clock,
         metrics: Metrics,
     ):
-        """Create and connect the components; nothing runs old_revision :meth:`start`.
+        """Create and connect the components; nothing runs before :meth:`start`.
 
         :param settings: validated settings
         :param messenger: sends and receives messages between processes
--- a/geraniumspool/homes.py
+++ b/geraniumspool/homes.py
@@ -15,7 +15,9 @@
 from geraniumspool.ticket import Keyring, Ticket
 
 MAX_ARCHIVE_HOPS = 8
+# Delay after which a caller may retry when no agent serves the service.
 RETRY_MS = 1_000.0
+# Assumed run time of each task sent to a home beyond its free slots.
 ROUTED_TASK_MS = 100.0
 
 
--- a/geraniumspool/operators.py
+++ b/geraniumspool/operators.py
@@ -26,6 +26,7 @@
 
 _LOG = logging.getLogger(__name__)
 
+# Longest wait for another process's answer to a query.
 ASK_LIMIT_MS = 2_000.0
 BEARER = "Bearer "
 HTTP_ACCEPTED = 202
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -27,8 +27,11 @@
 from geraniumspool.roster import Roster
 from geraniumspool.sighting import Sighting
 
+# Target rate of heartbeats at one entry; with more agents, their period is made longer.
 HEARTBEATS_PER_S = 120
+# A member heard by another entry counts as dead if this many full refreshes omit it.
 REFRESH_TURNS = 3
+# Rounds between requests to dead entries of this domain, and between removals of old members.
 PROBE_ROUNDS = 5
 FORGET_ROUNDS = 10
 
@@ -120,7 +123,7 @@
             self._clock.sleep(self._min_period_ms)
 
     def run_round(self) -> None:
-        """Declare is_dead_entry members dead and send the digests that are due."""
+        """Declare silent members dead and send the digests that are due."""
         self._rounds += 1
         self._roster.observe(self._me(), revive=True)
         self._watch_unreported()
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -34,6 +34,8 @@
 PUSH_PAUSE_MS = 50.0
 
 
+# State of an agent: the window that it has confirmed, and version and window in the last reply,
+# which may have been lost.
 class _AgentView(NamedTuple):
     config_revision: int
     known_window: frozenset[str]
--- a/geraniumspool/revisions.py
+++ b/geraniumspool/revisions.py
@@ -25,6 +25,7 @@
 _LOG = logging.getLogger(__name__)
 
 
+# Last reported revision of another failure domain; direct if a digest from outside reported it.
 class _ForeignRevision(NamedTuple):
     revision: int
     heard_ms: float
--- a/geraniumspool/views.py
+++ b/geraniumspool/views.py
@@ -30,7 +30,7 @@
     def __init__(self, roster: Roster, me: Peer):
         """Start with an empty cache.
 
-        :param roster: cached_key members
+        :param roster: known members
         :param me: this process, left out because each digest contains its sender
         """
         self._roster = roster
--- a/geraniumspool/windows.py
+++ b/geraniumspool/windows.py
@@ -13,9 +13,11 @@
 from geraniumspool.messages import Member
 from geraniumspool.roster import Roster
 
+# Limit of members of other domains per agent, entries included.
 FOREIGN_MEMBERS = 64
 
 
+# The agents outside a domain by hash, the number of entries there, and windows by agent address.
 class _Ring(NamedTuple):
     positions: list[tuple[bytes, str]]
     entries: int
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""Tests of the audit trail."""
+"""Tests of the audit trail of configuration changes."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 
 class AuditTest(unittest.TestCase):
-    """Recording, filling in and reading."""
+    """Records are written once, completed later if missing, and read newest first."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -30,7 +30,7 @@
         value = encode_envelope(envelope)
         return self.store.swap(CONFIG_PREFIX + KEY, previous, value).revision
 
-    def read_raw(self) -> int:
+    def count_stored_records(self) -> int:
         return len(self.store.list(AUDIT_PREFIX).pairs)
 
     def test_record_holds_the_change(self):
@@ -39,20 +39,20 @@
         expected = (KEY, revision, "ann", 7, "sale", "c1", 0, None, "weight: 2")
         self.assertEqual(expected, record)
 
-    def test_missing_record_is_filled_in_once_by_any_reader(self):
+    def test_missing_record_is_written_once_by_any_reader(self):
         self.change(1, 0)
-        self.assertEqual(0, self.read_raw())
+        self.assertEqual(0, self.count_stored_records())
         for trail in (self.audit, AuditTrail(self.store, self.clock), self.audit):
             self.assertEqual(1, len(trail.list(KEY).records))
-            self.assertEqual(1, self.read_raw())
+            self.assertEqual(1, self.count_stored_records())
 
-    def test_lost_answer_of_the_record(self):
+    def test_lost_answer_to_the_write_of_a_record(self):
         self.change(1, 0)
         self.store.lose_answers = 1
         with self.assertRaises(StoreError):
             self.audit.settle(KEY)
         self.audit.settle(KEY)
-        self.assertEqual(1, self.read_raw())
+        self.assertEqual(1, self.count_stored_records())
 
     def test_newest_first_and_limited(self):
         revision = 0
@@ -65,7 +65,7 @@
         self.assertEqual((), self.audit.list(KEY, -1).records)
         self.assertEqual((), self.audit.list("team/optic").records)
 
-    def test_outage_gives_what_was_read(self):
+    def test_outage_returns_cached_records(self):
         self.change(1, 0)
         self.assertTrue(self.audit.list(KEY).fresh)
         self.store.down = True
@@ -73,7 +73,7 @@
         self.assertEqual((1, False), (len(history.records), history.fresh))
         self.assertEqual(((), False), AuditTrail(self.store, self.clock).list(KEY))
 
-    def test_values_that_are_no_envelopes(self):
+    def test_values_that_are_not_envelopes(self):
         for value in (b"", b"{}", b"[]", b"\xff", b'{"change_id": 1}', b"weight: 2"):
             with self.subTest(value):
                 self.assertIsNone(decode_envelope(value))
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -1,4 +1,4 @@
-"""Tests of the bindings of idempotency keys."""
+"""Tests of binding idempotency keys to tickets."""
 
 import contextlib
 import unittest
@@ -23,30 +23,30 @@
 
 
 class ClockBehind:
-    """The clock of an entry whose wall clock is as far behind as is allowed for."""
+    """A clock whose wall time is behind by the greatest tolerated clock skew."""
 
     def __init__(self, clock):
-        """Follow another clock."""
+        """Derive the time from another clock."""
         self.now = clock.now
         self.wall = lambda: clock.wall() - CLOCK_SKEW_MS
 
 
 class BindingTest(unittest.TestCase):
-    """A key is bound to one ticket, whatever is lost."""
+    """A key is bound to at most one ticket, even if answers or leases are lost."""
 
     def setUp(self):
-        """Start with an empty store and two entries."""
+        """Start with an empty store and the bindings of two entries."""
         self.clock = ManualClock()
         self.memory = MemoryStore(self.clock)
         self.one = Bindings(self.memory, self.clock)
         self.two = Bindings(self.memory, self.clock)
 
     def key(self, text: str, age_ms: float = 0.0) -> IdempotencyKey:
-        """Return a key that was made some time ago."""
+        """Return a key whose timestamp is ``age_ms`` in the past."""
         return IdempotencyKey(text, int(self.clock.wall() - age_ms))
 
     def test_key(self):
-        """A key is a UUID of version 7 and tells its time; others are refused."""
+        """A key is a UUID of version 7 with a timestamp; any other text is refused."""
         text = make_key(1_700_000_000_123)
         self.assertEqual(parse_key(text.upper()), (text, 1_700_000_000_123))
         self.assertEqual(parse_key("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").made_ms, 0x17F22E279B0)
@@ -57,7 +57,7 @@
                 parse_key(wrong)
 
     def test_age(self):
-        """A key binds while a binding as old as it must still be there, and not after."""
+        """A key is accepted only while a binding as old as the key cannot have expired."""
         for age_ms in (-MAX_KEY_AHEAD_MS, 0.0, MAX_KEY_AGE_MS):
             with self.subTest(age_ms=age_ms):
                 self.assertEqual(self.one.bind("t", self.key(f"{age_ms}", age_ms), "A"), "A")
@@ -71,15 +71,15 @@
         shortest_ms = LEASE_MS - LEASE_REUSE_MS
         self.assertLess(MAX_KEY_AGE_MS + MAX_KEY_AHEAD_MS + CLOCK_SKEW_MS, shortest_ms)
 
-    def test_edge(self):
-        """At no time after its first use does a key get another ticket."""
+    def test_worst_ages(self):
+        """A key never gets a second ticket, whatever the age of lease or key and the clock skew."""
         two = Bindings(self.memory, ClockBehind(self.clock))
-        for lead_ms in (0.0, LEASE_REUSE_MS - 1):
+        for lease_age_ms in (0.0, LEASE_REUSE_MS - 1):
             for age_ms in (-MAX_KEY_AHEAD_MS, 0.0, MAX_KEY_AGE_MS):
-                with self.subTest(lease_age_ms=lead_ms, key_age_ms=age_ms):
+                with self.subTest(lease_age_ms=lease_age_ms, key_age_ms=age_ms):
                     bindings = Bindings(self.memory, self.clock)
                     bindings.bind("t", self.key(make_key(0)), "lease")
-                    self.clock.advance(lead_ms)
+                    self.clock.advance(lease_age_ms)
                     key = self.key(make_key(0), age_ms)
                     bindings.bind("t", key, "A")
                     for _ in range(100):
@@ -88,7 +88,7 @@
                             self.assertEqual(two.bind("t", key, "B"), "A")
 
     def test_pause(self):
-        """A key that grew too old while the store was asked is refused."""
+        """A key that expires during a slow request to the store is refused."""
         for name in ("grant_lease", "swap"):
             with self.subTest(paused_before=name):
                 key, call = self.key("k"), getattr(self.memory, name)
@@ -101,8 +101,8 @@
                 with mock.patch.object(self.memory, name, pause), self.assertRaises(KeyExpired):
                     self.one.bind("t", key, "B")
 
-    def test_dropped(self):
-        """Keys from before the store dropped a lease early are refused, later ones taken."""
+    def test_lost_lease(self):
+        """After the store lost a lease early, keys made before are refused and later ones bind."""
         key = self.key("k")
         self.two.bind("t", key, "A")
         self.one.bind("t", self.key("other"), "B")
@@ -116,7 +116,7 @@
         self.assertEqual(self.one.bind("t", self.key("new"), "D"), "D")
 
     def test_first_wins(self):
-        """Later calls get the first ticket; keys of teams are apart."""
+        """Later calls get the first ticket; keys of different teams are independent."""
         self.assertEqual(self.one.bind("t", self.key("k"), "A"), "A")
         self.assertEqual(self.two.bind("t", self.key("k"), "B"), "A")
         self.assertEqual(self.one.bind("t", self.key("k2"), "C"), "C")
@@ -124,7 +124,7 @@
         self.assertEqual(self.one.bind("tk", self.key(""), "E"), "E")
 
     def test_race(self):
-        """All of many callers at once get one ticket."""
+        """Concurrent callers with the same key all get the same ticket."""
         bindings = [Bindings(self.memory, self.clock) for _ in range(10)]
         tasks = [
             eventlet.spawn(binding.bind, "t", self.key("k"), f"ticket-{number}")
@@ -134,15 +134,15 @@
         self.assertEqual(len({task.wait() for task in tasks}), 1)
 
     def test_answer_lost(self):
-        """A write with a lost answer is read back."""
+        """If the answer to a write is lost, the binding is read back."""
         self.memory.lose_answers = 1
         self.assertEqual(self.one.bind("t", self.key("k"), "A"), "A")
         self.two.bind("t", self.key("k2"), "B")
         self.memory.lose_answers = 1
         self.assertEqual(self.one.bind("t", self.key("k2"), "C"), "B")
 
-    def test_lost_and_unclear(self):
-        """Where the read tells nothing either, no ticket is given out."""
+    def test_answer_and_read_lost(self):
+        """If reading back fails as well or finds nothing, no ticket is returned."""
         for written, get_fault in (
             (False, None),
             (True, StoreUnknown()),
@@ -160,7 +160,7 @@
 
     @staticmethod
     def fail_after(call, fault):
-        """Return a call that fails, after it was done if there is a call."""
+        """Return a function that runs ``call``, if there is one, and then raises ``fault``."""
 
         def fail(*arguments):
             if call:
@@ -170,7 +170,7 @@
         return fail
 
     def test_down(self):
-        """A store that refuses binds nothing; once it is back the key is free."""
+        """An unavailable store binds nothing, so the key is unbound once it is available again."""
         self.memory.down = True
         with self.assertRaises(BindingUnavailable):
             self.one.bind("t", self.key("k"), "A")
@@ -178,7 +178,7 @@
         self.assertEqual(self.two.bind("t", self.key("k"), "B"), "B")
 
     def test_lease_unknown(self):
-        """A lease whose grant got no answer is no binding that may exist."""
+        """If the answer to a lease grant is lost, no binding exists and a retry succeeds."""
         self.memory.lose_answers = 1
         self.memory.down = False
         try:
@@ -188,7 +188,7 @@
         self.assertEqual(ticket, "A")
 
     def test_lease(self):
-        """Bindings share a lease, live long enough, and end."""
+        """Bindings share a lease, live for the guaranteed time, and then expire."""
         self.one.bind("t", self.key("k"), "A")
         grants = self.memory.calls["grant"]
         self.clock.advance(LEASE_REUSE_MS - 1)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Contract of the callers' interface, against a whole running system."""
+"""Tests of the callers' HTTP API, against a running system of two entries and two agents."""
 
 import eventlet
 
@@ -25,26 +25,26 @@
 
 
 def values(answered):
-    """Return the values of a whole answer."""
+    """Return the values of all results in an answer."""
     return [row["value"] for row in answered.body["results"]]
 
 
 class CallersCase(SystemTest):
-    """Base: a system that takes no large bodies."""
+    """Base class: a system with a low limit on the size of request bodies."""
 
     SETTINGS = {"max_body_bytes": MAX_BODY_BYTES}
 
 
 class BadInputTest(CallersCase):
-    """Bad input is a typed problem and touches no other job."""
+    """Invalid requests get a problem with a stable code and affect no other job."""
 
     def bad_requests(self):
-        """Return name, request, and the expected problem and path of a finding."""
+        """Return a name, a request, the expected status and code, and the path of a finding."""
         ticket = self.small.ticket()
-        said = read_ticket(ticket)
-        forged = Keyring(["another-key-than-theirs-01"]).sign(said)
+        contents = read_ticket(ticket)
+        forged = Keyring(["another-key-than-theirs-01"]).sign(contents)
         swapped = ticket[:30] + ("A" if ticket[30] != "A" else "B") + ticket[31:]
-        other = Keyring([TICKET_KEY]).issue(said.home, "sawing", said.issued_ms)
+        other = Keyring([TICKET_KEY]).issue(contents.home, "sawing", contents.issued_ms)
         url, job = f"/v1/jobs/{ticket}", make_job([TASK])
         invalid, oversize = (400, "invalid_input"), b" " * (MAX_BODY_BYTES + 1)
 
@@ -80,10 +80,10 @@
         ]
 
     def test_bad_input(self):
-        """Each is refused with its code; a job that runs meanwhile is whole."""
+        """Each request is refused with its code; a job running running_job gets all its results."""
         ticket = self.small.ticket()
         tasks = [make_task(number, 1500) for number in range(3)]
-        meanwhile = eventlet.spawn(self.small.put, ticket, tasks)
+        running_job = eventlet.spawn(self.small.put, ticket, tasks)
         wait_until(lambda: self.small.running() == 3)
         for name, request, status, code, path in self.bad_requests():
             with self.subTest(name=name):
@@ -92,19 +92,19 @@
                 if path is not None:
                     paths = [finding["path"] for finding in answered.body["findings"]]
                     self.assertIn(path, paths)
-        self.assertEqual(values(meanwhile.wait()), [0, 1, 2])
+        self.assertEqual(values(running_job.wait()), [0, 1, 2])
         before = self.small.starts()
         good = self.small.put(self.small.ticket(), [TASK])
         self.assertEqual((good.status, values(good)), (200, ["good"]))
         self.assertEqual(self.small.starts(), before + 1)
 
     def test_payload_is_checked_text(self):
-        """A payload that is no UTF-8 is refused, since it is no JSON."""
+        """A payload with invalid UTF-8 is refused, since it is not JSON."""
         body = b'{"service":"fitting","team":"t","tasks":[{"payload":{"value":"\xff"}}]}'
         self.assert_problem(self.small.call("POST", "/v1/jobs", body), 400, "invalid_input")
 
     def test_all_findings_at_once(self):
-        """One answer names every fault."""
+        """One answer lists the findings of all invalid fields."""
         job = {"team": 1, "deadline_ms": -1, "odd": 0, "tasks": [{}, {"payload": 1, "size": -1}]}
         answered = self.small.call("POST", "/v1/jobs", job)
         self.assert_problem(answered, 400, "invalid_input")
@@ -113,12 +113,12 @@
         self.assertEqual(paths, expected)
 
     def test_wrong_method_names_the_right_ones(self):
-        """The Allow header lists what a path takes."""
+        """The Allow header lists the methods that the path supports."""
         answered = self.small.call("PATCH", f"/v1/jobs/{self.small.ticket()}")
         self.assertEqual(answered.headers["Allow"], "DELETE, GET, PUT")
 
     def test_other_body_under_a_ticket(self):
-        """409 while the first job runs and after it; the first is untouched."""
+        """A different job under a used ticket gets 409, during and after the first job."""
         ticket = self.small.ticket()
         first = eventlet.spawn(self.small.put, ticket, [make_task("first", 800)])
         wait_until(lambda: self.small.running() == 1)
@@ -132,10 +132,10 @@
 
 
 class JobsTest(CallersCase):
-    """Life of a job as its caller sees it."""
+    """Submission, resubmission and cancellation of jobs as callers see them."""
 
     def test_resubmission_joins(self):
-        """Both callers get the whole answer of one run, then the kept one."""
+        """A resubmission joins the running job; later ones get the recorded answer."""
         ticket = self.small.ticket()
         tasks = [make_task(number, 500) for number in range(4)]
         before = self.small.starts()
@@ -154,7 +154,7 @@
         self.assertEqual(self.small.starts(), before + 4)
 
     def test_unknown_state_and_next_ticket(self):
-        """A ticket never used is unknown; each answer brings the next ticket."""
+        """A job with an unused ticket is unknown; each answer contains the next ticket."""
         ticket = self.small.ticket()
         state = self.small.call("GET", f"/v1/jobs/{ticket}")
         self.assertEqual(state.body, {"job": ticket, "state": "unknown"})
@@ -164,7 +164,7 @@
         self.assertEqual(self.small.put(after, [TASK]).body["job"], after)
 
     def test_tickets(self):
-        """As many different ones as asked for; none where nobody serves."""
+        """As many distinct tickets are issued as requested; none if no agent serves the service."""
         answered = self.small.call("POST", "/v1/tickets", ORDER | {"count": 100})
         self.assertEqual((answered.status, len(set(answered.body["tickets"]))), (201, 100))
         answered = self.small.call("POST", "/v1/tickets", ORDER | {"service": "sawing"})
@@ -172,7 +172,7 @@
         self.assertEqual(answered.headers["Retry-After"], "1")
 
     def test_cancel_before_submission(self):
-        """The ticket never runs after that."""
+        """A ticket cancelled before its submission never runs."""
         ticket = self.small.ticket()
         before = self.small.starts()
         for answered in (
@@ -184,7 +184,7 @@
         self.assertEqual(self.small.starts(), before)
 
     def test_cancel_queued(self):
-        """No task of it starts, then or later."""
+        """No task of a cancelled job that was queued ever starts."""
         blocker = self.small.block()
         before = self.small.starts()
         ticket = self.small.ticket()
@@ -200,7 +200,7 @@
         self.assertEqual(self.small.starts(), before + 1)
 
     def test_cancel_running(self):
-        """It may have run, and its caller and later ones are told the same."""
+        """A job cancelled while running may have run; all callers get that outcome."""
         ticket = self.small.ticket()
         caller = eventlet.spawn(self.small.put, ticket, [make_task(1, 60_000)], 0)
         wait_until(lambda: self.small.running() == 1)
@@ -215,14 +215,14 @@
         wait_until(lambda: self.small.running() == 0)
 
     def test_cancel_complete(self):
-        """A complete job stays so."""
+        """Cancelling a complete job has no effect and returns its results."""
         ticket = self.small.ticket()
         self.small.put(ticket, [TASK])
         answered = self.small.call("DELETE", f"/v1/jobs/{ticket}")
         self.assertEqual((answered.status, values(answered)), (200, ["good"]))
 
     def test_failed_task(self):
-        """A minion's error fails the whole job as one that may have run."""
+        """An error of a minion fails the job with the outcome "may have run"."""
         self.small.minions[0].apply(self.small.minions[0].faults._replace(fail_all=True))
         self.small.minions[1].apply(self.small.minions[1].faults._replace(fail_all=True))
         ticket = self.small.ticket()
@@ -233,7 +233,7 @@
         self.assert_problem(self.small.put(ticket, [TASK]), 502, "task_failed", "may_have_run")
 
     def test_post_without_ticket(self):
-        """Each POST is a job of its own, whose ticket is in the answer."""
+        """Each POST without a key is a separate job, whose ticket is in the answer."""
         one, two = (self.small.call("POST", "/v1/jobs", make_job([TASK])) for _ in range(2))
         self.assertEqual((values(one), values(two)), (["good"], ["good"]))
         self.assertNotEqual(one.body["job"], two.body["job"])
@@ -243,11 +243,11 @@
         self.assert_problem(answered, 503, "no_home", "not_run")
 
     def key(self, age_ms: float = 0.0) -> str:
-        """Return an idempotency key that was made some time ago."""
+        """Return an idempotency key whose timestamp is ``age_ms`` in the past."""
         return make_key(int(self.small.entries[0]._clock.wall() - age_ms))
 
     def test_post_with_key(self):
-        """The same key of the same team is the same job, through any entry."""
+        """Requests of one team with the same key are the same job, at any entry."""
         before = self.small.starts()
         job, key = make_job([TASK]), self.key()
         one = self.small.call("POST", "/v1/jobs", job, Idempotency_Key=key)
@@ -263,7 +263,7 @@
         self.assertNotEqual(answered.body["job"], one.body["job"])
 
     def test_key_bound_to_another_service(self):
-        """A key bound for one service runs no job of another."""
+        """A key bound to a ticket of one service runs no job of another service."""
         entry = self.small.entries[0]
         home = Peer(*self.small.agents[0].describe()[:2])
         text = Keyring([TICKET_KEY]).sign(Ticket(home, "sawing", entry._clock.wall(), 7))
@@ -275,7 +275,7 @@
         self.assertEqual(self.small.starts(), before)
 
     def test_key_refused(self):
-        """A key that names no time, or a wrong one, is refused before anything is done."""
+        """A key without a valid timestamp is refused before anything runs."""
         before = self.small.starts()
         for key, *expected in (
             ("k" * 256, 400, "invalid_input"),
@@ -291,7 +291,7 @@
         self.assertEqual(self.small.starts(), before)
 
     def test_post_with_key_and_no_store(self):
-        """Refused while the store is down; jobs with tickets go on."""
+        """Without the store, jobs with a key are refused and jobs with a ticket run."""
         self.small.store.store.down = True
         self.addCleanup(setattr, self.small.store.store, "down", False)
         before = self.small.starts()
@@ -306,7 +306,7 @@
         self.assertEqual(values(answered), ["good"])
 
     def test_decisions(self):
-        """Why: the entry's choice and the home's steps, in order."""
+        """The decisions on a job are listed in order; the entry's own only at that entry."""
         ticket = self.small.ticket()
         self.small.put(ticket, [TASK])
         answered = self.small.call("GET", f"/v1/jobs/{ticket}/decisions")
@@ -317,17 +317,17 @@
 
 
 class RefusalsTest(CallersCase):
-    """Refusals say that nothing ran and when to try again."""
+    """Refusals state that the job did not run and when a retry makes sense."""
 
     def assert_refused(self, answered, status, code):
-        """Check a refusal, and that the ticket stays refused."""
+        """Check status, code, retry delay and next ticket of a refusal."""
         self.assert_problem(answered, status, code, "not_run")
         self.assertGreater(answered.body["retry_after_ms"], 0)
         self.assertGreaterEqual(int(answered.headers["Retry-After"]), 1)
         self.assertIn("next_ticket", answered.body)
 
-    def refuse_late(self, tasks):
-        """Check that a job that cannot be done in time is refused at once and for good."""
+    def check_refused_for_deadline(self, tasks):
+        """Check that a job that cannot meet its deadline is refused at once and permanently."""
         blocker = self.small.block(10 * ALL_SLOTS)
         before = self.small.starts()
         ticket = self.small.ticket()
@@ -341,15 +341,15 @@
         self.assertEqual(values(after), ["good"])
 
     def test_deadline(self):
-        """A narrow job, while other jobs hold every slot for long."""
-        self.refuse_late([TASK])
+        """A narrow job is refused while other jobs occupy every slot."""
+        self.check_refused_for_deadline([TASK])
 
     def test_deadline_of_a_wide_job(self):
-        """A wide job, which waits for all that waits already."""
-        self.refuse_late([TASK] * (ALL_SLOTS + 1))
+        """A wide job is refused, since it would wait for all tasks queued before it."""
+        self.check_refused_for_deadline([TASK] * (ALL_SLOTS + 1))
 
     def test_quota(self):
-        """A team over its quota is refused; others and known jobs are not."""
+        """New jobs of a team over its quota are refused, but not known jobs or other teams'."""
         change = make_change(0, "running_tasks: 2\n", "q1")
         ticket = self.small.ticket()
         tasks = [make_task(number) for number in range(3)]
@@ -368,7 +368,7 @@
             self.assertEqual(len(values(fits)), 2)
 
     def test_other_body_over_quota(self):
-        """Another body under a ticket never gets the first one's answer."""
+        """A different job under a used ticket gets 409, also if it exceeds the quota."""
         ticket = self.small.ticket()
         first = self.small.put(ticket, [make_task("first")], team="narrow")
         self.assertEqual(values(first), ["first"])
@@ -378,7 +378,7 @@
         self.assert_problem(self.small.put(ticket, other, team="narrow"), 409, "job_conflict")
 
     def test_no_capacity(self):
-        """A task larger than every minion's largest is refused."""
+        """A task larger than the maximum size of every minion is refused."""
         for agent, minion in zip(self.small.agents, self.small.minions, strict=True):
             minion._max_size = 10
             minion.announce(agent.minion_url)
@@ -393,12 +393,12 @@
 
 
 class LimitsTest(SystemTest):
-    """An entry that may hold one job, with a short deadline of its own."""
+    """Entries with a limit of one running job and a short default deadline."""
 
     SETTINGS = {"max_running_jobs": 1, "default_deadline_ms": 300}
 
     def test_overload(self):
-        """New jobs are refused for good, the one that runs is joined still."""
+        """Above the limit new jobs are refused permanently; the running job can still be joined."""
         wait_until(lambda: self.small.running() == 0)
         ticket = self.small.ticket()
         tasks = [make_task("first", 1000)]
@@ -417,7 +417,7 @@
         self.assertEqual((values(joined), values(first.wait())), (["first"], ["first"]))
 
     def test_default_deadline(self):
-        """A job that names no deadline has the one of the settings."""
+        """A job without a deadline gets the one in the entry's settings."""
         job = make_job([make_task("late", 3000)])
         del job["deadline_ms"]
         answered = self.small.call("POST", "/v1/jobs", job)
@@ -429,7 +429,7 @@
     """Health, readiness and metrics."""
 
     def test_health_ready_metrics(self):
-        """All are there without a token; the metrics count requests."""
+        """All three need no token; the metrics count requests."""
         self.assertEqual(self.small.call("GET", "/healthz").body, {"state": "alive"})
         self.assertEqual(self.small.call("GET", "/readyz").body, {"state": "ready"})
         metrics = self.small.call("GET", "/metrics")
@@ -440,7 +440,7 @@
         )
 
     def test_leaving_entry(self):
-        """A leaving entry finishes its job."""
+        """A draining entry finishes its running job."""
         small = Small()
         self.addCleanup(small.stop)
         ticket = small.ticket()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -16,9 +16,9 @@
 
 
 class DecisionLogTest(unittest.TestCase):
-    """What is kept, and what is dropped."""
+    """Recording, limits, logging and encoding of decisions."""
 
-    def test_record_and_ask(self):
+    def test_record_and_query(self):
         log = make_log()
         first = log.record(decisions.JOB_ACCEPTED, "1f", wait_ms=1.5, queued=3)
         second = log.record(decisions.TASK_PLACED, "1f", worker="tcp://h:1")
@@ -33,7 +33,7 @@
             with self.subTest(unknown=unknown):
                 self.assertIsNone(log.get(unknown))
 
-    def test_bounded_in_all(self):
+    def test_limit_of_all_decisions(self):
         log = make_log(max_entries=10, max_per_subject=4)
         for number in range(100):
             log.record(decisions.TASK_PLACED, f"{number // 2:x}")
@@ -42,7 +42,7 @@
         self.assertEqual(len(log.about("31")), 2)
         self.assertEqual(len(log._numbers), 5)
 
-    def test_bounded_per_subject(self):
+    def test_limit_per_subject(self):
         log = make_log(max_entries=10, max_per_subject=4)
         kept = log.record(decisions.JOB_ACCEPTED, "quiet")
         ids = [log.record(decisions.TASK_PLACED, "busy") for _ in range(50)]
@@ -51,7 +51,7 @@
         self.assertIsNotNone(log.get(kept))
         self.assertEqual(len(log), 5)
 
-    def test_bounded_in_size(self):
+    def test_limit_of_size(self):
         log = make_log()
         many = {f"figure{number}": "x" * 5000 for number in range(50)}
         decision = log.get(log.record(decisions.TASK_FAILED, "s" * 5000, **many))
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration documents."""
+"""Tests of parsing the configuration documents."""
 
 import unittest
 
@@ -17,9 +17,9 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    """Parsing and validation of documents."""
+    """Valid documents are parsed; invalid ones yield findings with line and path."""
 
-    def test_good(self):
+    def test_valid_documents(self):
         cases = [
             (SERVICE, b"{}", DEFAULT_SERVICE),
             (TEAM, b"{}", DEFAULT_TEAM),
@@ -36,7 +36,7 @@
             with self.subTest(body):
                 self.assertEqual(expected, parse_document(key, body))
 
-    def test_faults(self):
+    def test_invalid_documents(self):
         cases = [
             ("service", b"{}", [(0, "")]),
             ("service/", b"{}", [(0, "")]),
--- a/tests/test_domain_evacuation.py
+++ b/tests/test_domain_evacuation.py
@@ -1,4 +1,4 @@
-"""Operators evacuate a failure domain of entries and agents, and take it back."""
+"""Tests of evacuating and restoring a failure domain of entries and agents."""
 
 import json
 import unittest
@@ -11,12 +11,12 @@
 from geraniumspool.runner import REFUSED_EVACUATED
 from tests.world import World
 
-# Configuration reaches every agent with the next two heartbeats.
-TAKEN_MS = 3_000.0
+# Every agent has a new configuration after two heartbeats.
+CONFIGURATION_DELAY_MS = 3_000.0
 
 
 class DomainCase(unittest.TestCase):
-    """Two domains with an entry and two agents each, each agent with two slots."""
+    """Base class: two domains with an entry and two agents each, each agent with two slots."""
 
     def setUp(self):
         self.world = World(domains=2, agents=2, slots=2)
@@ -33,7 +33,7 @@
             self.revision = receipt.revision
 
         eventlet.spawn(propose)
-        self.world.run(TAKEN_MS)
+        self.world.run(CONFIGURATION_DELAY_MS)
 
     def agents_of(self, domain):
         return [agent for agent in self.world.agents if agent.domain == domain]
@@ -44,7 +44,7 @@
         )
 
     def submit_all(self, runs=(80.0,) * 6):
-        """Submit a job to each home; return the calls."""
+        """Submit a job to each agent as its home; return the calls."""
         entry = self.world.entries[1]
         return [self.world.submit(entry, self.world.job(home, runs)) for home in self.world.agents]
 
@@ -53,9 +53,9 @@
 
 
 class EvacuationTest(DomainCase):
-    """What starts where."""
+    """No task starts in an evacuated domain, and no job fails because of it."""
 
-    def test_nothing_starts_there_and_homes_there_go_on(self):
+    def test_no_task_starts_there_but_homes_there_continue(self):
         self.change("d0", True)
         before = self.count_started("d0")
         calls = self.submit_all()
@@ -64,7 +64,7 @@
         self.assertEqual(before, self.count_started("d0"))
         self.assertEqual([], self.world.find_violations())
 
-    def test_taken_back_it_is_used(self):
+    def test_restored_domain_is_used_again(self):
         self.change("d0", True)
         self.change("d0", False)
         before = self.count_started("d0")
@@ -73,7 +73,7 @@
         self.assertEqual({"complete"}, self.outcomes(calls))
         self.assertGreater(self.count_started("d0"), before)
 
-    def test_what_runs_goes_on_and_what_waits_there_goes_elsewhere(self):
+    def test_running_tasks_finish_and_queued_tasks_move_to_another_domain(self):
         calls = self.submit_all((2_000.0,) * 2 + (200.0,) * 2)
         self.world.run(100)
         running = self.count_started("d0")
@@ -86,17 +86,17 @@
         self.assertEqual(started, self.count_started("d0"))
         self.assertEqual([], self.world.find_violations())
 
-    def test_a_runner_refuses_what_a_home_offers_that_does_not_know(self):
+    def test_runner_refuses_offers_of_a_home_without_the_new_configuration(self):
         self.change("d0", True)
         home = self.agents_of("d1")[0]
         home.application.configuration.is_evacuated = lambda _domain: False
         before = self.count_started("d0")
         for agent in self.agents_of("d0"):
-            # As if its last load were from before.
+            # Simulate a load that was reported before the evacuation.
             slots = agent.application.runner.slots
             described = agent.application.describe()
-            told = described._replace(load=described.load._replace(slots=slots, free=slots))
-            home.application.roster.observe(told._replace(version=told.version + 1))
+            stale_member = described._replace(load=described.load._replace(slots=slots, free=slots))
+            home.application.roster.observe(stale_member._replace(version=stale_member.version + 1))
         calls = [
             self.world.submit(self.world.entries[1], self.world.job(home, (150.0,) * 8))
             for _ in range(2)
@@ -110,7 +110,7 @@
         )
         self.assertGreater(refused, 0)
 
-    def test_all_evacuated_is_refused_at_once(self):
+    def test_jobs_are_refused_at_once_if_all_domains_are_evacuated(self):
         self.change("d0", True)
         self.revision = 0
         self.change("d1", True)
@@ -118,7 +118,7 @@
         self.world.run(100)
         self.assertEqual({"not_run"}, self.outcomes(calls))
 
-    def test_it_is_in_the_audit_trail_the_status_and_the_decisions(self):
+    def test_evacuation_is_in_the_audit_trail_and_the_decisions(self):
         self.change("d0", True)
         self.change("d0", False)
         desk = self.world.entries[1].application.desk
@@ -131,8 +131,8 @@
         self.assertEqual([DOMAIN_EVACUATED, DOMAIN_RESTORED], codes)
 
 
-class Scripted:
-    """A client whose entry knows two domains."""
+class RecordingClient:
+    """A client for an entry with two domains; records the changes it is asked to make."""
 
     def __init__(self):
         self.changes = []
@@ -148,10 +148,10 @@
 
 
 class CommandTest(unittest.TestCase):
-    """``domain evacuate`` and ``domain restore``."""
+    """The commands ``domain evacuate`` and ``domain restore``."""
 
-    def test_changes_are_based_on_what_is_there(self):
-        client = Scripted()
+    def test_changes_are_based_on_the_current_revision(self):
+        client = RecordingClient()
         operations.domain_evacuate(client, "south", "bat", "power")
         operations.domain_restore(client, "north", "bat", "power is back")
         expected = [
@@ -160,8 +160,8 @@
         ]
         self.assertEqual(expected, client.changes)
 
-    def test_an_unknown_name_is_refused_with_the_known_ones(self):
-        client = Scripted()
+    def test_unknown_domain_is_refused_with_a_list_of_known_ones(self):
+        client = RecordingClient()
         with self.assertRaises(InvalidInput) as caught:
             operations.domain_evacuate(client, "west", "bat", "power")
         self.assertIn("north, south", str(caught.exception.findings[0]))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Contract of the operators' interface, by HTTP and by the command line."""
+"""Tests of the operators' API, over HTTP and with the command line tool."""
 
 import itertools
 import json
@@ -43,24 +43,24 @@
 
 
 class OperatorsCase(SystemTest):
-    """Base: a system whose store is taken away."""
+    """Base class: a system whose store can be made unavailable."""
 
     def store_down(self):
-        """Take the store away until the test ends."""
+        """Make the store unavailable until the test ends."""
         self.small.store.store.down = True
         self.addCleanup(self.store_up)
 
     def store_up(self):
-        """Bring the store back and wait until the entries follow it again."""
+        """Make the store available again and wait until the entries watch it again."""
         self.small.store.store.down = False
         wait_until(lambda: all(entry.watcher.state == "watching" for entry in self.small.entries))
 
 
 class HttpTest(OperatorsCase):
-    """The interface itself."""
+    """The operators' API over HTTP."""
 
     def test_token(self):
-        """Without the whole token nothing is told or done on any path."""
+        """Without the correct token every path answers 401."""
         for token in (None, "", "wrong", TOKEN[:-1], TOKEN + "x", "é"):
             for method, path in PATHS:
                 with self.subTest(token=token, method=method, path=path):
@@ -68,7 +68,7 @@
                     self.assert_problem(answered, 401, "unauthorized")
 
     def test_status(self):
-        """Status tells of the entry, its domains, the store and counters."""
+        """The status covers the entry, the failure domains, the store and counters."""
         status = self.small.operate("GET", "/v1/status", entry=1).body
         self.assertEqual(status["entry"]["domain"], "south")
         self.assertEqual(status["entry"]["state"], MEMBER_READY)
@@ -78,7 +78,7 @@
         self.assertGreater(status["counters"]["http_requests{status=200}"], -1)
 
     def test_status_of_a_silent_domain(self):
-        """It counts as unreachable, with what was last heard of it."""
+        """A silent domain is shown as unreachable, with its last reported values."""
         with mock.patch.object(Revisions, "_is_silent", lambda _, domain: domain == "north"):
 
             def find_rows():
@@ -90,7 +90,7 @@
         wait_until(lambda: not self.small.entries[1].roster.unreachable)
 
     def test_roster(self):
-        """Both entries list the same four processes, in one order."""
+        """Both entries list the same four processes in the same order."""
         one, two = (self.small.operate("GET", "/v1/roster", entry=n).body for n in (0, 1))
         rows = [(row["domain"], row["role"], row["state"]) for row in one["members"]]
         parts = itertools.product(("north", "south"), (ROLE_AGENT, ROLE_ENTRY), (MEMBER_READY,))
@@ -99,7 +99,7 @@
         self.assertEqual(*addresses)
 
     def test_change_and_stale_revision(self):
-        """One of two changes on one revision wins; the other is told so."""
+        """Of two changes based on the same revision one wins; the other learns which."""
         url = "/v1/config/service/planing"
         first = self.small.operate("PUT", url, make_change(0, "max_tasks: 5\n", "a1"))
         self.assertEqual((first.status, first.body["status"]), (200, "accepted"))
@@ -129,7 +129,7 @@
         self.assertNotIn("service/planing", [row["key"] for row in listed])
 
     def test_change_takes_effect_everywhere(self):
-        """It is in force at every agent, and the status says so."""
+        """A change comes into force at every agent, and the configuration status shows it."""
         change = make_change(0, "max_tasks: 3\n", "b1")
         revision = self.small.operate("PUT", "/v1/config/service/carving", change).body["revision"]
         for entry in (0, 1):
@@ -144,7 +144,7 @@
             self.assertEqual(agent.configuration.service("carving").max_tasks, 3)
 
     def test_invalid_documents(self):
-        """All findings come at once, with lines, and nothing is written."""
+        """An invalid document yields all findings with line numbers and is not written."""
         body = "max_tasks: 0\nodd: 1\nrun_limit_ms: soon\n"
         url = "/v1/config/service/turning"
         answered = self.small.operate("PUT", url, make_change(0, body, "c1"))
@@ -155,7 +155,7 @@
         self.assert_problem(self.small.operate("GET", url), 404, "not_found")
 
     def test_invalid_requests(self):
-        """Requests that are no changes are typed problems."""
+        """Invalid requests get a problem with a stable code."""
         url = "/v1/config/team/t"
         for method, path, body, status, code in (
             ("PUT", url, b"{", 400, "invalid_input"),
@@ -185,7 +185,7 @@
         self.assert_problem(answered, 404, "not_found")
 
     def test_store_down(self):
-        """A change is unknown, what is in force stays, the repeat is safe."""
+        """Without the store the outcome is unknown, the old document stays; retrying is safe."""
         url = "/v1/config/team/joiners"
         change = make_change(0, "weight: 2\n", "e1")
         revision = self.small.operate("PUT", url, change).body["revision"]
@@ -203,7 +203,7 @@
         self.assertGreater(again.body["revision"], revision)
 
     def test_lost_answer(self):
-        """A change whose answer the store lost is accepted exactly once."""
+        """A change for which the store's answer is lost is accepted exactly once."""
         self.small.store.store.lose_answers = 1
         url = "/v1/config/team/turners"
         answered = self.small.operate("PUT", url, make_change(0, "weight: 2\n", "f1"))
@@ -212,7 +212,7 @@
         self.assertEqual([row["change_id"] for row in history], ["f1"])
 
     def test_decisions_by_id(self):
-        """Decisions of any process are told by any entry."""
+        """Any entry returns the decisions of any process by id."""
         ticket = self.small.ticket()
         self.small.put(ticket, [TASK])
         rows = self.small.operate("GET", f"/v1/jobs/{ticket}/decisions").body["decisions"]
@@ -227,8 +227,8 @@
                 self.small.operate("GET", f"/v1/decisions/{gone}"), 404, "not_found"
             )
 
-    def test_refusal_names_its_decision(self):
-        """The decision in a problem can be asked for as it stands there."""
+    def test_decision_id_in_a_refusal(self):
+        """The decision id in a problem can be looked up."""
         ticket = self.small.ticket()
         self.small.call("DELETE", f"/v1/jobs/{ticket}")
         named = self.small.put(ticket, [TASK]).body["decision"]
@@ -237,7 +237,7 @@
         self.assertIn("job_cancelled", codes, answered)
 
     def test_jobs_for_operators(self):
-        """Operators see and cancel jobs with the token."""
+        """Operators can query and cancel jobs with their token."""
         ticket = self.small.ticket()
         caller = eventlet.spawn(self.small.put, ticket, [make_task(1, 60_000)])
         wait_until(lambda: self.small.running() == 1)
@@ -249,15 +249,15 @@
 
 
 class DrainTest(unittest.TestCase):
-    """Agents and entries leave when an operator asks."""
+    """Agents and entries drain on an operator's request."""
 
     def setUp(self):
-        """Start a system of its own, which the test takes apart."""
+        """Start a separate system, since the test stops its processes."""
         self.small = Small()
         self.addCleanup(self.small.stop)
 
     def test_drain_of_an_agent(self):
-        """It leaves; its jobs' answers come from the archive; nothing runs again."""
+        """After an agent left, its archive answers for its jobs and nothing runs again."""
         done, unused = self.small.ticket(0), self.small.ticket(0)
         results = self.small.put(done, [TASK]).body["results"]
         address = self.small.agents[0].ready_line()["inbox"]
@@ -286,7 +286,7 @@
         self.assertEqual(sum(row["agents"] for row in rows), 1)
 
     def test_drain_of_entries(self):
-        """An entry asked through another one, or through itself, will exit."""
+        """An entry exits on a drain request sent to itself or to another entry."""
         for through, target in ((0, 1), (0, 0)):
             address = self.small.entries[target].ready_line()["inbox"]
             order = {"address": address, "who": "tester", "why": "a test"}
@@ -295,15 +295,15 @@
 
 
 class CommandsTest(OperatorsCase):
-    """The operators' commands against a running entry."""
+    """The command line tool for operators, against a running entry."""
 
     def setUp(self):
-        """Point the commands at the first entry."""
+        """Configure the commands to use the first entry."""
         address = self.small.entries[0].ready_line()["operators"]
         point_commands(self, address, TOKEN)
 
     def run_command(self, *argv, expected=exit_codes.EXIT_OK):
-        """Run a command with --json; return what it printed."""
+        """Run a command with ``--json``; return its output, or its errors if it has none."""
         code, output, errors = run_command(*argv, "--json")
         self.assertEqual(code, expected, (argv, errors))
         if output:
@@ -312,7 +312,7 @@
         return errors
 
     def apply(self, key, text, revision, change_id, expected=exit_codes.EXIT_OK):
-        """Run ``config apply`` with a document's text."""
+        """Run ``config apply`` with a document's text and return the output."""
         with tempfile.NamedTemporaryFile("w", suffix=".yaml") as file:
             file.write(text)
             file.flush()
@@ -323,7 +323,7 @@
             )
 
     def test_status_and_roster(self):
-        """Both print what the interface answers."""
+        """The commands ``status`` and ``roster`` print the API's answers."""
         status = self.run_command("status")
         self.assertEqual(status["entry"]["domain"], "north")
         roster = self.run_command("roster")
@@ -331,7 +331,7 @@
         self.run_command("status", "--token", "wrong", expected=exit_codes.EXIT_UNAUTHORIZED)
 
     def test_config(self):
-        """Apply, get, list, history, status; stale and invalid changes."""
+        """The ``config`` commands work, and report stale and invalid changes."""
         key = "service/weaving"
         revision = self.apply(key, "max_tasks: 4\n", 0, "g1")["revision"]
         self.assertEqual(self.run_command("config", "get", key)["revision"], revision)
@@ -348,13 +348,13 @@
         self.run_command("config", "get", "service/none", expected=exit_codes.EXIT_NOT_FOUND)
 
     def test_config_without_store(self):
-        """The outcome is unknown, by exit code as well."""
+        """Without the store the exit code of a change says that its outcome is unknown."""
         self.store_down()
         unknown = self.apply("team/weavers", "weight: 2\n", 0, "h1", exit_codes.EXIT_UNKNOWN)
         self.assertIn("config_change_unknown", unknown)
 
     def test_jobs(self):
-        """State, reasons and cancellation of jobs."""
+        """The commands ``job``, ``why`` and ``cancel`` show and cancel jobs."""
         ticket = self.small.ticket()
         self.run_command("job", ticket, expected=exit_codes.EXIT_NOT_FOUND)
         self.small.put(ticket, [TASK])
@@ -369,7 +369,7 @@
         self.run_command("job", "A" * 60, expected=exit_codes.EXIT_INVALID)
 
     def test_drain(self):
-        """An unknown address is not found; a known one is asked."""
+        """A drain of an unknown address is refused; a known process is asked to drain."""
         flags = ("--who", "tester", "--why", "a test")
         self.run_command("drain", "tcp://127.0.0.1:1", *flags, expected=exit_codes.EXIT_NOT_FOUND)
         entry = self.small.entries[1]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the membership at the entries, with agents that beat at them."""
+"""Tests of membership at entries, with agents that send heartbeats, on a simulated network."""
 
 import logging
 import random
@@ -42,7 +42,7 @@
 
 
 class Process:
-    """An entry or an agent on a network in memory."""
+    """An entry's registry or an agent's heartbeater on the simulated network."""
 
     def __init__(self, network, number, domain, role, incarnation=None):
         self.network = network
@@ -96,7 +96,7 @@
 
 
 class Network:
-    """Carries messages between processes and counts their bytes."""
+    """Delivers messages between processes and counts messages and bytes per process."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -133,7 +133,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Two domains of two entries and three agents each."""
+    """Two failure domains with two entries and three agents each."""
 
     def setUp(self):
         self.network = Network()
@@ -146,24 +146,24 @@
     def add(self, number, domain, role, incarnation=None):
         return Process(self.network, number, domain, role, incarnation)
 
-    def everybody(self):
+    def running_processes(self):
         return [process for process in self.network.processes.values() if not process.paused]
 
     def check_states(self, process, expected):
-        for other in self.everybody():
+        for other in self.running_processes():
             if other is not process:
                 self.assertEqual(other.state_of(process), expected, other.me.address)
 
     def entry_of(self, agent):
         return self.network.processes[agent.part.target]
 
-    def test_everybody_knows_everybody(self):
-        for process in self.everybody():
+    def test_all_processes_know_all_others(self):
+        for process in self.running_processes():
             others = {agent.me for agent in self.agents} - {process.me}
             self.assertEqual(set(map(peer_of, process.roster.agents("fitting"))), others)
             self.assertEqual(len(process.roster.entries()), 4)
 
-    def test_silent_agent_is_dead_everywhere_and_back_when_heard(self):
+    def test_silent_agent_is_dead_everywhere_until_it_is_heard_again(self):
         agent = self.agents[0]
         agent.paused = True
         self.network.run(4)
@@ -183,10 +183,10 @@
         self.check_states(new, "ready")
         self.check_states(old, "dead")
 
-    def test_death_of_an_entry_kills_no_agent(self):
+    def test_agents_survive_the_death_of_their_entry(self):
         entry = self.entry_of(self.agents[0])
         changes = []
-        for process in self.everybody():
+        for process in self.running_processes():
             process.roster.subscribe(changes.append)
         entry.paused = True
         self.network.run(30)
@@ -214,26 +214,26 @@
         self.check_states(agent, "dead")
 
     def test_unreachable_domain_is_known_to_all_within_a_few_rounds(self):
-        """Also at the entries that get no digest from there themselves."""
+        """This includes entries that receive no digests from the other domain directly."""
         self.network.cut.add(frozenset({"north", "south"}))
         for rounds, known in (
             (SILENT_ROUNDS - FAR_ROUNDS, False),
             (FAR_ROUNDS + TOLD_ROUNDS, True),
         ):
             self.network.run(rounds)
-            for process in self.everybody():
+            for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
                 self.assertEqual(near == {process.member.domain}, known, process.me.address)
         self.network.cut.clear()
         self.network.run(FAR_ROUNDS + 1)
-        self.assertEqual({p.roster.unreachable for p in self.everybody()}, {frozenset()})
+        self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
 
-    def test_partition_between_domains_kills_nobody(self):
-        """It lasts longer than dead members are remembered."""
+    def test_no_member_is_declared_dead_in_a_partition_between_domains(self):
+        """The partition lasts longer than the time for which dead members are remembered."""
         self.network.cut.add(frozenset({"north", "south"}))
         self.network.run(330)
-        for process in self.everybody():
-            others = {other.me for other in self.everybody()} - {process.me}
+        for process in self.running_processes():
+            others = {other.me for other in self.running_processes()} - {process.me}
             ready = {peer_of(m) for m in process.roster.members() if m.state == "ready"}
             self.assertEqual(ready - {process.me}, others)
         self.agents[5].member = self.agents[5].member._replace(state="ejected")
@@ -243,12 +243,12 @@
         self.network.run(4)
         self.check_states(self.agents[5], "ejected")
 
-    def test_changes_behind_a_cut_are_known_soon_after_it(self):
-        """Each case: how long it lasts; more changes than are told in turn."""
+    def test_changes_during_a_partition_are_known_soon_after_it(self):
+        """Each case is a duration in rounds; more members change than one digest refreshes."""
         agents = [self.add(number, "north", "agent") for number in range(20, 50)]
         self.network.introduce()
         self.network.run(6)
-        far = self.entries[2:]
+        other_entries = self.entries[2:]
         for rounds in (1, FAR_ROUNDS, SILENT_ROUNDS, 3 * SILENT_ROUNDS):
             with self.subTest(rounds=rounds):
                 self.network.cut.add(frozenset({"north", "south"}))
@@ -259,11 +259,11 @@
                 self.network.run(rounds)
                 self.network.cut.clear()
                 self.network.run(FAR_ROUNDS + 3)
-                for entry in far:
+                for entry in other_entries:
                     known = {entry.state_of(agent) for agent in agents}
                     self.assertEqual(known, {agents[0].member.state})
 
-    def test_entries_of_a_domain_that_lost_each_other_meet_again(self):
+    def test_entries_of_a_domain_reconnect_after_a_partition(self):
         self.network.cut.add(frozenset({"north"}))
         self.network.run(12)
         self.assertEqual(self.entries[0].state_of(self.entries[1]), "dead")
@@ -278,7 +278,7 @@
         self.network.run(60)
         for agent in self.agents:
             self.check_states(agent, "ready")
-        self.assertEqual({p.roster.unreachable for p in self.everybody()}, {frozenset()})
+        self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
         for entry in self.entries[2:]:
             entry.paused = False
         self.network.run(40)
@@ -286,7 +286,7 @@
             self.check_states(agent, "ready")
         self.assertEqual(self.entry_of(self.agents[5]).member.domain, "south")
 
-    def test_leaving_is_known_at_once_in_the_own_domain(self):
+    def test_departure_is_known_to_all_entries_at_once(self):
         agent = self.agents[0]
         agent.member = agent.member._replace(state="left", archive="tcp://10.0.0.12:7000")
         agent.part.beat_now()
@@ -298,13 +298,13 @@
         self.check_states(agent, "left")
 
     def test_load_alone_changes_no_membership(self):
-        versions = [process.roster.version for process in self.everybody()]
+        versions = [process.roster.version for process in self.running_processes()]
         load = Load(8, 5, backlog_ms=100.0)
         for agent in self.agents:
             agent.member = agent.member._replace(load=load)
         self.network.run(5)
-        self.assertEqual([p.roster.version for p in self.everybody()], versions)
-        for process in self.everybody():
+        self.assertEqual([p.roster.version for p in self.running_processes()], versions)
+        for process in self.running_processes():
             loads = [m.load for m in process.roster.agents("fitting") if peer_of(m) != process.me]
             self.assertEqual(set(loads), {load})
 
@@ -312,7 +312,7 @@
         self.entries[3].configuration.apply([Document("team/opticians", 9, b"{}")])
         self.assertEqual(self.entries[3].part.in_force(), {"north": 0, "south": 0})
         self.network.run(6)
-        for process in self.everybody():
+        for process in self.running_processes():
             self.assertEqual(process.configuration.revision, 9)
         for entry in self.entries:
             self.assertEqual(entry.part.in_force(), {"north": 9, "south": 9})
@@ -346,7 +346,7 @@
         for agent in self.agents[:3]:
             self.assertEqual(agent.configuration.revision, 9)
 
-    def test_demand_is_told_per_entry_and_per_domain(self):
+    def test_demand_is_reported_per_entry_and_per_domain(self):
         self.network.run(6)
         totals = Counter()
         for entry in self.entries:
@@ -356,8 +356,8 @@
         self.assertEqual(totals[one], 4)
         self.assertEqual(totals[both], 2)
 
-    def test_changed_demand_is_told_also_after_lost_digests(self):
-        """Each case: new demand, rounds whose digests are lost, rounds until it is known."""
+    def test_changed_demand_is_reported_despite_lost_digests(self):
+        """Each case: new demand, rounds in which digests are lost, rounds until it is known."""
         self.network.run(2)
         first, second = self.entries[:2]
         cases = (
@@ -376,7 +376,7 @@
                 told = {report.entry: report.demand for report in first.part.peers_demand()}
                 self.assertEqual(told[second.me], demand)
 
-    def test_quiet_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
+    def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
         self.network.count.clear()
         self.network.run(10)
         for agent in self.agents:
@@ -386,7 +386,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """Traffic at the aimed-at size."""
+    """Control traffic with 1461 agents in three failure domains, of which 487 are simulated."""
 
     def test_control_traffic_of_an_agent(self):
         network = Network()
@@ -409,15 +409,15 @@
             self.assertEqual(agent.roster.count(domain="north", role="agent"), 486)
         network.bytes.clear()
         for round_number in range(3):
-            moving = agents[round_number]
-            moving.member = moving.member._replace(state="ejected")
+            changed_agent = agents[round_number]
+            changed_agent.member = changed_agent.member._replace(state="ejected")
             network.run(1)
         worst = max(network.bytes[agent.me] for agent in agents) / 3
         self.assertLess(worst / (PERIOD_MS / 1_000), BUDGET_BYTES_PER_S)
 
 
 class ReplyTest(unittest.TestCase):
-    """Single replies of one entry."""
+    """Replies of a single entry to single heartbeats."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -443,7 +443,7 @@
         self.registry.take_heartbeat(peer_of(member), heartbeat)
         return self.messenger.sent[-1][1] if self.messenger.sent else None
 
-    def test_whole_or_changes(self):
+    def test_full_roster_or_changes(self):
         first = self.ask(entry=0)
         self.ask(number=1, entry=0)
         version = first.roster_version
@@ -470,7 +470,7 @@
         self.assertEqual(receivers, set(range(10, 10 + 2 * PUSHES_AT_ONCE)))
         self.assertEqual(len(self.messenger.sent), 2 * PUSHES_AT_ONCE)
 
-    def test_agent_in_charge_of_another_entry_gets_no_reply(self):
+    def test_agent_that_follows_another_entry_gets_no_reply(self):
         self.assertIsNone(self.ask(entry=2, state="leaving"))
         self.assertEqual(self.roster.find_incarnation(9).state, "leaving")
 
@@ -478,8 +478,8 @@
         reply = self.ask(entry=0, state="leaving")
         self.assertEqual((reply.roster_version, reply.members), (0, ()))
 
-    def test_short_heartbeat_counts_where_the_rest_is_known(self):
-        """Each case: what the entry knows, the version told, and whether it asks for all."""
+    def test_short_heartbeat_is_accepted_if_the_state_is_known(self):
+        """Each case: what the entry knows, the version sent, whether it requests the full state."""
         agent = Member("tcp://127.0.0.1:9", 9, "north", "agent", "ready", "f", version=3)
         peer, load = peer_of(agent), Load(8, 2)
         source = Peer("tcp://127.0.0.1:2", 2)
@@ -503,14 +503,14 @@
                     self.assertEqual(self.roster.get(peer), agent._replace(load=load))
                     self.assertEqual(self.roster.sighting(peer).heard_ms, self.clock.now())
 
-    def test_heartbeat_in_another_name_is_ignored(self):
+    def test_heartbeat_with_another_sender_is_ignored(self):
         member = Member("tcp://127.0.0.1:9", 9, "north", "agent", "ready", "f")
         self.registry.take_heartbeat(Peer("tcp://127.0.0.1:8", 8), Heartbeat(member, 0, 0, 0))
         self.assertEqual(self.messenger.sent, [])
         self.assertIsNone(self.roster.find_incarnation(9))
 
-    def test_lost_reply_is_made_up_for(self):
-        """Foreign members enter the window later, others leave, also after a lost reply."""
+    def test_lost_reply_is_repeated(self):
+        """If a reply is lost, the next one repeats the changes of the agent's window."""
         for number in range(2 * FOREIGN_MEMBERS):
             foreign = Member(f"tcp://10.0.0.{number}:1", 500 + number, "south", "agent", "ready")
             self.roster.observe(foreign)
@@ -529,7 +529,7 @@
         held = [known[address] for address in known.keys() - set(again.released)]
         self.assertEqual(sum(m.domain == "south" for m in held), FOREIGN_MEMBERS)
 
-    def test_hints_are_bounded_and_lean_to_free_agents(self):
+    def test_hints_are_bounded_and_prefer_free_agents(self):
         for number in range(200):
             member = Member(
                 f"tcp://10.0.0.{number}:1", 500 + number, "north", "agent", "ready", "f"
@@ -543,7 +543,7 @@
         self.assertGreater(len(set(replies)), 1)
         self.assertEqual(self.ask(entry=0, backlog_ms=0.0).loads, ())
 
-    def test_digest_in_another_name_is_ignored(self):
+    def test_digest_with_another_sender_is_ignored(self):
         other = Member("tcp://127.0.0.1:2", 2, "north", "entry", "ready")
         self.registry.take_digest(Peer(other.address, 3), Digest(other, True, (), (), (), 0, ()))
         self.assertIsNone(self.roster.find_incarnation(2))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -28,7 +28,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Loading and checking of settings files."""
+    """Valid files are loaded; invalid ones yield findings with line and path."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
@@ -39,7 +39,7 @@
         Path(self.path).write_bytes(text.encode() if isinstance(text, str) else text)
         return self.path
 
-    def find(self, text: str | bytes) -> list[tuple[int, str]]:
+    def find_findings(self, text: str | bytes) -> list[tuple[int, str]]:
         findings = check_file(self.write(text))
         self.assertEqual({self.path} if findings else set(), {each.place for each in findings})
         return [(finding.line, finding.path) for finding in findings]
@@ -62,7 +62,7 @@
             load_agent_settings(self.write(ENTRY))
         self.assertIn((1, "role"), [(each.line, each.path) for each in caught.exception.findings])
 
-    def test_faults(self):
+    def test_invalid_files(self):
         cases = {
             "empty": ("", [(1, "")]),
             "comment alone": ("# nothing\n", [(1, "")]),
@@ -127,16 +127,16 @@
         }
         for name, (text, expected) in cases.items():
             with self.subTest(name):
-                self.assertEqual(expected, self.find(text))
+                self.assertEqual(expected, self.find_findings(text))
 
-    def test_good_values(self):
+    def test_valid_values(self):
         for line in (
             "callers_listen: '[::1]:80'",
             "inbox: tcp://[fd00::1]:7000",
             "drain_limit_ms: 1e4",
         ):
             with self.subTest(line):
-                self.assertEqual([], self.find(ENTRY + line + "\n"))
+                self.assertEqual([], self.find_findings(ENTRY + line + "\n"))
 
     def test_unreadable_files(self):
         for path in (self.path, str(Path(self.path).parent)):
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -1,4 +1,4 @@
-"""Tests of the checks on callers' request bodies."""
+"""Tests of parsing and validating callers' request bodies."""
 
 import json
 import unittest
@@ -19,12 +19,12 @@
 
 
 def encode(value):
-    """Return a body."""
+    """Return a request body; bytes are returned unchanged."""
     return value if isinstance(value, bytes) else json.dumps(value).encode()
 
 
 class SubmissionTest(unittest.TestCase):
-    """Bodies become jobs, or all findings with their paths."""
+    """Valid bodies are parsed; invalid ones yield all findings with their paths."""
 
     def assert_paths(self, read, value, *paths):
         """Check the paths of all findings."""
@@ -34,7 +34,7 @@
         self.assertTrue(all(finding.text for finding in caught.exception.findings))
 
     def test_job(self):
-        """A payload is kept byte for byte; what is left out has defaults."""
+        """A payload is kept byte for byte; omitted fields get defaults."""
         body = (
             b'{"service":"fitting","team":"opticians","deadline_ms":1.5,'
             b'"tasks":[{"payload":{"b" : 1e2},"size":3,"run_ms":4},{"payload":null}]}'
@@ -45,14 +45,14 @@
         self.assertEqual(parse_submission(encode(JOB)).deadline_ms, 0.0)
 
     def test_bounds(self):
-        """The longest job and the longest deadline are still taken."""
+        """Jobs exactly at the limits are accepted."""
         job = JOB | {"tasks": [{"payload": 1}] * MAX_TASKS, "deadline_ms": 600_000}
         self.assertEqual(len(parse_submission(encode(job)).tasks), MAX_TASKS)
         job = JOB | {"service": "s" * 100}
         self.assertEqual(parse_submission(encode(job)).service, "s" * 100)
 
     def test_digest(self):
-        """The deadline is no part of the job's identity; all else is."""
+        """The digest covers all fields except the deadline."""
         digest = parse_submission(encode(JOB)).digest
         self.assertEqual(parse_submission(encode(JOB | {"deadline_ms": 5})).digest, digest)
         for change in (
@@ -66,7 +66,7 @@
                 self.assertNotEqual(parse_submission(encode(JOB | change)).digest, digest)
 
     def test_findings(self):
-        """Each fault is found at its path."""
+        """Each invalid field is reported with its path."""
         task = {"payload": 1}
         for value, paths in (
             (b"", [""]),
@@ -98,13 +98,13 @@
                 self.assert_paths(parse_submission, value, *paths)
 
     def test_findings_are_bounded(self):
-        """A hostile body gets a bounded answer."""
+        """The number of findings is limited, however many fields are invalid."""
         with self.assertRaises(InvalidInput) as caught:
             parse_submission(encode(JOB | {"tasks": [{}] * MAX_TASKS}))
         self.assertEqual(len(caught.exception.findings), MAX_FINDINGS)
 
     def test_ticket_order(self):
-        """One ticket unless a whole number from 1 to 100 is asked for."""
+        """The count is an integer from 1 to 100 and defaults to 1."""
         self.assertEqual(parse_ticket_order(encode(ORDER)).count, 1)
         self.assertEqual(parse_ticket_order(encode(ORDER | {"count": 100})).count, 100)
         for value, paths in (
@@ -119,7 +119,7 @@
                 self.assert_paths(parse_ticket_order, value, *paths)
 
     def test_limits_of_the_service(self):
-        """A service's own limits are checked with paths as well."""
+        """Violations of a service's limits are reported with their paths."""
         job = parse_submission(encode(JOB | {"tasks": [{"payload": "ab"}, {"payload": "abc"}]}))
         check_limits(job, ServiceDocument(max_tasks=2, max_task_bytes=5))
         with self.assertRaises(InvalidInput) as caught:
--- a/tests/test_ticket.py
+++ b/tests/test_ticket.py
@@ -1,4 +1,4 @@
-"""Tests of tickets."""
+"""Tests of issuing, signing and verifying tickets."""
 
 import base64
 import unittest
@@ -17,10 +17,10 @@
 
 
 class TicketTest(unittest.TestCase):
-    """Tickets say what they were issued for, or are refused."""
+    """A ticket returns the contents it was issued with, or is refused."""
 
     def test_round_trip(self):
-        """What is issued verifies, also by who does not have the key."""
+        """An issued ticket can be verified, and read without the key."""
         text = Keyring([NEW]).issue(HOME, "fitting", 123)
         ticket = Keyring([NEW]).verify(text)
         self.assertEqual(ticket[:3], (HOME, "fitting", 123))
@@ -28,12 +28,12 @@
         self.assertRegex(text, r"\A[A-Za-z0-9_-]+\Z")
 
     def test_unique(self):
-        """No two tickets are the same."""
-        ring = Keyring([NEW])
-        self.assertEqual(len({ring.issue(HOME, "fitting", 1) for _ in range(500)}), 500)
+        """Tickets with the same contents still differ."""
+        keyring = Keyring([NEW])
+        self.assertEqual(len({keyring.issue(HOME, "fitting", 1) for _ in range(500)}), 500)
 
     def test_rotation(self):
-        """The first key signs; every key verifies; a retired one does not."""
+        """The first key signs, every key verifies; a removed key does not."""
         old = Keyring([OLD]).issue(HOME, "fitting", 1)
         both = Keyring([NEW, OLD])
         both.verify(old)
@@ -47,26 +47,26 @@
             Keyring([])
 
     def test_every_bit_counts(self):
-        """A ticket with any character changed is never taken."""
-        ring = Keyring([NEW])
-        text = ring.issue(HOME, "fitting", 1)
+        """A ticket with any bit flipped is refused as forged."""
+        keyring = Keyring([NEW])
+        text = keyring.issue(HOME, "fitting", 1)
         data = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
         for index in range(len(data)):
             changed = data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :]
             with self.subTest(index=index), self.assertRaises(ForgedTicket):
-                ring.verify(encode(changed))
+                keyring.verify(encode(changed))
 
     def test_malformed(self):
-        """What is no ticket is told apart from a forged one."""
-        ring = Keyring([NEW])
+        """Text that is not a ticket is reported as malformed, not as forged."""
+        keyring = Keyring([NEW])
         for text in ("", "A", "A" * 513, "no ticket", "é" * 40, "A" * 20 + "\0", "AAAA" * 5):
             with self.subTest(text=text):
-                for read in (ring.verify, read_ticket):
+                for read in (keyring.verify, read_ticket):
                     with self.assertRaises(MalformedTicket):
                         read(text)
 
-    def test_signed_nonsense(self):
-        """A signature over something else makes no ticket."""
+    def test_signed_data_that_is_not_a_ticket(self):
+        """Validly signed data that is not a ticket is reported as malformed."""
         for body in (b"\xc0", b"\x91\x01", b"\x94\x01\x02\x03\x04", b"\x94\x92\xa1\xff\x01\xa0"):
             text = encode(_sign(NEW.encode(), body) + body)
             with self.subTest(body=body):
@@ -75,8 +75,8 @@
                         read(text)
 
     def test_longest_names_fit(self):
-        """A ticket with the longest service name is still readable."""
+        """A ticket with the longest address and service name can be verified."""
         ticket = Ticket(Peer("tcp://[" + "f" * 39 + "]:65535", 2**63), "s" * 100, 2**42, 2**63 - 1)
-        ring = Keyring([NEW])
-        self.assertEqual(ring.verify(ring.sign(ticket)), ticket)
+        keyring = Keyring([NEW])
+        self.assertEqual(keyring.verify(keyring.sign(ticket)), ticket)
         self.assertGreater(SIGNATURE_BYTES, 15)
