--- a/geraniumspool/operators.py
+++ b/geraniumspool/operators.py
@@ -259,21 +259,27 @@
         return reply_json(200, {"newest": self._configuration.revision, "domains": rows})
 
     def _post_drain(self, request: Request) -> Reply:
-        order = _parse_body(request.body, DrainRequest, "drain")
+        drain_request = _parse_body(request.body, DrainRequest, "drain")
         members = [member for member in self._roster.members() if not is_final(member)]
-        found = [member for member in members if member.address == order.address]
+        found = [member for member in members if member.address == drain_request.address]
         if not found:
-            raise NotFound(f"no living process has the address {order.address!r}")
+            raise NotFound(f"no living process has the address {drain_request.address!r}")
         peer = peer_of(found[0])
         if peer == self._messenger.me:
             self._request_exit()
         else:
-            self._messenger.send(peer, Drain(order.who, order.why))
+            self._messenger.send(peer, Drain(drain_request.who, drain_request.why))
         _LOG.info(
             "drain requested",
-            extra={"fields": (("address", order.address), ("who", order.who), ("why", order.why))},
+            extra={
+                "fields": (
+                    ("address", drain_request.address),
+                    ("who", drain_request.who),
+                    ("why", drain_request.why),
+                )
+            },
         )
-        return reply_json(HTTP_ACCEPTED, {"address": order.address, "state": "asked"})
+        return reply_json(HTTP_ACCEPTED, {"address": drain_request.address, "state": "asked"})
 
     def _get_decision(self, request: Request) -> Reply:
         name = request.parameters[0]
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -127,39 +127,39 @@
         """Discard the hash rings, which still contain members that the roster has removed."""
         self._windows.clear()
 
-    def _push(self, waiting: deque[Peer]) -> None:
+    def _push(self, remaining: deque[Peer]) -> None:
         sent = 0
-        while waiting and sent < PUSHES_AT_ONCE:
-            peer = waiting.popleft()
+        while remaining and sent < PUSHES_AT_ONCE:
+            peer = remaining.popleft()
             view = self._agents.get(peer)
             if view is None or view.config_revision >= self._configuration.revision:
                 continue
             documents = self.documents(view.config_revision)
             self._messenger.send(peer, self._make(documents=documents))
             sent += 1
-        if waiting:
-            self._push_timer = self._clock.after(PUSH_PAUSE_MS, lambda: self._push(waiting))
+        if remaining:
+            self._push_timer = self._clock.after(PUSH_PAUSE_MS, lambda: self._push(remaining))
 
     def _reply(self, sender: Peer, heartbeat: Heartbeat) -> HeartbeatReply:
         member = heartbeat.member
         view = self._agents.get(sender) or _AgentView(0, frozenset(), 0, frozenset())
         version = heartbeat.roster_version
         whole = heartbeat.roster_entry == 0 or not self._roster.covers(version)
-        leaving = is_final(member) or member.state == MEMBER_LEAVING
+        is_leaving = is_final(member) or member.state == MEMBER_LEAVING
         documents = self.documents(heartbeat.config_revision)
-        if whole and leaving:
+        if whole and is_leaving:
             return self._make(documents=documents)
-        known = frozenset() if whole else view.known_window
+        old_window = frozenset() if whole else view.known_window
         if not whole and version == view.sent_version:
-            known = view.sent_window
+            old_window = view.sent_window
         window = self._windows.choose(member)
         self._agents[sender] = _AgentView(
-            heartbeat.config_revision, known, self._roster.version, window
+            heartbeat.config_revision, old_window, self._roster.version, window
         )
-        members = self._select_members(member, version, whole, known, window)
-        waits = member.load.backlog_ms > 0
-        hints = self._hints.choose(member, window) if waits else ()
-        released = tuple(known - window) if window is not known else ()
+        members = self._select_members(member, version, whole, old_window, window)
+        has_backlog = member.load.backlog_ms > 0
+        hints = self._hints.choose(member, window) if has_backlog else ()
+        released = tuple(old_window - window) if window is not old_window else ()
         return self._make(whole, members, hints, documents, self._roster.version, released=released)
 
     def _make(
@@ -190,20 +190,26 @@
         agent: Member,
         version: int,
         whole: bool,
-        known: frozenset[str],
+        old_window: frozenset[str],
         window: frozenset[str],
     ) -> tuple[Member, ...]:
-        def is_near(member: Member) -> bool:
+        def is_always_included(member: Member) -> bool:
             return member.domain == agent.domain or member.role == ROLE_ENTRY
 
         if whole:
             members = self._roster.members()
             return tuple(
-                m for m in members if is_near(m) or (m.address in window and not is_final(m))
+                m
+                for m in members
+                if is_always_included(m) or (m.address in window and not is_final(m))
             )
         changed = self._roster.since(version)
-        selected = [m for m in changed if is_near(m) or m.address in window or m.address in known]
-        added = window - known if window is not known else None
+        selected = [
+            m
+            for m in changed
+            if is_always_included(m) or m.address in window or m.address in old_window
+        ]
+        added = window - old_window if window is not old_window else None
         if added:
             already_selected = set(map(peer_of, selected))
             living = [m for m in self._roster.members() if not is_final(m)]
--- a/geraniumspool/status.py
+++ b/geraniumspool/status.py
@@ -15,7 +15,7 @@
     :ivar agents: agents that are neither dead nor left
     :ivar ready: agents that accept tasks
     :ivar leaving: agents that drain
-    :ivar ejected: agents ejected for failures
+    :ivar ejected: agents that get no tasks for now, since tasks there failed or were too slow
     :ivar slots: slots of all agents
     :ivar free: free slots
     :ivar queued: queued tasks
--- a/geraniumspool/views.py
+++ b/geraniumspool/views.py
@@ -57,19 +57,23 @@
         key = (self._roster.version, self._roster.moves, speaks)
         cached_key, view = self._cache.get(near, (None, None))
         if view is None or cached_key != key:
-            is_reported = self._is_reported_locally if near else self._is_reported_abroad
+            is_reported = (
+                self._is_reported_to_own_domain if near else self._is_reported_to_other_domains
+            )
             members = ((m, self._roster.sighting(peer_of(m))) for m in self._roster.members())
             order = tuple(peer_of(m) for m, sighting in members if is_reported(m, sighting, speaks))
             view = View(order, frozenset(order))
             self._cache[near] = (key, view)
         return view
 
-    def _is_reported_locally(self, member: Member, sighting: Sighting, _speaks: bool) -> bool:
+    def _is_reported_to_own_domain(self, member: Member, sighting: Sighting, _speaks: bool) -> bool:
         if peer_of(member) == self._me:
             return False
         return _is_heard_directly(sighting) or self._comes_from_other_domain(sighting)
 
-    def _is_reported_abroad(self, member: Member, sighting: Sighting, speaks: bool) -> bool:
+    def _is_reported_to_other_domains(
+        self, member: Member, sighting: Sighting, speaks: bool
+    ) -> bool:
         if peer_of(member) == self._me:
             return False
         if member.domain != self._roster.domain:
--- a/geraniumspool/windows.py
+++ b/geraniumspool/windows.py
@@ -1,8 +1,8 @@
 """Selection of the members of other failure domains that an agent is informed about.
 
-All agents are placed on a ring, ordered by the hash of their address. An agent's
-window holds the agents of other domains that follow its own position, so that
-each agent is known to about the same number of others.
+For each domain, the agents of all other domains are placed on a ring, ordered by
+the hash of their address. An agent's window holds those that follow the hash of
+its own address, so that each agent is known to about the same number of others.
 """
 
 import bisect
--- a/geraniumspool/yamldoc.py
+++ b/geraniumspool/yamldoc.py
@@ -52,7 +52,7 @@
 }
 
 
-def _is_address(text: str, lowest_port: int, remote: bool) -> bool:
+def _is_address(text: str, lowest_port: int, dialled: bool) -> bool:
     host, _, port = text.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
@@ -64,12 +64,12 @@
         address = ip_address(host)
     except ValueError:
         return False
-    return not (remote and address.is_unspecified)
+    return not (dialled and address.is_unspecified)
 
 
 @_FORMAT_CHECKER.checks("listen")
 def _is_listen(value: object) -> bool:
-    return not isinstance(value, str) or _is_address(value, 0, remote=False)
+    return not isinstance(value, str) or _is_address(value, 0, dialled=False)
 
 
 @_FORMAT_CHECKER.checks("inbox")
@@ -84,7 +84,7 @@
 
 def _is_tcp(value: str, lowest_port: int) -> bool:
     scheme, separator, address = value.partition("://")
-    return scheme == "tcp" and bool(separator) and _is_address(address, lowest_port, remote=True)
+    return scheme == "tcp" and bool(separator) and _is_address(address, lowest_port, dialled=True)
 
 
 @_FORMAT_CHECKER.checks("url", raises=ValueError)
