--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -57,7 +57,7 @@
         self.configuration = FakeConfiguration()
         common = (self, self.roster, network.clock)
         if role == "entry":
-            self.part = Registry(
+            self.component = Registry(
                 *common,
                 self.configuration,
                 lambda: self.member,
@@ -66,7 +66,9 @@
                 lambda: self.demand,
             )
         else:
-            self.part = Heartbeater(*common, lambda: self.member, self.configuration, PERIOD_MS)
+            self.component = Heartbeater(
+                *common, lambda: self.member, self.configuration, PERIOD_MS
+            )
         network.processes[self.me] = self
 
     def send(self, peer, message):
@@ -75,22 +77,22 @@
         return True
 
     def step(self):
-        if isinstance(self.part, Registry):
-            self.part.run_round()
+        if isinstance(self.component, Registry):
+            self.component.run_round()
         else:
-            self.part.beat()
+            self.component.beat()
 
     def receive(self, delivery):
         if isinstance(delivery.message, Heartbeat):
-            self.part.take_heartbeat(delivery.sender, delivery.message)
+            self.component.take_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, ShortHeartbeat):
-            self.part.take_short_heartbeat(delivery.sender, delivery.message)
+            self.component.take_short_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, HeartbeatReply):
-            self.part.take_reply(delivery.sender, delivery.message)
+            self.component.take_reply(delivery.sender, delivery.message)
         else:
-            self.part.take_digest(delivery.sender, delivery.message)
+            self.component.take_digest(delivery.sender, delivery.message)
 
-    def state_of(self, process):
+    def get_state(self, process):
         member = self.roster.get(process.me)
         return member.state if member else None
 
@@ -102,7 +104,7 @@
         self.clock = ManualClock()
         self.processes = {}
         self.queue = []
-        self.cut = set()
+        self.partitions = set()
         self.bytes = Counter()
         self.count = Counter()
 
@@ -113,7 +115,7 @@
             self.bytes[source.me] += len(data)
             self.count[source.me] += 1
             domains = frozenset({source.member.domain, target.member.domain}) if target else None
-            if target and not target.paused and domains not in self.cut:
+            if target and not target.paused and domains not in self.partitions:
                 self.bytes[target.me] += len(data)
                 target.receive(messages.decode(data))
 
@@ -152,10 +154,10 @@
     def check_states(self, process, expected):
         for other in self.running_processes():
             if other is not process:
-                self.assertEqual(other.state_of(process), expected, other.me.address)
+                self.assertEqual(other.get_state(process), expected, other.me.address)
 
     def entry_of(self, agent):
-        return self.network.processes[agent.part.target]
+        return self.network.processes[agent.component.target]
 
     def test_all_processes_know_all_others(self):
         for process in self.running_processes():
@@ -215,7 +217,7 @@
 
     def test_unreachable_domain_is_known_to_all_within_a_few_rounds(self):
         """This includes entries that receive no digests from the other domain directly."""
-        self.network.cut.add(frozenset({"north", "south"}))
+        self.network.partitions.add(frozenset({"north", "south"}))
         for rounds, known in (
             (SILENT_ROUNDS - FAR_ROUNDS, False),
             (FAR_ROUNDS + TOLD_ROUNDS, True),
@@ -224,13 +226,13 @@
             for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
                 self.assertEqual(near == {process.member.domain}, known, process.me.address)
-        self.network.cut.clear()
+        self.network.partitions.clear()
         self.network.run(FAR_ROUNDS + 1)
         self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
 
     def test_no_member_is_declared_dead_in_a_partition_between_domains(self):
         """The partition lasts longer than the time for which dead members are remembered."""
-        self.network.cut.add(frozenset({"north", "south"}))
+        self.network.partitions.add(frozenset({"north", "south"}))
         self.network.run(330)
         for process in self.running_processes():
             others = {other.me for other in self.running_processes()} - {process.me}
@@ -238,8 +240,8 @@
             self.assertEqual(ready - {process.me}, others)
         self.agents[5].member = self.agents[5].member._replace(state="ejected")
         self.network.run(2)
-        self.assertEqual(self.agents[0].state_of(self.agents[5]), "ready")
-        self.network.cut.clear()
+        self.assertEqual(self.agents[0].get_state(self.agents[5]), "ready")
+        self.network.partitions.clear()
         self.network.run(4)
         self.check_states(self.agents[5], "ejected")
 
@@ -251,23 +253,23 @@
         other_entries = self.entries[2:]
         for rounds in (1, FAR_ROUNDS, SILENT_ROUNDS, 3 * SILENT_ROUNDS):
             with self.subTest(rounds=rounds):
-                self.network.cut.add(frozenset({"north", "south"}))
+                self.network.partitions.add(frozenset({"north", "south"}))
                 for agent in agents:
                     old = agent.member
                     state = "ready" if old.state == "ejected" else "ejected"
                     agent.member = old._replace(state=state, version=old.version + 1)
                 self.network.run(rounds)
-                self.network.cut.clear()
+                self.network.partitions.clear()
                 self.network.run(FAR_ROUNDS + 3)
                 for entry in other_entries:
-                    known = {entry.state_of(agent) for agent in agents}
+                    known = {entry.get_state(agent) for agent in agents}
                     self.assertEqual(known, {agents[0].member.state})
 
     def test_entries_of_a_domain_reconnect_after_a_partition(self):
-        self.network.cut.add(frozenset({"north"}))
+        self.network.partitions.add(frozenset({"north"}))
         self.network.run(12)
-        self.assertEqual(self.entries[0].state_of(self.entries[1]), "dead")
-        self.network.cut.clear()
+        self.assertEqual(self.entries[0].get_state(self.entries[1]), "dead")
+        self.network.partitions.clear()
         self.network.run(20)
         for process in self.entries[:2] + self.agents:
             self.check_states(process, "ready")
@@ -289,10 +291,10 @@
     def test_departure_is_known_to_all_entries_at_once(self):
         agent = self.agents[0]
         agent.member = agent.member._replace(state="left", archive="tcp://10.0.0.12:7000")
-        agent.part.beat_now()
+        agent.component.beat_now()
         self.network.deliver()
         for entry in self.entries:
-            self.assertEqual(entry.state_of(agent), "left")
+            self.assertEqual(entry.get_state(agent), "left")
         agent.paused = True
         self.network.run(3)
         self.check_states(agent, "left")
@@ -310,17 +312,17 @@
 
     def test_configuration_reaches_all_and_is_reported(self):
         self.entries[3].configuration.apply([Document("team/opticians", 9, b"{}")])
-        self.assertEqual(self.entries[3].part.in_force(), {"north": 0, "south": 0})
+        self.assertEqual(self.entries[3].component.in_force(), {"north": 0, "south": 0})
         self.network.run(6)
         for process in self.running_processes():
             self.assertEqual(process.configuration.revision, 9)
         for entry in self.entries:
-            self.assertEqual(entry.part.in_force(), {"north": 9, "south": 9})
+            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 9})
         self.agents[0].paused = True
         self.entries[0].configuration.apply([Document("team/opticians", 11, b"{}")])
         self.network.run(5)
         for entry in self.entries:
-            self.assertEqual(entry.part.in_force(), {"north": 9, "south": 11})
+            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 11})
 
     def test_starting_agent_has_all_batches_of_configuration_at_once(self):
         documents = [Document(f"team/{number}", number, b"{}") for number in range(1, 9)]
@@ -341,7 +343,7 @@
     def test_configuration_is_pushed_without_waiting_for_heartbeats(self):
         for entry in self.entries[:2]:
             entry.configuration.apply([Document("team/opticians", 9, b"{}")])
-            entry.part.push_configuration()
+            entry.component.push_configuration()
         self.network.deliver()
         for agent in self.agents[:3]:
             self.assertEqual(agent.configuration.revision, 9)
@@ -350,7 +352,7 @@
         self.network.run(6)
         totals = Counter()
         for entry in self.entries:
-            for report in entry.part.peers_demand():
+            for report in entry.component.peers_demand():
                 totals[report.demand] += 1
         one, both = (("opticians", 1.0, 2.0),), (("opticians", 2.0, 4.0),)
         self.assertEqual(totals[one], 4)
@@ -369,11 +371,11 @@
         for name, demand, lost, rounds in cases:
             with self.subTest(name):
                 second.demand = demand
-                self.network.cut.add(frozenset({"north"}))
+                self.network.partitions.add(frozenset({"north"}))
                 self.network.run(lost)
-                self.network.cut.clear()
+                self.network.partitions.clear()
                 self.network.run(rounds)
-                told = {report.entry: report.demand for report in first.part.peers_demand()}
+                told = {report.entry: report.demand for report in first.component.peers_demand()}
                 self.assertEqual(told[second.me], demand)
 
     def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
@@ -401,7 +403,7 @@
         network.processes = {process.me: process for process in [entry, *agents]}
         network.introduce()
         network.run(1)
-        period_ms = entry.part.period_ms
+        period_ms = entry.component.period_ms
         self.assertGreater(period_ms, 487 / 120 * 1_000 - 1)
         for agent in agents:
             foreign = [m for m in agent.roster.members() if m.domain != "north"]
@@ -435,7 +437,9 @@
             TIMEOUT_MS,
         )
 
-    def ask(self, number=0, entry=1, version=0, state="ready", revision=0, backlog_ms=1.0):
+    def send_heartbeat(
+        self, number=0, entry=1, version=0, state="ready", revision=0, backlog_ms=1.0
+    ):
         member = Member(f"tcp://127.0.0.1:{9 + number}", 9 + number, "north", "agent", state, "f")
         member = member._replace(load=Load(backlog_ms=backlog_ms))
         self.messenger.sent.clear()
@@ -444,8 +448,8 @@
         return self.messenger.sent[-1][1] if self.messenger.sent else None
 
     def test_full_roster_or_changes(self):
-        first = self.ask(entry=0)
-        self.ask(number=1, entry=0)
+        first = self.send_heartbeat(entry=0)
+        self.send_heartbeat(number=1, entry=0)
         version = first.roster_version
         cases = (
             ("first contact", 0, 0, True, 3),
@@ -455,12 +459,12 @@
         )
         for name, entry, asked, whole, members in cases:
             with self.subTest(name):
-                reply = self.ask(entry=entry, version=asked)
+                reply = self.send_heartbeat(entry=entry, version=asked)
                 self.assertEqual((reply.whole, len(reply.members)), (whole, members))
 
     def test_configuration_is_pushed_in_batches(self):
         for number in range(2 * PUSHES_AT_ONCE + 1):
-            self.ask(number, entry=0, revision=9 if number == 0 else 0)
+            self.send_heartbeat(number, entry=0, revision=9 if number == 0 else 0)
         self.messenger.sent.clear()
         self.configuration.apply([Document("team/opticians", 9, b"{}")])
         self.registry.push_configuration()
@@ -471,11 +475,11 @@
         self.assertEqual(len(self.messenger.sent), 2 * PUSHES_AT_ONCE)
 
     def test_agent_that_follows_another_entry_gets_no_reply(self):
-        self.assertIsNone(self.ask(entry=2, state="leaving"))
+        self.assertIsNone(self.send_heartbeat(entry=2, state="leaving"))
         self.assertEqual(self.roster.find_incarnation(9).state, "leaving")
 
     def test_leaving_agent_at_first_contact_gets_no_roster(self):
-        reply = self.ask(entry=0, state="leaving")
+        reply = self.send_heartbeat(entry=0, state="leaving")
         self.assertEqual((reply.roster_version, reply.members), (0, ()))
 
     def test_short_heartbeat_is_accepted_if_the_state_is_known(self):
@@ -484,11 +488,11 @@
         peer, load = peer_of(agent), Load(8, 2)
         source = Peer("tcp://127.0.0.1:2", 2)
         cases = (
-            ("nothing", lambda: None, 3, True),
-            ("it was heard", lambda: self.roster.hear(agent), 3, False),
+            ("no member", lambda: None, 3, True),
+            ("the current state", lambda: self.roster.hear(agent), 3, False),
             ("an older state", lambda: self.roster.hear(agent._replace(version=2)), 3, True),
-            ("by hearsay", lambda: self.roster.relay(agent, source), 3, True),
-            ("it is dead", lambda: self.roster.observe(agent._replace(state="dead")), 3, True),
+            ("reported by another process", lambda: self.roster.relay(agent, source), 3, True),
+            ("a dead member", lambda: self.roster.observe(agent._replace(state="dead")), 3, True),
         )
         for name, prepare, version, again in cases:
             with self.subTest(name):
@@ -514,15 +518,15 @@
         for number in range(2 * FOREIGN_MEMBERS):
             foreign = Member(f"tcp://10.0.0.{number}:1", 500 + number, "south", "agent", "ready")
             self.roster.observe(foreign)
-        known = {m.address: m for m in self.ask(entry=0).members}
+        known = {m.address: m for m in self.send_heartbeat(entry=0).members}
         version = self.roster.version
         for number in range(2 * FOREIGN_MEMBERS):
             new = Member(f"tcp://10.0.1.{number}:1", 900 + number, "south", "agent", "ready")
             self.roster.observe(new)
-        lost = self.ask(version=version)
-        again = self.ask(version=version)
+        lost = self.send_heartbeat(version=version)
+        again = self.send_heartbeat(version=version)
         self.assertEqual((again.members, again.released), (lost.members, lost.released))
-        self.assertEqual(self.ask(version=again.roster_version).members, ())
+        self.assertEqual(self.send_heartbeat(version=again.roster_version).members, ())
         known |= {m.address: m for m in again.members}
         self.assertGreater(len(again.members), 0)
         self.assertLess(len(known), 2 * FOREIGN_MEMBERS)
@@ -535,13 +539,13 @@
                 f"tcp://10.0.0.{number}:1", 500 + number, "north", "agent", "ready", "f"
             )
             self.roster.observe(member._replace(load=Load(8, 8 if number < 20 else 0)))
-        replies = [self.ask(entry=0).loads for _ in range(5)]
+        replies = [self.send_heartbeat(entry=0).loads for _ in range(5)]
         for loads in replies:
             self.assertEqual(len({incarnation for _, incarnation, _ in loads}), HINTS_PER_REPLY)
             self.assertGreaterEqual(sum(load.free == 8 for _, _, load in loads), 3)
             self.assertGreaterEqual(sum(load.free == 0 for _, _, load in loads), 3)
         self.assertGreater(len(set(replies)), 1)
-        self.assertEqual(self.ask(entry=0, backlog_ms=0.0).loads, ())
+        self.assertEqual(self.send_heartbeat(entry=0, backlog_ms=0.0).loads, ())
 
     def test_digest_with_another_sender_is_ignored(self):
         other = Member("tcp://127.0.0.1:2", 2, "north", "entry", "ready")
