--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the membership at the entries, with agents that beat at them."""
+"""Tests of membership at entries, with agents that send heartbeats, on a simulated network."""
 
 import logging
 import random
@@ -42,7 +42,7 @@
 
 
 class Process:
-    """An entry or an agent on a network in memory."""
+    """An entry's registry or an agent's heartbeater on the simulated network."""
 
     def __init__(self, network, number, domain, role, incarnation=None):
         self.network = network
@@ -57,7 +57,7 @@
         self.configuration = FakeConfiguration()
         common = (self, self.roster, network.clock)
         if role == "entry":
-            self.part = Registry(
+            self.component = Registry(
                 *common,
                 self.configuration,
                 lambda: self.member,
@@ -66,7 +66,9 @@
                 lambda: self.demand,
             )
         else:
-            self.part = Heartbeater(*common, lambda: self.member, self.configuration, PERIOD_MS)
+            self.component = Heartbeater(
+                *common, lambda: self.member, self.configuration, PERIOD_MS
+            )
         network.processes[self.me] = self
 
     def send(self, peer, message):
@@ -75,34 +77,34 @@
         return True
 
     def step(self):
-        if isinstance(self.part, Registry):
-            self.part.run_round()
+        if isinstance(self.component, Registry):
+            self.component.run_round()
         else:
-            self.part.beat()
+            self.component.beat()
 
     def receive(self, delivery):
         if isinstance(delivery.message, Heartbeat):
-            self.part.take_heartbeat(delivery.sender, delivery.message)
+            self.component.take_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, ShortHeartbeat):
-            self.part.take_short_heartbeat(delivery.sender, delivery.message)
+            self.component.take_short_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, HeartbeatReply):
-            self.part.take_reply(delivery.sender, delivery.message)
+            self.component.take_reply(delivery.sender, delivery.message)
         else:
-            self.part.take_digest(delivery.sender, delivery.message)
+            self.component.take_digest(delivery.sender, delivery.message)
 
-    def state_of(self, process):
+    def get_state(self, process):
         member = self.roster.get(process.me)
         return member.state if member else None
 
 
 class Network:
-    """Carries messages between processes and counts their bytes."""
+    """Delivers messages between processes and counts messages and bytes per process."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.processes = {}
         self.queue = []
-        self.cut = set()
+        self.partitions = set()
         self.bytes = Counter()
         self.count = Counter()
 
@@ -113,7 +115,7 @@
             self.bytes[source.me] += len(data)
             self.count[source.me] += 1
             domains = frozenset({source.member.domain, target.member.domain}) if target else None
-            if target and not target.paused and domains not in self.cut:
+            if target and not target.paused and domains not in self.partitions:
                 self.bytes[target.me] += len(data)
                 target.receive(messages.decode(data))
 
@@ -133,7 +135,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Two domains of two entries and three agents each."""
+    """Two failure domains with two entries and three agents each."""
 
     def setUp(self):
         self.network = Network()
@@ -146,24 +148,24 @@
     def add(self, number, domain, role, incarnation=None):
         return Process(self.network, number, domain, role, incarnation)
 
-    def everybody(self):
+    def running_processes(self):
         return [process for process in self.network.processes.values() if not process.paused]
 
     def check_states(self, process, expected):
-        for other in self.everybody():
+        for other in self.running_processes():
             if other is not process:
-                self.assertEqual(other.state_of(process), expected, other.me.address)
+                self.assertEqual(other.get_state(process), expected, other.me.address)
 
     def entry_of(self, agent):
-        return self.network.processes[agent.part.target]
+        return self.network.processes[agent.component.target]
 
-    def test_everybody_knows_everybody(self):
-        for process in self.everybody():
+    def test_all_processes_know_all_others(self):
+        for process in self.running_processes():
             others = {agent.me for agent in self.agents} - {process.me}
             self.assertEqual(set(map(peer_of, process.roster.agents("fitting"))), others)
             self.assertEqual(len(process.roster.entries()), 4)
 
-    def test_silent_agent_is_dead_everywhere_and_back_when_heard(self):
+    def test_silent_agent_is_dead_everywhere_until_it_is_heard_again(self):
         agent = self.agents[0]
         agent.paused = True
         self.network.run(4)
@@ -183,10 +185,10 @@
         self.check_states(new, "ready")
         self.check_states(old, "dead")
 
-    def test_death_of_an_entry_kills_no_agent(self):
+    def test_agents_survive_the_death_of_their_entry(self):
         entry = self.entry_of(self.agents[0])
         changes = []
-        for process in self.everybody():
+        for process in self.running_processes():
             process.roster.subscribe(changes.append)
         entry.paused = True
         self.network.run(30)
@@ -214,60 +216,60 @@
         self.check_states(agent, "dead")
 
     def test_unreachable_domain_is_known_to_all_within_a_few_rounds(self):
-        """Also at the entries that get no digest from there themselves."""
-        self.network.cut.add(frozenset({"north", "south"}))
+        """This includes entries that receive no digests from the other domain directly."""
+        self.network.partitions.add(frozenset({"north", "south"}))
         for rounds, known in (
             (SILENT_ROUNDS - FAR_ROUNDS, False),
             (FAR_ROUNDS + TOLD_ROUNDS, True),
         ):
             self.network.run(rounds)
-            for process in self.everybody():
+            for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
                 self.assertEqual(near == {process.member.domain}, known, process.me.address)
-        self.network.cut.clear()
+        self.network.partitions.clear()
         self.network.run(FAR_ROUNDS + 1)
-        self.assertEqual({p.roster.unreachable for p in self.everybody()}, {frozenset()})
+        self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
 
-    def test_partition_between_domains_kills_nobody(self):
-        """It lasts longer than dead members are remembered."""
-        self.network.cut.add(frozenset({"north", "south"}))
+    def test_no_member_is_declared_dead_in_a_partition_between_domains(self):
+        """The partition lasts longer than the time for which dead members are remembered."""
+        self.network.partitions.add(frozenset({"north", "south"}))
         self.network.run(330)
-        for process in self.everybody():
-            others = {other.me for other in self.everybody()} - {process.me}
+        for process in self.running_processes():
+            others = {other.me for other in self.running_processes()} - {process.me}
             ready = {peer_of(m) for m in process.roster.members() if m.state == "ready"}
             self.assertEqual(ready - {process.me}, others)
         self.agents[5].member = self.agents[5].member._replace(state="ejected")
         self.network.run(2)
-        self.assertEqual(self.agents[0].state_of(self.agents[5]), "ready")
-        self.network.cut.clear()
+        self.assertEqual(self.agents[0].get_state(self.agents[5]), "ready")
+        self.network.partitions.clear()
         self.network.run(4)
         self.check_states(self.agents[5], "ejected")
 
-    def test_changes_behind_a_cut_are_known_soon_after_it(self):
-        """Each case: how long it lasts; more changes than are told in turn."""
+    def test_changes_during_a_partition_are_known_soon_after_it(self):
+        """Each case is a duration in rounds; more members change than one digest refreshes."""
         agents = [self.add(number, "north", "agent") for number in range(20, 50)]
         self.network.introduce()
         self.network.run(6)
-        far = self.entries[2:]
+        other_entries = self.entries[2:]
         for rounds in (1, FAR_ROUNDS, SILENT_ROUNDS, 3 * SILENT_ROUNDS):
             with self.subTest(rounds=rounds):
-                self.network.cut.add(frozenset({"north", "south"}))
+                self.network.partitions.add(frozenset({"north", "south"}))
                 for agent in agents:
                     old = agent.member
                     state = "ready" if old.state == "ejected" else "ejected"
                     agent.member = old._replace(state=state, version=old.version + 1)
                 self.network.run(rounds)
-                self.network.cut.clear()
+                self.network.partitions.clear()
                 self.network.run(FAR_ROUNDS + 3)
-                for entry in far:
-                    known = {entry.state_of(agent) for agent in agents}
+                for entry in other_entries:
+                    known = {entry.get_state(agent) for agent in agents}
                     self.assertEqual(known, {agents[0].member.state})
 
-    def test_entries_of_a_domain_that_lost_each_other_meet_again(self):
-        self.network.cut.add(frozenset({"north"}))
+    def test_entries_of_a_domain_reconnect_after_a_partition(self):
+        self.network.partitions.add(frozenset({"north"}))
         self.network.run(12)
-        self.assertEqual(self.entries[0].state_of(self.entries[1]), "dead")
-        self.network.cut.clear()
+        self.assertEqual(self.entries[0].get_state(self.entries[1]), "dead")
+        self.network.partitions.clear()
         self.network.run(20)
         for process in self.entries[:2] + self.agents:
             self.check_states(process, "ready")
@@ -278,7 +280,7 @@
         self.network.run(60)
         for agent in self.agents:
             self.check_states(agent, "ready")
-        self.assertEqual({p.roster.unreachable for p in self.everybody()}, {frozenset()})
+        self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
         for entry in self.entries[2:]:
             entry.paused = False
         self.network.run(40)
@@ -286,41 +288,41 @@
             self.check_states(agent, "ready")
         self.assertEqual(self.entry_of(self.agents[5]).member.domain, "south")
 
-    def test_leaving_is_known_at_once_in_the_own_domain(self):
+    def test_departure_is_known_to_all_entries_at_once(self):
         agent = self.agents[0]
         agent.member = agent.member._replace(state="left", archive="tcp://10.0.0.12:7000")
-        agent.part.beat_now()
+        agent.component.beat_now()
         self.network.deliver()
         for entry in self.entries:
-            self.assertEqual(entry.state_of(agent), "left")
+            self.assertEqual(entry.get_state(agent), "left")
         agent.paused = True
         self.network.run(3)
         self.check_states(agent, "left")
 
     def test_load_alone_changes_no_membership(self):
-        versions = [process.roster.version for process in self.everybody()]
+        versions = [process.roster.version for process in self.running_processes()]
         load = Load(8, 5, backlog_ms=100.0)
         for agent in self.agents:
             agent.member = agent.member._replace(load=load)
         self.network.run(5)
-        self.assertEqual([p.roster.version for p in self.everybody()], versions)
-        for process in self.everybody():
+        self.assertEqual([p.roster.version for p in self.running_processes()], versions)
+        for process in self.running_processes():
             loads = [m.load for m in process.roster.agents("fitting") if peer_of(m) != process.me]
             self.assertEqual(set(loads), {load})
 
     def test_configuration_reaches_all_and_is_reported(self):
         self.entries[3].configuration.apply([Document("team/opticians", 9, b"{}")])
-        self.assertEqual(self.entries[3].part.in_force(), {"north": 0, "south": 0})
+        self.assertEqual(self.entries[3].component.in_force(), {"north": 0, "south": 0})
         self.network.run(6)
-        for process in self.everybody():
+        for process in self.running_processes():
             self.assertEqual(process.configuration.revision, 9)
         for entry in self.entries:
-            self.assertEqual(entry.part.in_force(), {"north": 9, "south": 9})
+            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 9})
         self.agents[0].paused = True
         self.entries[0].configuration.apply([Document("team/opticians", 11, b"{}")])
         self.network.run(5)
         for entry in self.entries:
-            self.assertEqual(entry.part.in_force(), {"north": 9, "south": 11})
+            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 11})
 
     def test_starting_agent_has_all_batches_of_configuration_at_once(self):
         documents = [Document(f"team/{number}", number, b"{}") for number in range(1, 9)]
@@ -341,23 +343,23 @@
     def test_configuration_is_pushed_without_waiting_for_heartbeats(self):
         for entry in self.entries[:2]:
             entry.configuration.apply([Document("team/opticians", 9, b"{}")])
-            entry.part.push_configuration()
+            entry.component.push_configuration()
         self.network.deliver()
         for agent in self.agents[:3]:
             self.assertEqual(agent.configuration.revision, 9)
 
-    def test_demand_is_told_per_entry_and_per_domain(self):
+    def test_demand_is_reported_per_entry_and_per_domain(self):
         self.network.run(6)
         totals = Counter()
         for entry in self.entries:
-            for report in entry.part.peers_demand():
+            for report in entry.component.peers_demand():
                 totals[report.demand] += 1
         one, both = (("opticians", 1.0, 2.0),), (("opticians", 2.0, 4.0),)
         self.assertEqual(totals[one], 4)
         self.assertEqual(totals[both], 2)
 
-    def test_changed_demand_is_told_also_after_lost_digests(self):
-        """Each case: new demand, rounds whose digests are lost, rounds until it is known."""
+    def test_changed_demand_is_reported_despite_lost_digests(self):
+        """Each case: new demand, rounds in which digests are lost, rounds until it is known."""
         self.network.run(2)
         first, second = self.entries[:2]
         cases = (
@@ -369,14 +371,14 @@
         for name, demand, lost, rounds in cases:
             with self.subTest(name):
                 second.demand = demand
-                self.network.cut.add(frozenset({"north"}))
+                self.network.partitions.add(frozenset({"north"}))
                 self.network.run(lost)
-                self.network.cut.clear()
+                self.network.partitions.clear()
                 self.network.run(rounds)
-                told = {report.entry: report.demand for report in first.part.peers_demand()}
+                told = {report.entry: report.demand for report in first.component.peers_demand()}
                 self.assertEqual(told[second.me], demand)
 
-    def test_quiet_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
+    def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
         self.network.count.clear()
         self.network.run(10)
         for agent in self.agents:
@@ -386,7 +388,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """Traffic at the aimed-at size."""
+    """Control traffic with 1461 agents in three failure domains, of which 487 are simulated."""
 
     def test_control_traffic_of_an_agent(self):
         network = Network()
@@ -401,7 +403,7 @@
         network.processes = {process.me: process for process in [entry, *agents]}
         network.introduce()
         network.run(1)
-        period_ms = entry.part.period_ms
+        period_ms = entry.component.period_ms
         self.assertGreater(period_ms, 487 / 120 * 1_000 - 1)
         for agent in agents:
             foreign = [m for m in agent.roster.members() if m.domain != "north"]
@@ -409,15 +411,15 @@
             self.assertEqual(agent.roster.count(domain="north", role="agent"), 486)
         network.bytes.clear()
         for round_number in range(3):
-            moving = agents[round_number]
-            moving.member = moving.member._replace(state="ejected")
+            changed_agent = agents[round_number]
+            changed_agent.member = changed_agent.member._replace(state="ejected")
             network.run(1)
         worst = max(network.bytes[agent.me] for agent in agents) / 3
         self.assertLess(worst / (PERIOD_MS / 1_000), BUDGET_BYTES_PER_S)
 
 
 class ReplyTest(unittest.TestCase):
-    """Single replies of one entry."""
+    """Replies of a single entry to single heartbeats."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -435,7 +437,9 @@
             TIMEOUT_MS,
         )
 
-    def ask(self, number=0, entry=1, version=0, state="ready", revision=0, backlog_ms=1.0):
+    def send_heartbeat(
+        self, number=0, entry=1, version=0, state="ready", revision=0, backlog_ms=1.0
+    ):
         member = Member(f"tcp://127.0.0.1:{9 + number}", 9 + number, "north", "agent", state, "f")
         member = member._replace(load=Load(backlog_ms=backlog_ms))
         self.messenger.sent.clear()
@@ -443,9 +447,9 @@
         self.registry.take_heartbeat(peer_of(member), heartbeat)
         return self.messenger.sent[-1][1] if self.messenger.sent else None
 
-    def test_whole_or_changes(self):
-        first = self.ask(entry=0)
-        self.ask(number=1, entry=0)
+    def test_full_roster_or_changes(self):
+        first = self.send_heartbeat(entry=0)
+        self.send_heartbeat(number=1, entry=0)
         version = first.roster_version
         cases = (
             ("first contact", 0, 0, True, 3),
@@ -455,12 +459,12 @@
         )
         for name, entry, asked, whole, members in cases:
             with self.subTest(name):
-                reply = self.ask(entry=entry, version=asked)
+                reply = self.send_heartbeat(entry=entry, version=asked)
                 self.assertEqual((reply.whole, len(reply.members)), (whole, members))
 
     def test_configuration_is_pushed_in_batches(self):
         for number in range(2 * PUSHES_AT_ONCE + 1):
-            self.ask(number, entry=0, revision=9 if number == 0 else 0)
+            self.send_heartbeat(number, entry=0, revision=9 if number == 0 else 0)
         self.messenger.sent.clear()
         self.configuration.apply([Document("team/opticians", 9, b"{}")])
         self.registry.push_configuration()
@@ -470,25 +474,25 @@
         self.assertEqual(receivers, set(range(10, 10 + 2 * PUSHES_AT_ONCE)))
         self.assertEqual(len(self.messenger.sent), 2 * PUSHES_AT_ONCE)
 
-    def test_agent_in_charge_of_another_entry_gets_no_reply(self):
-        self.assertIsNone(self.ask(entry=2, state="leaving"))
+    def test_agent_that_follows_another_entry_gets_no_reply(self):
+        self.assertIsNone(self.send_heartbeat(entry=2, state="leaving"))
         self.assertEqual(self.roster.find_incarnation(9).state, "leaving")
 
     def test_leaving_agent_at_first_contact_gets_no_roster(self):
-        reply = self.ask(entry=0, state="leaving")
+        reply = self.send_heartbeat(entry=0, state="leaving")
         self.assertEqual((reply.roster_version, reply.members), (0, ()))
 
-    def test_short_heartbeat_counts_where_the_rest_is_known(self):
-        """Each case: what the entry knows, the version told, and whether it asks for all."""
+    def test_short_heartbeat_is_accepted_if_the_state_is_known(self):
+        """Each case: what the entry knows, the version sent, whether it requests the full state."""
         agent = Member("tcp://127.0.0.1:9", 9, "north", "agent", "ready", "f", version=3)
         peer, load = peer_of(agent), Load(8, 2)
         source = Peer("tcp://127.0.0.1:2", 2)
         cases = (
-            ("nothing", lambda: None, 3, True),
-            ("it was heard", lambda: self.roster.hear(agent), 3, False),
+            ("no member", lambda: None, 3, True),
+            ("the current state", lambda: self.roster.hear(agent), 3, False),
             ("an older state", lambda: self.roster.hear(agent._replace(version=2)), 3, True),
-            ("by hearsay", lambda: self.roster.relay(agent, source), 3, True),
-            ("it is dead", lambda: self.roster.observe(agent._replace(state="dead")), 3, True),
+            ("reported by another process", lambda: self.roster.relay(agent, source), 3, True),
+            ("a dead member", lambda: self.roster.observe(agent._replace(state="dead")), 3, True),
         )
         for name, prepare, version, again in cases:
             with self.subTest(name):
@@ -503,47 +507,47 @@
                     self.assertEqual(self.roster.get(peer), agent._replace(load=load))
                     self.assertEqual(self.roster.sighting(peer).heard_ms, self.clock.now())
 
-    def test_heartbeat_in_another_name_is_ignored(self):
+    def test_heartbeat_with_another_sender_is_ignored(self):
         member = Member("tcp://127.0.0.1:9", 9, "north", "agent", "ready", "f")
         self.registry.take_heartbeat(Peer("tcp://127.0.0.1:8", 8), Heartbeat(member, 0, 0, 0))
         self.assertEqual(self.messenger.sent, [])
         self.assertIsNone(self.roster.find_incarnation(9))
 
-    def test_lost_reply_is_made_up_for(self):
-        """Foreign members enter the window later, others leave, also after a lost reply."""
+    def test_lost_reply_is_repeated(self):
+        """If a reply is lost, the next one repeats the changes of the agent's window."""
         for number in range(2 * FOREIGN_MEMBERS):
             foreign = Member(f"tcp://10.0.0.{number}:1", 500 + number, "south", "agent", "ready")
             self.roster.observe(foreign)
-        known = {m.address: m for m in self.ask(entry=0).members}
+        known = {m.address: m for m in self.send_heartbeat(entry=0).members}
         version = self.roster.version
         for number in range(2 * FOREIGN_MEMBERS):
             new = Member(f"tcp://10.0.1.{number}:1", 900 + number, "south", "agent", "ready")
             self.roster.observe(new)
-        lost = self.ask(version=version)
-        again = self.ask(version=version)
+        lost = self.send_heartbeat(version=version)
+        again = self.send_heartbeat(version=version)
         self.assertEqual((again.members, again.released), (lost.members, lost.released))
-        self.assertEqual(self.ask(version=again.roster_version).members, ())
+        self.assertEqual(self.send_heartbeat(version=again.roster_version).members, ())
         known |= {m.address: m for m in again.members}
         self.assertGreater(len(again.members), 0)
         self.assertLess(len(known), 2 * FOREIGN_MEMBERS)
         held = [known[address] for address in known.keys() - set(again.released)]
         self.assertEqual(sum(m.domain == "south" for m in held), FOREIGN_MEMBERS)
 
-    def test_hints_are_bounded_and_lean_to_free_agents(self):
+    def test_hints_are_bounded_and_prefer_free_agents(self):
         for number in range(200):
             member = Member(
                 f"tcp://10.0.0.{number}:1", 500 + number, "north", "agent", "ready", "f"
             )
             self.roster.observe(member._replace(load=Load(8, 8 if number < 20 else 0)))
-        replies = [self.ask(entry=0).loads for _ in range(5)]
+        replies = [self.send_heartbeat(entry=0).loads for _ in range(5)]
         for loads in replies:
             self.assertEqual(len({incarnation for _, incarnation, _ in loads}), HINTS_PER_REPLY)
             self.assertGreaterEqual(sum(load.free == 8 for _, _, load in loads), 3)
             self.assertGreaterEqual(sum(load.free == 0 for _, _, load in loads), 3)
         self.assertGreater(len(set(replies)), 1)
-        self.assertEqual(self.ask(entry=0, backlog_ms=0.0).loads, ())
+        self.assertEqual(self.send_heartbeat(entry=0, backlog_ms=0.0).loads, ())
 
-    def test_digest_in_another_name_is_ignored(self):
+    def test_digest_with_another_sender_is_ignored(self):
         other = Member("tcp://127.0.0.1:2", 2, "north", "entry", "ready")
         self.registry.take_digest(Peer(other.address, 3), Digest(other, True, (), (), (), 0, ()))
         self.assertIsNone(self.roster.find_incarnation(2))
