--- a/geraniumspool/arguments.py
+++ b/geraniumspool/arguments.py
@@ -1,4 +1,4 @@
-"""Checks of the command line's arguments, which come as text."""
+"""Parsing and validation of command line arguments, all of which are strings."""
 
 import os
 from typing import NamedTuple
@@ -11,15 +11,15 @@
 
 
 class UsageFault(Exception):
-    """The command line was wrong."""
+    """The command line is invalid; nothing was done."""
 
 
 class Target(NamedTuple):
-    """Flags that all operators' commands share.
+    """Flags shared by all commands that send a request to an entry.
 
-    :param entry: host and port, or empty for the environment's
-    :param token: token, or empty for the environment's
-    :param as_json: whether to print JSON rather than a table
+    :param entry: address of the entry, or empty to take it from the environment
+    :param token: operators' token, or empty to take it from the environment
+    :param as_json: whether to print JSON instead of formatted text
     """
 
     entry: str
@@ -28,7 +28,11 @@
 
 
 def read_target(entry: str, token: str, as_json: str) -> Target:
-    """Return the flags that all operators' commands share."""
+    """Validate the flags shared by all commands that send a request to an entry.
+
+    :param as_json: "True" or "False", as Fire passes it
+    :raises UsageFault: if ``--json`` has a value, or one of the others has none
+    """
     if as_json not in ("True", "False"):
         raise UsageFault("--json takes no value")
     if FLAG_WITHOUT_VALUE in (entry, token):
@@ -37,7 +41,10 @@
 
 
 def find_entry(target: Target) -> EntryAddress:
-    """Return where to ask, by flags or by the environment."""
+    """Return the entry's address and token, from the flags or else from the environment.
+
+    :raises UsageFault: if neither gives an address
+    """
     address = target.entry or os.environ.get(ENTRY_VARIABLE, "")
     if not address:
         raise UsageFault(f"no entry given: add --entry HOST:PORT or set {ENTRY_VARIABLE}")
@@ -45,7 +52,10 @@
 
 
 def read_key(text: str) -> str:
-    """Return the key of a document."""
+    """Return the key of a configuration document, ``kind/name``.
+
+    :raises UsageFault: if it has another form
+    """
     parts = text.split("/")
     if len(parts) != 2 or not all(parts):
         raise UsageFault(f"{text!r} is no document key such as service/fitting")
@@ -53,21 +63,32 @@
 
 
 def read_text(text: str, flag: str) -> str:
-    """Return a text that must not be empty."""
+    """Return the value of a flag that must not be empty.
+
+    :raises UsageFault: if it is blank, or the flag was given without a value
+    """
     if not text.strip() or text == FLAG_WITHOUT_VALUE:
         raise UsageFault(f"{flag} needs a text")
     return text
 
 
 def read_whole(text: str, flag: str) -> int:
-    """Return a whole number."""
+    """Return a non-negative integer.
+
+    :param flag: name of the flag, for the error
+    :raises UsageFault: if the text has anything but decimal digits
+    """
     if not text.isascii() or not text.isdigit():
         raise UsageFault(f"{flag} needs a whole number, not {text!r}")
     return int(text)
 
 
 def read_number(text: str, flag: str) -> float:
-    """Return a number above 0."""
+    """Return a finite number above 0.
+
+    :param flag: name of the flag, for the error
+    :raises UsageFault: if it is none
+    """
     try:
         value = float(text)
     except ValueError:
@@ -78,7 +99,11 @@
 
 
 def read_address(text: str) -> tuple[str, int]:
-    """Return host and port to listen at."""
+    """Return the host and port to listen on.
+
+    :param text: ``host:port``
+    :raises UsageFault: if it has another form
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not host:
         raise UsageFault(f"{text!r} is no address such as 127.0.0.1:0")
@@ -86,14 +111,20 @@
 
 
 def find_file(path: str) -> str:
-    """Return the path of a file that exists."""
+    """Return the path unchanged if it names a file.
+
+    :raises UsageFault: if there is no such file
+    """
     if not os.path.isfile(path):
         raise UsageFault(f"there is no file {path!r}")
     return path
 
 
 def read_file(path: str) -> str:
-    """Return the text in a file."""
+    """Return the contents of a UTF-8 file.
+
+    :raises UsageFault: if it cannot be read or decoded
+    """
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
--- a/geraniumspool/cli.py
+++ b/geraniumspool/cli.py
@@ -1,10 +1,10 @@
-"""The command line.
+"""Command line interface.
 
-Fire reads the arguments of a command and only records what is to be done; it
-is done once all arguments were understood, so a misspelt flag never leaves a
-command half done.
+Fire parses the arguments and calls the method of the command, which only records
+an action in a :class:`Plan`. The action runs after Fire has accepted the whole
+command line, so an unknown flag is reported before anything is done.
 
-The exit codes are in :mod:`geraniumspool.exit_codes`.
+The exit codes are listed in :mod:`geraniumspool.exit_codes`.
 """
 
 import contextlib
@@ -52,16 +52,20 @@
 STANDARD_INPUT = "/dev/stdin"
 DEFAULT_RATE = "10"
 
-# Fire keeps what a decorator says in an attribute; a leading underscore hides it in help texts.
+# Attribute in which Fire stores its decorators' metadata; the leading underscore keeps it out of
+# help texts.
 fire.decorators.FIRE_METADATA = "_fire_metadata"
 _as_text = SetParseFn(str)
 
 
 class Plan:
-    """What a command line asks for, done once it was understood whole."""
+    """Action of a command line, run once the whole command line has been parsed.
+
+    :ivar run: performs the action and returns the exit code, None until a command sets it
+    """
 
     def __init__(self):
-        """Start with nothing to do."""
+        """Create a plan without an action."""
         self.run: Callable[[], int] | None = None
 
     def ask(
@@ -72,11 +76,14 @@
         *arguments: Any,
         judge: Callable[[Any], int] = lambda _answer: EXIT_OK,
     ) -> None:
-        """Plan one call to an entry.
-
-        :param call: function of :mod:`geraniumspool.operations`
-        :param show: makes the text for people out of the answer
-        :param judge: makes the exit code out of the answer
+        """Set the action to one request to an entry, whose response is printed.
+
+        :param target: address, token and output format from the command line
+        :param call: function of :mod:`geraniumspool.operations` that sends the request
+        :param show: formats the response as text, used without ``--json``
+        :param arguments: passed to ``call`` after the client
+        :param judge: returns the exit code for the response
+        :raises UsageFault: if neither flags nor environment name an entry
         """
         entry = find_entry(target)
 
@@ -90,21 +97,21 @@
 
 
 class ConfigCommands:
-    """Configuration documents: one for each service and each team."""
+    """Configuration documents: one per service and one per team."""
 
     def __init__(self, plan: Plan):
-        """Record where to plan."""
+        """Bind the commands to the plan that they fill in."""
         self._plan = plan
 
     @_as_text
     def list(self, *, entry="", token="", json="False"):
-        """List all documents in force."""
+        """List all documents that are currently in effect."""
         target = read_target(entry, token, json)
         self._plan.ask(target, operations.config_list, tables.show_documents)
 
     @_as_text
     def get(self, key, *, entry="", token="", json="False"):
-        """Print the document KEY, such as service/fitting."""
+        """Print the document with the key KEY, such as service/fitting."""
         target = read_target(entry, token, json)
         self._plan.ask(target, operations.config_get, tables.show_document, read_key(key))
 
@@ -122,12 +129,12 @@
         token="",
         json="False",
     ):
-        """Change the document KEY to the text in FILE ("-" is standard input).
+        """Replace the document KEY by the contents of FILE ("-" is standard input).
 
-        :param expected_revision: revision the change is based on, 0 for a new document
-        :param who: who makes the change
-        :param why: reason of the change
-        :param change_id: id of an earlier try, to repeat it safely
+        :param expected_revision: current revision of the document, 0 to create it
+        :param who: author of the change, for the audit trail
+        :param why: reason for the change, for the audit trail
+        :param change_id: id of an earlier attempt, so that a retry is applied only once
         """
         target = read_target(entry, token, json)
         revision = read_whole(expected_revision, "--expected-revision")
@@ -148,25 +155,25 @@
 
     @_as_text
     def status(self, *, entry="", token="", json="False"):
-        """Print the revision in force per failure domain."""
+        """Print the configuration revision in effect in each failure domain."""
         target = read_target(entry, token, json)
         self._plan.ask(target, operations.config_status, tables.show_config_status)
 
 
 class DomainCommands:
-    """Failure domains: evacuated, and taken back."""
+    """Failure domains: evacuate and restore them."""
 
     def __init__(self, plan: Plan):
-        """Record where to plan."""
+        """Bind the commands to the plan that they fill in."""
         self._plan = plan
 
     @_as_text
     def evacuate(self, name, *, who, why, change_id="", entry="", token="", json="False"):
-        """Have no task started in the failure domain NAME; what runs there goes on.
+        """Start no more tasks in the failure domain NAME; running tasks continue.
 
-        :param who: who asks
-        :param why: reason
-        :param change_id: id of an earlier try, to repeat it safely
+        :param who: author of the change, for the audit trail
+        :param why: reason for the change, for the audit trail
+        :param change_id: id of an earlier attempt, so that a retry is applied only once
         """
         target = read_target(entry, token, json)
         arguments = (name, read_text(who, "--who"), read_text(why, "--why"), change_id)
@@ -174,11 +181,11 @@
 
     @_as_text
     def restore(self, name, *, who, why, change_id="", entry="", token="", json="False"):
-        """Use the failure domain NAME again.
+        """Allow tasks to start in the failure domain NAME again.
 
-        :param who: who asks
-        :param why: reason
-        :param change_id: id of an earlier try, to repeat it safely
+        :param who: author of the change, for the audit trail
+        :param why: reason for the change, for the audit trail
+        :param change_id: id of an earlier attempt, so that a retry is applied only once
         """
         target = read_target(entry, token, json)
         arguments = (name, read_text(who, "--who"), read_text(why, "--why"), change_id)
@@ -186,22 +193,22 @@
 
 
 class StandinCommands:
-    """Small stand-ins of what the platform gives, for tests and trials."""
+    """Stand-ins for the store and for minions, for tests and trials."""
 
     def __init__(self, plan: Plan):
-        """Record where to plan."""
+        """Bind the commands to the plan that they fill in."""
         self._plan = plan
 
     @_as_text
     def store(self, *, listen="127.0.0.1:0"):
-        """Run a stand-in of the platform's store."""
+        """Run a stand-in for the store: in memory, with etcd's JSON API."""
         self._plan.run = partial(operations.run_standin_store, *read_address(listen))
 
     @_as_text
     def minion(self, *, agent, service, slots="8", connections="64", listen="127.0.0.1:0"):
-        """Run a stand-in of a minion and announce it to an agent.
+        """Run a stand-in for a minion and register it with an agent.
 
-        :param agent: address of the agent's minion listener, such as http://127.0.0.1:7000
+        :param agent: base URL of the agent's listener for minions, such as http://127.0.0.1:7000
         """
         slots, connections = read_whole(slots, "--slots"), read_whole(connections, "--connections")
         arguments = (agent, service, slots, connections, *read_address(listen))
@@ -209,14 +216,15 @@
 
 
 class Commands:
-    """A dispatcher for services made of many sub-second tasks.
+    """Dispatcher for sub-second tasks.
 
-    Operators' commands ask any entry: name it with --entry HOST:PORT and --token TOKEN,
-    or in GERANIUMSPOOL_ENTRY and GERANIUMSPOOL_TOKEN. --json prints JSON.
+    Commands for operators send a request to one entry, any of them. Give its address and token
+    with --entry HOST:PORT and --token TOKEN, or in the environment variables
+    GERANIUMSPOOL_ENTRY and GERANIUMSPOOL_TOKEN. --json prints the response as JSON.
     """
 
     def __init__(self, plan: Plan):
-        """Record where to plan."""
+        """Bind the commands to the plan that they fill in."""
         self._plan = plan
         self.config = ConfigCommands(plan)
         self.domain = DomainCommands(plan)
@@ -224,17 +232,17 @@
 
     @_as_text
     def entry(self, settings):
-        """Run an entry with the settings in the file SETTINGS."""
+        """Run an entry with the settings file SETTINGS."""
         self._plan.run = partial(operations.run_entry, find_file(settings))
 
     @_as_text
     def agent(self, settings):
-        """Run an agent with the settings in the file SETTINGS."""
+        """Run an agent with the settings file SETTINGS."""
         self._plan.run = partial(operations.run_agent, find_file(settings))
 
     @_as_text
     def demo(self, *, seconds="24", progress="False"):
-        """Run the whole system in one process and print a summary."""
+        """Run the whole system in one process, under load and faults, and print a summary."""
         if progress not in ("True", "False"):
             raise UsageFault("--progress takes no value")
         shown = True if progress == "True" else None
@@ -255,13 +263,13 @@
         seed="1",
         resubmit_share="",
     ):
-        """Put load on a running system and print a report.
+        """Submit jobs to a running system and print a report.
 
-        :param entries: callers' addresses, host:port, with commas in between
-        :param rate: jobs a second, 10 by default; or give --load-share
-        :param load_share: share of the time of all slots that is offered
-        :param mix: light, brief, narrow or wide
-        :param resubmit_share: share of jobs submitted through two entries at once
+        :param entries: entries' addresses for callers, host:port, separated by commas
+        :param rate: jobs per second, 10 by default; excludes --load-share
+        :param load_share: offered load as a share of the capacity of all slots
+        :param mix: distribution of jobs: light, brief, narrow or wide
+        :param resubmit_share: share of jobs that are submitted through two entries at once
         """
         if rate and load_share:
             raise UsageFault("give --rate or --load-share, not both")
@@ -286,12 +294,12 @@
 
     @_as_text
     def roster(self, *, entry="", token="", json="False"):
-        """Print all processes that an entry knows."""
+        """Print all processes in the membership list of an entry."""
         self._plan.ask(read_target(entry, token, json), operations.roster, tables.show_roster)
 
     @_as_text
     def drain(self, address, *, who, why, entry="", token="", json="False"):
-        """Ask the process with the inbox ADDRESS to leave gracefully."""
+        """Ask the process with the inbox address ADDRESS to drain and exit."""
         arguments = (address, read_text(who, "--who"), read_text(why, "--why"))
         self._plan.ask(
             read_target(entry, token, json), operations.drain, tables.show_pairs, *arguments
@@ -299,25 +307,25 @@
 
     @_as_text
     def job(self, ticket, *, entry="", token="", json="False"):
-        """Print the state of the job of TICKET."""
+        """Print the state of the job with the ticket TICKET."""
         target = read_target(entry, token, json)
         self._plan.ask(target, operations.job, tables.show_pairs, ticket, judge=judge_job)
 
     @_as_text
     def cancel(self, ticket, *, entry="", token="", json="False"):
-        """Cancel the job of TICKET."""
+        """Cancel the job with the ticket TICKET."""
         target = read_target(entry, token, json)
         self._plan.ask(target, operations.cancel, tables.show_pairs, ticket, judge=judge_cancel)
 
     @_as_text
     def why(self, subject, *, entry="", token="", json="False"):
-        """Print the decisions on a job, by ticket, or one decision, by id."""
+        """Print the decisions on the job with the ticket SUBJECT, or the one with that id."""
         target = read_target(entry, token, json)
         self._plan.ask(target, operations.why, tables.show_decisions, subject)
 
     @_as_text
     def check(self, settings):
-        """Check the settings file of an entry or an agent."""
+        """Check the settings file of an entry or an agent and print the errors found."""
 
         def run() -> int:
             operations.check(path)
@@ -340,7 +348,7 @@
 def main(argv: list[str] | None = None) -> NoReturn:
     """Run a command line and exit with its exit code.
 
-    :param argv: arguments without the program's name, the process's own by default
+    :param argv: arguments without the program name, those of this process if None
     """
     sys.exit(run(sys.argv[1:] if argv is None else argv))
 
@@ -348,7 +356,7 @@
 def run(argv: list[str]) -> int:
     """Run a command line and return its exit code.
 
-    :param argv: arguments without the program's name
+    :param argv: arguments without the program name
     """
     try:
         plan = _understand(argv)
@@ -369,19 +377,20 @@
 
 def _understand(argv: list[str]) -> Plan:
     plan = Plan()
-    output, complaints = io.StringIO(), io.StringIO()
-    # Fire would start a pager on a terminal, and act on arguments after "--".
+    output, error_output = io.StringIO(), io.StringIO()
+    # Fire takes arguments after "--" as flags of its own, such as --interactive. Capturing its
+    # output also keeps it from starting a pager on a terminal.
     if "--" in argv:
         raise UsageFault("-- is not understood")
     ticket_flag = TICKET_FLAGS.get(argv[0], "") if argv else ""
     arguments = [_normalise(argument, ticket_flag) for argument in argv]
     try:
-        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(complaints):
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(error_output):
             result = fire.Fire(Commands(plan), arguments, PROGRAM)
-    except FireExit as stop:
-        if stop.code:
-            raise UsageFault(complaints.getvalue().strip()) from None
-        lines = complaints.getvalue().strip().splitlines()
+    except FireExit as fire_exit:
+        if fire_exit.code:
+            raise UsageFault(error_output.getvalue().strip()) from None
+        lines = error_output.getvalue().strip().splitlines()
         print("\n".join(line for line in lines if not line.startswith(HELP_NOTICE)).strip())
         return Plan()
     if plan.run is None and argv:
--- a/geraniumspool/entry_client.py
+++ b/geraniumspool/entry_client.py
@@ -1,4 +1,4 @@
-"""Client of an entry's interface for operators; nothing is sent twice."""
+"""HTTP client of an entry's API for operators; it never retries a request."""
 
 from typing import Any, NamedTuple
 from urllib.parse import quote
@@ -22,10 +22,10 @@
 
 
 class EntryAddress(NamedTuple):
-    """Where operators' calls go.
+    """Address and credentials of an entry's API for operators.
 
-    :param address: host and port of any entry's operators' listener
-    :param token: operators' token
+    :param address: ``host:port`` or base URL of the entry's listener for operators
+    :param token: bearer token for operators, or empty to send none
     """
 
     address: str
@@ -33,12 +33,12 @@
 
 
 class EntryClient:
-    """Operators' calls to one entry, each sent exactly once."""
+    """Sends operators' requests to one entry, without retries or redirects."""
 
     def __init__(self, entry: EntryAddress):
-        """Open nothing yet.
+        """Prepare the connection pool; nothing is sent yet.
 
-        :param entry: the entry and the token
+        :param entry: address and token of the entry
         """
         address = entry.address
         self._base = (address if "://" in address else f"http://{address}").rstrip("/")
@@ -49,16 +49,23 @@
         self._pool = urllib3.PoolManager(retries=False, timeout=timeout)
 
     def get(self, *path: str) -> Any:
-        """Return the answer to a GET of the path's parts."""
+        """Send a GET request and return its response; see :meth:`call`.
+
+        :param path: segments of the path after ``/v1``
+        """
         return self.call("GET", path)
 
     def call(self, method: str, path: tuple[str, ...], body: Any = None) -> Any:
-        """Send one request and return its answer.
+        """Send one request and return its response.
 
         :param method: HTTP method
-        :param path: parts of the path after ``/v1``; each is quoted
-        :param body: what to send as JSON, or None
-        :raises DispatchError: what the entry answered, or that it could not be asked
+        :param path: segments of the path after ``/v1``, which are percent-encoded here
+        :param body: object to send as JSON, or None for no body
+        :returns: the decoded JSON object, empty if the response has no body
+        :raises LinkDown: if the entry is unreachable, or did not answer a GET
+        :raises DispatchError: the problem that the entry answered with; code
+            ``outcome_unknown`` if no readable answer came to a request that may have
+            changed something, ``answer_malformed`` if a GET got an unreadable one
         """
         url = "/".join([self._base, "v1", *(quote(part, safe="") for part in path)])
         response = self._send(method, url, body)
--- a/geraniumspool/exit_codes.py
+++ b/geraniumspool/exit_codes.py
@@ -1,15 +1,15 @@
-"""Exit codes of the command line, which tell scripts what came of it.
+"""Exit codes of the command line, by which scripts tell outcomes apart.
 
 ==== =========================================================
-0    done
-1    failed, or the job failed without having run
-2    the command line was wrong; nothing was done
-3    the thing asked for does not exist
-4    conflict: it was changed meanwhile
-5    outcome unknown: it may or may not have been done
-6    the entry could not be reached; nothing was done
+0    success
+1    failure, or the job failed and none of its tasks ran
+2    invalid command line; nothing was done
+3    the requested object does not exist
+4    conflict, such as a revision that is no longer current
+5    outcome unknown: the request may have taken effect
+6    the entry is unreachable; nothing was done
 7    the operators' token is missing or wrong
-8    invalid input; findings are on standard error, one a line
+8    invalid input; errors go to standard error, one per line
 ==== =========================================================
 """
 
@@ -61,20 +61,23 @@
 
 
 def choose_exit_code(error: DispatchError) -> int:
-    """Return the exit code that tells scripts of an error."""
+    """Return the exit code for an error, by its code or else by its HTTP status."""
     if error.code in EXIT_BY_CODE:
         return EXIT_BY_CODE[error.code]
     return EXIT_BY_STATUS.get(error.status, EXIT_FAILED)
 
 
 def judge_job(answer: Any) -> int:
-    """Return the exit code that tells of a job's state."""
+    """Return the exit code for a job's state or outcome."""
     state = answer.get("outcome") or answer.get("state") or ""
     return EXIT_BY_JOB_STATE.get(state, EXIT_OK)
 
 
 def judge_cancel(answer: Any) -> int:
-    """Return the exit code that tells of a cancelled job's state."""
+    """Return the exit code for the response to a cancellation.
+
+    A job that was cancelled before any of its tasks ran is a success here.
+    """
     code = judge_job(answer)
     cancelled = answer.get("code") in ("job_cancelled", "cancelled")
     return EXIT_OK if cancelled and code == EXIT_FAILED else code
--- a/geraniumspool/operations.py
+++ b/geraniumspool/operations.py
@@ -1,8 +1,9 @@
-"""What the commands do: operators' calls to an entry, and running the programs.
+"""Implementation of the commands: operators' requests to an entry, and running the programs.
 
-The functions mirror the commands. They return data or an exit code and raise
-the errors of :mod:`geraniumspool.errors`; printing for people is left to
-:mod:`geraniumspool.cli`. Modules of the programs are loaded only when needed.
+There is one function per command. It returns the response or an exit code and
+raises errors of :mod:`geraniumspool.errors`; :mod:`geraniumspool.cli` formats and
+prints them. The functions import the modules of the programs when called, so that
+operators' commands start without loading them.
 """
 
 import json
@@ -32,24 +33,25 @@
 
 
 def status(client: EntryClient) -> Status:
-    """Return the state of the entry and of the failure domains it knows."""
+    """Return the state of the entry, of its store connection and of the failure domains."""
     return client.get("status")
 
 
 def roster(client: EntryClient) -> Roster:
-    """Return all processes that the entry knows."""
+    """Return all processes in the entry's membership list."""
     return client.get("roster")
 
 
 def config_list(client: EntryClient) -> ConfigDocuments:
-    """Return all configuration documents in force."""
+    """Return all configuration documents that are currently in effect."""
     return client.get("config")
 
 
 def config_get(client: EntryClient, key: str) -> ConfigDocument:
     """Return one configuration document.
 
-    :param key: such as ``service/fitting``
+    :param key: key of the document, such as ``service/fitting``
+    :raises NotFound: if there is no such document
     """
     return client.get("config", *key.split("/"))
 
@@ -63,14 +65,17 @@
     why: str,
     change_id: str = "",
 ) -> ConfigOutcome:
-    """Change one configuration document.
-
-    :param body: text of the new document
-    :param expected_revision: revision the change is based on, 0 for a new document
-    :param who: who makes the change, for the audit trail
-    :param why: reason of the change, for the audit trail
-    :param change_id: id of the change; repeat it to repeat a change safely
-    :raises StaleRevision: if the document was changed meanwhile
+    """Replace one configuration document.
+
+    :param body: new contents of the document
+    :param expected_revision: current revision of the document, 0 to create it
+    :param who: author of the change, for the audit trail
+    :param why: reason for the change, for the audit trail
+    :param change_id: idempotency key of the change, a new one if empty; a retry with the
+        same id is applied only once
+    :raises StaleRevision: if the document's revision is not the expected one
+    :raises DispatchError: if the outcome is unknown; the detail then has the change id to
+        retry with
     """
     change_id = change_id or uuid.uuid4().hex
     request = {
@@ -94,15 +99,15 @@
 
 
 def config_status(client: EntryClient) -> ConfigStatus:
-    """Return the configuration revision in force per failure domain."""
+    """Return the configuration revision in effect in each failure domain."""
     return client.get("config-status")
 
 
 def drain(client: EntryClient, address: str, who: str, why: str) -> Any:
-    """Ask a process to leave gracefully.
+    """Ask a process to drain and exit.
 
-    :param address: inbox address of the process, as in the roster
-    :param who: who asks, for the audit trail
+    :param address: inbox address of the process, as listed by :func:`roster`
+    :param who: who requests it, for the audit trail
     :param why: reason, for the audit trail
     """
     return client.call("POST", ("drain",), {"address": address, "who": who, "why": why})
@@ -111,12 +116,14 @@
 def domain_evacuate(
     client: EntryClient, domain: str, who: str, why: str, change_id: str = ""
 ) -> ConfigOutcome:
-    """Have no task started in a failure domain until it is restored.
-
-    :param who: who asks, for the audit trail
-    :param why: reason, for the audit trail
-    :param change_id: id of an earlier try, to repeat it safely
-    :raises InvalidInput: if the entry knows no such domain
+    """Start no more tasks in a failure domain until :func:`domain_restore` is called.
+
+    :param domain: name of the failure domain
+    :param who: author of the change, for the audit trail
+    :param why: reason for the change, for the audit trail
+    :param change_id: idempotency key of the change, a new one if empty
+    :raises InvalidInput: if neither a process nor a document of that failure domain is known
+    :raises StaleRevision: if someone else changed the domain's document at the same time
     """
     return _change_domain(client, domain, True, who, why, change_id)
 
@@ -124,7 +131,7 @@
 def domain_restore(
     client: EntryClient, domain: str, who: str, why: str, change_id: str = ""
 ) -> ConfigOutcome:
-    """Use a failure domain again; takes what :func:`domain_evacuate` takes."""
+    """Allow tasks in a failure domain again; parameters as for :func:`domain_evacuate`."""
     return _change_domain(client, domain, False, who, why, change_id)
 
 
@@ -142,19 +149,22 @@
 
 
 def job(client: EntryClient, ticket: str) -> Any:
-    """Return the state or the kept answer of a job, a failure included."""
-    return _report_job(lambda: client.get("jobs", ticket))
+    """Return the state or the stored result of a job; a failed job's problem is returned as well.
+
+    :raises DispatchError: if the request itself failed, so that nothing is known of the job
+    """
+    return _return_job_failure(lambda: client.get("jobs", ticket))
 
 
 def cancel(client: EntryClient, ticket: str) -> Any:
-    """Cancel a job and return its state, a failure included."""
-    return _report_job(lambda: client.call("DELETE", ("jobs", ticket)))
+    """Cancel a job and return its state; returns and raises as :func:`job` does."""
+    return _return_job_failure(lambda: client.call("DELETE", ("jobs", ticket)))
 
 
 def why(client: EntryClient, subject: str) -> Decisions:
-    """Return the decisions on a job, or one decision.
+    """Return the dispatcher's decisions on a job, or a single decision.
 
-    :param subject: a ticket or a decision's id
+    :param subject: ticket of the job, or id of the decision
     """
     if parse_decision_id(subject) is None:
         return client.get("jobs", subject, "decisions")
@@ -165,7 +175,7 @@
 def check(path: str) -> None:
     """Check a settings file of an entry or an agent.
 
-    :raises InvalidInput: with all findings
+    :raises InvalidInput: if the file has errors; lists all of them
     """
     from geraniumspool.settings import check_file
 
@@ -175,27 +185,31 @@
 
 
 def run_entry(path: str) -> int:
-    """Run an entry with the settings in a file, and return the exit code."""
+    """Run an entry with a settings file until it is stopped, and return the exit code."""
     from geraniumspool.entry import build_entry
     from geraniumspool.settings import load_entry_settings
 
     settings = load_entry_settings(path)
-    _set_up_logs(settings)
+    _configure_logging(settings)
     return run_application(build_entry(settings))
 
 
 def run_agent(path: str) -> int:
-    """Run an agent with the settings in a file, and return the exit code."""
+    """Run an agent with a settings file until it is stopped, and return the exit code."""
     from geraniumspool.agent import build_agent
     from geraniumspool.settings import load_agent_settings
 
     settings = load_agent_settings(path)
-    _set_up_logs(settings)
+    _configure_logging(settings)
     return run_application(build_agent(settings))
 
 
 def run_demo(seconds: float, progress: bool | None = None) -> int:
-    """Run the whole system in this process for a while, and return the exit code."""
+    """Run the whole system in this process and return the exit code.
+
+    :param seconds: duration of the run
+    :param progress: whether to print progress, None for only on a terminal
+    """
     from geraniumspool.demo import run_demo as run
 
     return run(seconds, progress)
@@ -213,18 +227,20 @@
     slots: int = 0,
     resubmit_share: float = 0.0,
 ) -> int:
-    """Put load on a running system, print the report and return the exit code.
-
-    :param entries: callers' addresses of the entries
-    :param team: team of the jobs, or several with commas between
-    :param seconds: how long
-    :param rate: jobs a second, or 0 where ``load_share`` says it
-    :param mix: name of the mix of jobs
+    """Submit jobs to a running system, print the report and return the exit code.
+
+    :param entries: entries' addresses for callers, as ``host:port`` or URL
+    :param service: service of the jobs
+    :param team: team of the jobs, or several separated by commas
+    :param seconds: how long jobs are submitted, in seconds
+    :param rate: jobs per second, or 0 where ``load_share`` is given instead
+    :param mix: name of the distribution of jobs, a key of :data:`geraniumspool.workload.MIXES`
     :param seed: seed of the random numbers
-    :param load_share: share of all slots' time that is offered
-    :param slots: slots of the whole system, 0 for the load tool's default
+    :param load_share: offered load as a share of the capacity of all slots
+    :param slots: number of slots in the whole system, 0 for the load tool's default
     :param resubmit_share: share of jobs that are submitted through two entries at once
     :returns: ``FAILED`` if a job got no answer or a wrong one
+    :raises InvalidInput: if the options contradict each other
     """
     from geraniumspool.load import DEFAULT_SLOTS
     from geraniumspool.load import run_load as run
@@ -246,7 +262,7 @@
 
 
 def run_standin_store(host: str, port: int) -> int:
-    """Run the stand-in of the platform's store, and return the exit code."""
+    """Run the stand-in for the store until it is stopped, and return the exit code."""
     from geraniumspool.standins import StandinStoreApplication
 
     return run_application(StandinStoreApplication(host, port))
@@ -255,20 +271,23 @@
 def run_standin_minion(
     agent: str, service: str, slots: int, connections: int, host: str, port: int
 ) -> int:
-    """Run the stand-in of a minion, and return the exit code."""
+    """Run a stand-in for a minion until it is stopped, and return the exit code.
+
+    :param agent: base URL of the agent's listener for minions
+    """
     from geraniumspool.standins import StandinMinionApplication
 
     app = StandinMinionApplication(agent, service, slots, connections, host, port)
     return run_application(app)
 
 
-def _set_up_logs(settings: Any) -> None:
+def _configure_logging(settings: Any) -> None:
     from geraniumspool import logs
 
     logs.set_up(settings.log_level, sys.stderr)
 
 
-def _report_job(call: Callable[[], Any]) -> Any:
+def _return_job_failure(call: Callable[[], Any]) -> Any:
     try:
         return call()
     except DispatchError as error:
--- a/geraniumspool/operator_answers.py
+++ b/geraniumspool/operator_answers.py
@@ -1,4 +1,4 @@
-"""Answers of an entry to operators' calls."""
+"""Types of an entry's JSON responses to operators."""
 
 from typing import Any, TypedDict
 
@@ -7,7 +7,7 @@
 
 
 class ProcessStatus(TypedDict):
-    """The entry that answered."""
+    """The entry that answered the request."""
 
     address: str
     domain: str
@@ -16,14 +16,17 @@
 
 
 class StoreStatus(TypedDict):
-    """How the entry gets on with the platform's store."""
+    """State of the entry's watch on the configuration in the store.
+
+    Keys: ``last_contact_ms`` is the time since the watch last reported, in milliseconds.
+    """
 
     state: str
     last_contact_ms: float
 
 
 class Status(TypedDict):
-    """Answer of ``status``."""
+    """Response to the command ``status``."""
 
     entry: ProcessStatus
     domains: list[DomainStatus]
@@ -33,7 +36,7 @@
 
 
 class MemberStatus(TypedDict):
-    """One process in the roster."""
+    """One process in the membership list."""
 
     address: str
     incarnation: str
@@ -47,7 +50,7 @@
 
 
 class Roster(TypedDict):
-    """Answer of ``roster``."""
+    """Response to the command ``roster``: the membership list."""
 
     members: list[MemberStatus]
 
@@ -61,20 +64,23 @@
 
 
 class ConfigDocuments(TypedDict):
-    """Answer of ``config list``."""
+    """Response to the command ``config list``."""
 
     documents: list[ConfigDocument]
 
 
 class ConfigOutcome(TypedDict):
-    """Answer of ``config apply``."""
+    """Response to ``config apply``, ``domain evacuate`` and ``domain restore``."""
 
     status: str
     revision: int
 
 
 class ConfigChange(TypedDict):
-    """One entry of the audit trail."""
+    """One change in the audit trail of a configuration document.
+
+    Keys: ``at_ms`` is Unix time in milliseconds; ``before`` and ``after`` are the bodies.
+    """
 
     revision: int
     who: str
@@ -86,26 +92,26 @@
 
 
 class ConfigHistory(TypedDict):
-    """Answer of ``config history``."""
+    """Response to the command ``config history``."""
 
     changes: list[ConfigChange]
 
 
 class DomainRevision(TypedDict):
-    """Revision of the configuration that is in force in a failure domain."""
+    """Configuration revision in effect in a failure domain."""
 
     domain: str
     revision: int
 
 
 class ConfigStatus(TypedDict):
-    """Answer of ``config status``."""
+    """Response to the command ``config status``."""
 
     newest: int
     domains: list[DomainRevision]
 
 
 class Decisions(TypedDict):
-    """Answer of ``why``."""
+    """Response to the command ``why``."""
 
     decisions: list[DecisionDocument]
--- a/geraniumspool/tables.py
+++ b/geraniumspool/tables.py
@@ -1,4 +1,4 @@
-"""Answers as text for people."""
+"""Formats entries' responses to operators as plain text and tables."""
 
 import json
 from collections.abc import Iterable
@@ -25,30 +25,30 @@
 MAX_CELL_CHARS = 60
 
 
-def _table(rows: Iterable[Any], columns: list[str]) -> str:
-    cells = [[_cell(row.get(column, "")) for column in columns] for row in rows]
+def _format_table(rows: Iterable[Any], columns: list[str]) -> str:
+    cells = [[_format_cell(row.get(column, "")) for column in columns] for row in rows]
     return tabulate(cells, headers=columns, tablefmt="simple", disable_numparse=True)
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     text = value if isinstance(value, str) else json.dumps(value)
     text = " ".join(text.split())
     return text if len(text) <= MAX_CELL_CHARS else text[: MAX_CELL_CHARS - 3] + "..."
 
 
-def _time(at_ms: float) -> str:
+def _format_time(at_ms: float) -> str:
     moment = datetime.fromtimestamp(at_ms / MS_PER_SECOND, UTC)
     return moment.isoformat(sep=" ", timespec="milliseconds").replace("+00:00", "Z")
 
 
 def show_pairs(answer: Any) -> str:
-    """Return names and values, one pair a line."""
-    rows = [(name, _cell(value)) for name, value in answer.items()]
+    """Return the members of an object as ``name value`` lines, or "done" if there are none."""
+    rows = [(name, _format_cell(value)) for name, value in answer.items()]
     return tabulate(rows, tablefmt="plain", disable_numparse=True) or "done"
 
 
 def show_status(answer: Status) -> str:
-    """Return the state of an entry and of the failure domains."""
+    """Return the state of an entry, a table of the failure domains, and the counters if any."""
     entry, store = answer["entry"], answer["store"]
     head = {
         "entry": f"{entry['address']} {entry['state']}",
@@ -58,46 +58,48 @@
         "config revision": answer["config_revision"],
     }
     columns = list(DomainStatus.__annotations__)
-    parts = [show_pairs(head), _table(answer["domains"], columns)]
+    parts = [show_pairs(head), _format_table(answer["domains"], columns)]
     if answer.get("counters"):
         parts.append(show_pairs(answer["counters"]))
     return "\n\n".join(parts)
 
 
 def show_roster(answer: Roster) -> str:
-    """Return a table of processes."""
-    return _table(answer["members"], list(MemberStatus.__annotations__))
+    """Return a table of the processes in the membership list."""
+    return _format_table(answer["members"], list(MemberStatus.__annotations__))
 
 
 def show_documents(answer: ConfigDocuments) -> str:
     """Return a table of configuration documents."""
-    return _table(answer["documents"], list(ConfigDocument.__annotations__))
+    return _format_table(answer["documents"], list(ConfigDocument.__annotations__))
 
 
 def show_document(answer: ConfigDocument) -> str:
-    """Return one document below its key and revision."""
+    """Return a heading with the key and revision of a document, then its body."""
     body = answer["body"]
     text = body if isinstance(body, str) else json.dumps(body, indent=2)
     return f"# {answer['key']} revision {answer['revision']}\n{text}"
 
 
 def show_history(answer: ConfigHistory) -> str:
-    """Return a table of changes."""
-    rows = [{**change, "at": _time(change["at_ms"])} for change in answer["changes"]]
-    return _table(rows, ["revision", "at", "who", "why", "change_id", "before", "after"])
+    """Return a table of the changes to a document."""
+    rows = [{**change, "at": _format_time(change["at_ms"])} for change in answer["changes"]]
+    return _format_table(rows, ["revision", "at", "who", "why", "change_id", "before", "after"])
 
 
 def show_config_status(answer: ConfigStatus) -> str:
-    """Return a table of the revisions in force."""
+    """Return the newest configuration revision and a table of those in effect per domain."""
     columns = list(DomainRevision.__annotations__)
-    return f"newest {answer['newest']}\n\n{_table(answer['domains'], columns)}"
+    return f"newest {answer['newest']}\n\n{_format_table(answer['domains'], columns)}"
 
 
 def show_decisions(answer: Decisions) -> str:
-    """Return decisions with their explanations."""
+    """Return each decision as a line, followed by the explanation of its code."""
     lines = []
     for decision in answer["decisions"]:
         figures = " ".join(f"{name}={value}" for name, value in decision["figures"].items())
-        lines.append(f"{_time(decision['at_ms'])}  {decision['id']}  {decision['code']}  {figures}")
+        lines.append(
+            f"{_format_time(decision['at_ms'])}  {decision['id']}  {decision['code']}  {figures}"
+        )
         lines.append(f"    {EXPLANATIONS.get(decision['code'], '')}")
     return "\n".join(line.rstrip() for line in lines) or "no decisions are kept on it"
