--- a/geraniumspool/client.py
+++ b/geraniumspool/client.py
@@ -1,9 +1,12 @@
-"""Client for callers: tickets ahead of need, safe resubmission, back-off.
+"""Client library for callers: prefetched tickets, idempotent resubmission, backoff.
 
-A job is submitted under a ticket. Submitting the same body under the same
-ticket again is idempotent, so a lost answer is asked for again through another
-entry. A new ticket is a new job: it is taken only after a refusal proved that
-the old one never ran. The client blocks its thread, or its green task where
+A job is submitted under a ticket, which the entries issue and which identifies the
+job. Submitting the same body under the same ticket again is idempotent, so when a
+response is lost, the client resubmits the job through another entry. A new ticket
+makes a new job: the client uses one for a retry only after an entry answered that
+no task of the job ran or will run.
+
+Calls block the calling thread, or only the calling green thread where
 :mod:`eventlet` has patched the standard library.
 """
 
@@ -39,7 +42,7 @@
 
 
 class JobError(DispatchError):
-    """Base of the failures of a job as its caller sees them."""
+    """Base class of a job's failures, as raised to its caller."""
 
     code = "job_failed"
 
@@ -52,14 +55,14 @@
         retry_after_ms: float | None = None,
         problem: Mapping[str, Any] | None = None,
     ):
-        """Record what happened.
-
-        :param detail: what happened, for people
-        :param reason: code given by the entry, or one of this module's
-        :param ticket: the job's ticket, or empty where it got none
-        :param attempts: submissions that were tried
-        :param retry_after_ms: when another try may help, or None
-        :param problem: the entry's whole answer, where there was one
+        """Describe a failed job.
+
+        :param detail: message for people
+        :param reason: error code from the entry, or ``NO_ENTRY`` or ``ANSWER_LOST``
+        :param ticket: ticket of the job, or empty if no ticket was issued
+        :param attempts: number of submissions so far, resubmissions included
+        :param retry_after_ms: delay in milliseconds after which a retry may succeed, or None
+        :param problem: the entry's error response, if there was one
         """
         super().__init__(detail, retry_after_ms)
         self.reason = reason
@@ -69,21 +72,21 @@
 
 
 class JobNotRun(JobError):
-    """No task of the job started, and none will."""
+    """No task of the job was started, and none will be."""
 
     code = "job_not_run"
     status = 503
 
 
 class JobMayHaveRun(JobError):
-    """Some tasks of the job may have run; a new ticket may run them again."""
+    """Tasks of the job may have run; submitting them under a new ticket may run them again."""
 
     code = "job_may_have_run"
     status = 504
 
 
 class JobRejected(JobError):
-    """The request itself is wrong; sending it again does not help."""
+    """The request is invalid; retrying it unchanged cannot succeed."""
 
     code = "job_rejected"
     status = 400
@@ -92,9 +95,9 @@
 class TaskRequest(NamedTuple):
     """One task of a job.
 
-    :param payload: what the minion gets; anything JSON can say
-    :param size: declared size, in the service's own unit
-    :param run_ms: declared run time in milliseconds, or 0 where unknown
+    :param payload: input for the minion; any value that can be encoded as JSON
+    :param size: declared size of the task, in a unit that the service defines
+    :param run_ms: expected run time in milliseconds, or 0 if unknown
     """
 
     payload: Any
@@ -103,11 +106,11 @@
 
 
 class JobResult(NamedTuple):
-    """A complete answer.
+    """Results of a job all of whose tasks succeeded.
 
-    :param results: one result a task, in the tasks' order
-    :param ticket: the ticket the job ran under
-    :param attempts: submissions it took, resubmissions included
+    :param results: one result per task, in the order of the tasks
+    :param ticket: ticket under which the job ran
+    :param attempts: number of submissions, resubmissions included
     """
 
     results: list[Any]
@@ -116,43 +119,44 @@
 
 
 class CallerClock(Protocol):
-    """What a client needs of a clock, in milliseconds."""
+    """Clock that a client uses; all times are in milliseconds."""
 
     def now(self) -> float:
-        """Return monotonic time."""
+        """Return the monotonic time in milliseconds."""
 
     def sleep(self, delay_ms: float) -> None:
-        """Suspend the calling thread, or green task."""
+        """Suspend the calling thread or green thread for ``delay_ms``."""
 
 
 class BlockingClock:
-    """The machine's clock; it sleeps as the caller's own program does.
+    """The system clock, with the standard library's blocking sleep.
 
-    It comes without :mod:`eventlet`, which a caller's program may not use.
+    It does not import :mod:`eventlet`, which the caller's program may not use.
     """
 
     def now(self) -> float:
-        """Return monotonic time in milliseconds."""
+        """Return the monotonic time in milliseconds."""
         return time.monotonic() * MS_PER_SECOND
 
     def sleep(self, delay_ms: float) -> None:
-        """Suspend the calling thread, or green task, for ``delay_ms``."""
+        """Suspend the calling thread or green thread for ``delay_ms``; a negative delay is 0."""
         time.sleep(max(0.0, delay_ms) / MS_PER_SECOND)
 
 
-class _Unsent(Exception):
-    """No connection was made: the request never left this process."""
+class _RequestNotSent(Exception):
+    """No connection was established, so the request was not sent."""
 
 
-class _Lost(Exception):
-    """The request may have arrived; its answer did not."""
+class _ResponseLost(Exception):
+    """The request may have reached the entry, but no complete response came back."""
 
 
 class _Answer(NamedTuple):
-    """One HTTP answer.
+    """A decoded HTTP response.
 
-    :param value: the decoded body, None where it was no JSON
-    :param document: the same, empty where it was no JSON object
+    :param value: body decoded from JSON, or None if it is not JSON
+    :param document: the same if it is a JSON object, else an empty dictionary
+    :param retry_after_ms: delay that the entry asks for before a retry, or None
     """
 
     status: int
@@ -170,7 +174,7 @@
 
     @property
     def passing(self) -> bool:
-        """Whether the failure says nothing of the job and may pass."""
+        """Whether the failure is transient and leaves the outcome of the job open."""
         if self.outcome in (OUTCOME_NOT_RUN, OUTCOME_MAY_HAVE_RUN):
             return False
         return self.status >= 500 or self.status in PASSING_STATUSES
@@ -190,7 +194,10 @@
 
 
 class _Backoff:
-    """Waits between attempts: doubling, with jitter, never past the deadline."""
+    """Exponential backoff with jitter, bounded by a deadline.
+
+    A delay that would reach the deadline is not waited for at all.
+    """
 
     def __init__(self, clock: CallerClock, deadline: float, generator: random.Random):
         self._clock = clock
@@ -202,7 +209,11 @@
         return self._deadline - self._clock.now()
 
     def wait(self, at_least_ms: float | None = None) -> bool:
-        """Wait, and return whether there is time for another attempt."""
+        """Sleep before the next attempt, or return False if the deadline comes first.
+
+        :param at_least_ms: shortest delay that the entry asked for, used instead of the
+            exponential one, or None
+        """
         delay = self._next_ms * self._random.uniform(0.5, 1.0)
         if at_least_ms is not None:
             delay = at_least_ms * self._random.uniform(1.0, 1.1)
@@ -213,8 +224,8 @@
         return True
 
 
-class _Stock:
-    """Tickets ahead of need; each leaves the stock once."""
+class _TicketCache:
+    """Prefetched tickets; each is handed out once, and only while it is fresh."""
 
     def __init__(self, clock: CallerClock, size: int, max_age_ms: float):
         self._clock = clock
@@ -224,11 +235,11 @@
         self._lock = threading.Lock()
 
     def take(self) -> str | None:
-        oldest = self._clock.now() - self._max_age_ms
+        min_fetched_ms = self._clock.now() - self._max_age_ms
         with self._lock:
             while self._tickets:
                 ticket, fetched_ms = self._tickets.popleft()
-                if fetched_ms >= oldest:
+                if fetched_ms >= min_fetched_ms:
                     return ticket
         return None
 
@@ -240,7 +251,7 @@
 
 
 class Client:
-    """Submits jobs of one team to one service, through any of several entries."""
+    """Submits jobs of one team to one service, with failover between several entries."""
 
     def __init__(
         self,
@@ -253,17 +264,19 @@
         ticket_max_age_ms: float = TICKET_MAX_AGE_MS,
         seed: int | None = None,
     ):
-        """Prepare to submit; nothing is sent yet.
-
-        :param entries: base addresses such as ``http://10.0.0.1:8080``, or ``host:port``
-        :param service: the service that the jobs are for
-        :param team: the team that they are counted for
-        :param clock: source of time, a :class:`BlockingClock` where None
-        :param timeout_ms: longest wait for one answer before another entry is asked
-        :param tickets_ahead: tickets fetched in one call and kept in stock
-        :param ticket_max_age_ms: age at which a ticket in stock is thrown away
-        :param seed: seed of jitter and of the choice of the first entry
-        :raises ValueError: if there is no entry
+        """Create a client; nothing is sent yet.
+
+        :param entries: base URLs such as ``http://10.0.0.1:8080``, or ``host:port``
+        :param service: service that runs the jobs
+        :param team: team whose quota the jobs count against
+        :param clock: source of time, or None for a :class:`BlockingClock`
+        :param timeout_ms: longest wait for one response, in milliseconds, before the client
+            switches to another entry
+        :param tickets_ahead: tickets to fetch per request, and most tickets to keep in advance
+        :param ticket_max_age_ms: age in milliseconds above which a prefetched ticket is
+            discarded
+        :param seed: seed of the jitter and of the choice of the first entry
+        :raises ValueError: if ``entries`` is empty
         """
         if not entries:
             raise ValueError("a client needs at least one entry")
@@ -275,50 +288,53 @@
         self._tickets_ahead = max(1, tickets_ahead)
         self._random = random.Random(seed)
         self._current = self._random.randrange(len(self._entries))
-        self._stock = _Stock(self._clock, self._tickets_ahead, ticket_max_age_ms)
+        self._ticket_cache = _TicketCache(self._clock, self._tickets_ahead, ticket_max_age_ms)
         self._pool = urllib3.PoolManager(maxsize=CONNECTIONS_PER_ENTRY, retries=False)
 
     def run(self, tasks: list[TaskRequest], deadline_ms: float) -> JobResult:
-        """Run a job and wait for its whole answer.
-
-        :param tasks: the job's tasks
-        :param deadline_ms: time from now in which the answer is of use
-        :returns: the complete answer
-        :raises JobNotRun: if no task started, and none will
-        :raises JobMayHaveRun: if some tasks may have run
-        :raises JobRejected: if the request itself is wrong
+        """Run a job and wait for its results.
+
+        A job that did not run is retried under a new ticket where the entry names a delay
+        for it and the deadline allows it.
+
+        :param tasks: tasks of the job
+        :param deadline_ms: deadline in milliseconds from now
+        :returns: the results of all tasks
+        :raises JobNotRun: if no task was started, and none will be
+        :raises JobMayHaveRun: if tasks may have run
+        :raises JobRejected: if the request is invalid
         """
         deadline = self._clock.now() + deadline_ms
         backoff = _Backoff(self._clock, deadline, self._random)
         attempts = 0
         while True:
-            ticket = self._stock.take() or self._fetch_tickets(backoff, attempts)
+            ticket = self._ticket_cache.take() or self._fetch_tickets(backoff, attempts)
             submission = _Submission(self, ticket, tasks, backoff, attempts)
             try:
                 return submission.run()
             except JobNotRun as error:
                 attempts = error.attempts
-                if submission.unknown or error.retry_after_ms is None:
+                if submission.may_have_arrived or error.retry_after_ms is None:
                     raise
                 if not backoff.wait(error.retry_after_ms):
                     raise
 
     def state(self, ticket: str) -> dict[str, Any]:
-        """Return a job's state, or its kept answer.
+        """Return the state of a job, or its stored result if it has ended.
 
-        :raises JobNotRun: if its kept answer says so
-        :raises JobMayHaveRun: if its kept answer says so
-        :raises JobRejected: if the ticket is wrong
-        :raises LinkDown: if no entry answered in time
+        :raises JobNotRun: if the job ended without running
+        :raises JobMayHaveRun: if the job failed and tasks of it may have run
+        :raises JobRejected: if the ticket is invalid
+        :raises LinkDown: if no entry answered within the client's timeout
         """
         return self._ask("GET", f"/v1/jobs/{ticket}", ticket)
 
     def cancel(self, ticket: str) -> dict[str, Any]:
-        """Cancel a job and return its state; raises like :meth:`state`."""
+        """Cancel a job and return its state; raises the errors of :meth:`state`."""
         return self._ask("DELETE", f"/v1/jobs/{ticket}", ticket)
 
     def decisions(self, ticket: str) -> Any:
-        """Return every decision taken on a job; raises like :meth:`state`."""
+        """Return the dispatcher's decisions on a job; raises the errors of :meth:`state`."""
         return self._ask("GET", f"/v1/jobs/{ticket}/decisions", ticket)
 
     def close(self) -> None:
@@ -337,7 +353,7 @@
                 if not answer.passing:
                     raise answer.failure(ticket)
                 retry_after_ms = answer.retry_after_ms
-            except (_Unsent, _Lost):
+            except (_RequestNotSent, _ResponseLost):
                 pass
             self.change_entry()
             if not backoff.wait(retry_after_ms):
@@ -353,12 +369,12 @@
                 answer = self.send("POST", "/v1/tickets", body, backoff.left())
                 tickets = answer.document.get("tickets")
                 if answer.ok and tickets:
-                    self._stock.add(tickets[1:], fetched_ms)
+                    self._ticket_cache.add(tickets[1:], fetched_ms)
                     return tickets[0]
                 if not answer.ok and not answer.passing:
                     raise _refused_tickets(answer, attempts)
                 retry_after_ms = answer.retry_after_ms
-            except (_Unsent, _Lost):
+            except (_RequestNotSent, _ResponseLost):
                 pass
             self.change_entry()
             if not backoff.wait(retry_after_ms):
@@ -366,7 +382,7 @@
                 raise JobNotRun(detail, NO_ENTRY, "", attempts, retry_after_ms)
 
     def encode_job(self, tasks: list[TaskRequest], deadline_ms: float) -> bytes:
-        """Return the body of a job; every resubmission repeats it to the byte."""
+        """Return the request body of a job; every resubmission sends the same bytes."""
         return msgspec.json.encode(
             {
                 "service": self._service,
@@ -377,21 +393,21 @@
         )
 
     def keep_ticket(self, answer: _Answer) -> None:
-        """Put an answer's ``next_ticket``, if any, into the stock."""
+        """Cache the ``next_ticket`` of a response, if it has one, for a later job."""
         ticket = answer.document.get("next_ticket")
         if ticket:
-            self._stock.add([ticket], self._clock.now())
+            self._ticket_cache.add([ticket], self._clock.now())
 
     def change_entry(self) -> None:
-        """Send the next requests through another entry."""
+        """Switch to the next entry for the requests that follow."""
         self._current = (self._current + 1) % len(self._entries)
 
     def send(self, method: str, path: str, body: bytes | None, left_ms: float) -> _Answer:
-        """Send one request through the current entry, once.
+        """Send one request to the current entry, without retries.
 
-        :param left_ms: time that is left for the caller, in milliseconds
-        :raises _Unsent: if no connection was made
-        :raises _Lost: if the answer did not arrive whole
+        :param left_ms: time until the caller's deadline, in milliseconds
+        :raises _RequestNotSent: if no connection was established
+        :raises _ResponseLost: if no complete response arrived in time
         """
         timeout = max(MIN_TIMEOUT_MS, min(self._timeout_ms, left_ms))
         try:
@@ -407,16 +423,16 @@
                 redirect=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
-            raise _Unsent(str(error)) from error
+            raise _RequestNotSent(str(error)) from error
         except (HTTPError, OSError) as error:
-            raise _Lost(str(error)) from error
+            raise _ResponseLost(str(error)) from error
         return _read_answer(response)
 
 
 class _Submission:
-    """One job under one ticket, resubmitted until its outcome is known.
+    """A job under one ticket, resubmitted until its outcome is known or its deadline passes.
 
-    ``unknown`` says whether an attempt may have arrived without an answer.
+    :ivar may_have_arrived: whether an entry may have received an attempt without answering it
     """
 
     def __init__(
@@ -433,7 +449,7 @@
         self._backoff = backoff
         self._attempts = attempts
         self._body = client.encode_job(tasks, max(1.0, backoff.left()))
-        self.unknown = False
+        self.may_have_arrived = False
 
     def run(self) -> JobResult:
         while True:
@@ -445,11 +461,11 @@
                 if not answer.ok and not answer.passing:
                     raise answer.failure(self._ticket, self._attempts)
                 retry_after_ms = answer.retry_after_ms
-                self.unknown = True
-            except _Unsent:
+                self.may_have_arrived = True
+            except _RequestNotSent:
                 pass
-            except _Lost:
-                self.unknown = True
+            except _ResponseLost:
+                self.may_have_arrived = True
             self._client.change_entry()
             if not self._backoff.wait(retry_after_ms):
                 raise self._give_up(retry_after_ms)
@@ -473,7 +489,7 @@
         )
 
     def _give_up(self, retry_after_ms: float | None) -> JobError:
-        if self.unknown:
+        if self.may_have_arrived:
             detail = "no entry gave the job's answer in time"
             return JobMayHaveRun(detail, ANSWER_LOST, self._ticket, self._attempts, retry_after_ms)
         detail = "no entry could be reached"
@@ -495,7 +511,7 @@
         value = msgspec.json.decode(response.data)
     except msgspec.MsgspecError as error:
         if response.status < 400:
-            raise _Lost("the answer is no JSON") from error
+            raise _ResponseLost("the response body is not JSON") from error
         value = None
     document = value if isinstance(value, dict) else {}
     return _Answer(response.status, value, document, _read_retry_after(response, document))
--- a/geraniumspool/minion.py
+++ b/geraniumspool/minion.py
@@ -1,7 +1,8 @@
-"""How a runner reaches its minion: over HTTP, or a fake in memory.
+"""Clients through which a runner reaches its minion: over HTTP, or a fake in memory.
 
-Nothing is ever sent twice: retries and redirects are off, and every outcome
-but an answer or a refused connection is reported as unknown.
+A task is never sent twice: retries and redirects are disabled. If there is neither
+a response nor a refused connection, the client reports that it does not know
+whether the task ran.
 """
 
 import enum
@@ -30,9 +31,9 @@
 
 
 class TaskPayload(TypedDict, total=False):
-    """What the fake and the stand-in read from a task's payload.
+    """Payload of a task for the fake and the stand-in minion.
 
-    Keys: ``run_ms`` is the run time in milliseconds, ``value`` is returned.
+    Keys: ``run_ms`` is the run time in milliseconds, ``value`` is echoed in the result.
     """
 
     run_ms: float
@@ -40,7 +41,11 @@
 
 
 class TaskResult(TypedDict):
-    """What the fake and the stand-in answer."""
+    """Result of a task from the fake and the stand-in minion.
+
+    Keys: ``value`` is that of the payload, ``minion`` the minion's base URL, ``task`` the
+    task's id.
+    """
 
     value: Any
     minion: str
@@ -48,10 +53,10 @@
 
 
 def parse_payload(payload: bytes) -> TaskPayload:
-    """Return the payload's known keys, or none where it has another shape.
+    """Decode a task's payload; JSON that does not fit :class:`TaskPayload` counts as empty.
 
-    :param payload: the task's payload as JSON text
-    :raises TaskFailed: if it is not JSON
+    :param payload: payload as JSON text
+    :raises TaskFailed: if it is not valid JSON
     """
     try:
         return msgspec.json.decode(payload, type=TaskPayload)
@@ -62,7 +67,7 @@
 
 
 class HttpMinionClient:
-    """Reaches minions over HTTP with connections kept alive."""
+    """Sends tasks to minions over HTTP, on persistent connections."""
 
     def __init__(
         self,
@@ -70,11 +75,11 @@
         connections: int = DEFAULT_CONNECTIONS,
         clock: Clock | None = None,
     ):
-        """Start without connections.
+        """Create a client without open connections.
 
-        :param counters: where outcomes are counted
-        :param connections: most connections to one minion, whatever it announces
-        :param clock: source of time, or None for the machine's
+        :param counters: counters for the outcomes of requests
+        :param connections: most connections to one minion, even if it announces more
+        :param clock: source of time, or None for the system clock
         """
         self._counters = counters
         self._connections = connections
@@ -84,13 +89,13 @@
     def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
         """Run one task and return its result as JSON text.
 
-        :param minion: where to run it
-        :param task_id: identity of the task, sent along
-        :param payload: JSON text to post
-        :param limit_ms: longest wait for the answer in milliseconds
-        :raises NotStarted: if the connection was refused; nothing started
-        :raises TaskFailed: if the minion answered with an error
-        :raises TaskUnknown: if the answer was lost or late
+        :param minion: minion that is to run the task
+        :param task_id: id of the task, sent in the header ``Task-Id``
+        :param payload: JSON text to send as the request body
+        :param limit_ms: timeout of the response in milliseconds
+        :raises NotStarted: if the connection was refused, so the task did not start
+        :raises TaskFailed: if the minion answered with an error or without JSON
+        :raises TaskUnknown: if no complete response came in time; the task may have run
         """
         try:
             result = self._post(minion, task_id, payload, limit_ms)
@@ -101,15 +106,15 @@
         return result
 
     def stop(self, minion: Announcement, task_id: str) -> bool:
-        """Ask the minion to stop a task; never raises.
+        """Ask the minion to stop a task; network errors are not raised.
 
-        :param minion: where the task runs
-        :param task_id: identity of the task
-        :returns: whether the minion says it stopped it
+        :param minion: minion that runs the task
+        :param task_id: id of the task
+        :returns: whether the minion confirmed that it stopped the task
         """
         try:
             path = f"/tasks/{quote(task_id, safe='')}"
-            response = self._endpoint(minion).request("DELETE", path, STOP_LIMIT_MS)
+            response = self._get_endpoint(minion).request("DELETE", path, STOP_LIMIT_MS)
             stopped = response.status in (200, 204)
         except (HTTPError, OSError, ValueError):
             stopped = False
@@ -117,7 +122,7 @@
         return stopped
 
     def close(self) -> None:
-        """Close idle connections; tasks in flight are not cut off."""
+        """Close idle connections; requests in flight are not aborted."""
         for endpoint in self._endpoints.values():
             endpoint.close()
         self._endpoints.clear()
@@ -125,7 +130,7 @@
     def _post(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
         headers = {"Content-Type": "application/json", "Task-Id": task_id}
         try:
-            endpoint = self._endpoint(minion)
+            endpoint = self._get_endpoint(minion)
             response = endpoint.request("POST", "/tasks", limit_ms, body=payload, headers=headers)
         except NewConnectionError as error:
             if isinstance(error.__cause__, ConnectionRefusedError):
@@ -133,29 +138,30 @@
             raise TaskUnknown(str(error)) from error
         except (HTTPError, OSError) as error:
             raise TaskUnknown(f"{type(error).__name__}: {error}") from error
-        return _result_of(response)
+        return _decode_result(response)
 
-    def _endpoint(self, minion: Announcement) -> Endpoint:
+    def _get_endpoint(self, minion: Announcement) -> Endpoint:
         limit = max(1, min(self._connections, minion.connections))
-        known = self._endpoints.get(minion.url)
-        # A changed limit waits until nothing is in flight, so that old and new never add up.
-        if known and (known.limit == limit or known.in_flight):
-            return known
-        if known:
-            known.close()
+        existing = self._endpoints.get(minion.url)
+        # While requests are in flight, the endpoint with the old connection limit stays in use:
+        # connections of both endpoints together could exceed the new limit.
+        if existing and (existing.limit == limit or existing.in_flight):
+            return existing
+        if existing:
+            existing.close()
         elif len(self._endpoints) >= ENDPOINTS_KEPT:
-            self._forget_idle()
+            self._close_idle_endpoints()
         endpoint = Endpoint(minion.url, limit, self._clock)
         self._endpoints[minion.url] = endpoint
         return endpoint
 
-    def _forget_idle(self) -> None:
+    def _close_idle_endpoints(self) -> None:
         idle = [url for url, endpoint in self._endpoints.items() if not endpoint.in_flight]
         for url in idle:
             self._endpoints.pop(url).close()
 
 
-def _result_of(response: urllib3.BaseHTTPResponse) -> bytes:
+def _decode_result(response: urllib3.BaseHTTPResponse) -> bytes:
     body = response.data
     if response.status != 200:
         text = body[:DETAIL_BYTES].decode(errors="replace")
@@ -168,7 +174,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong with a task of the fake."""
+    """Ways in which the fake minion makes a task fail."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -177,10 +183,10 @@
 
 
 class Fault(NamedTuple):
-    """Scripted behaviour of the fake.
+    """Fault that the fake minion injects.
 
-    :param kind: what goes wrong
-    :param slow_factor: factor on the run time
+    :param kind: how the task fails, if at all
+    :param slow_factor: factor by which run times are multiplied
     """
 
     kind: FaultKind = FaultKind.NONE
@@ -188,7 +194,7 @@
 
 
 class _Run:
-    """One started task of the fake."""
+    """A running task of the fake minion."""
 
     def __init__(self, task_id: str):
         self.task_id = task_id
@@ -196,13 +202,17 @@
 
 
 class MemoryMinionClient:
-    """A fake minion that runs tasks by waiting on the clock."""
+    """Fake client and minion in one: a task only waits for its run time on the clock.
+
+    :ivar starts: number of starts by task id
+    :ivar peak_running: most tasks that ran at the same time
+    """
 
     def __init__(self, clock: Clock, default_run_ms: float = DEFAULT_RUN_MS):
-        """Start without faults.
+        """Create a fake that injects no faults yet.
 
         :param clock: source of time
-        :param default_run_ms: run time of payloads that name none, in milliseconds
+        :param default_run_ms: run time of tasks whose payload has none, in milliseconds
         """
         self.starts: Counter[str] = Counter()
         self.peak_running = 0
@@ -214,14 +224,14 @@
 
     @property
     def running(self) -> int:
-        """Tasks running now."""
+        """Number of tasks that are running."""
         return len(self._runs)
 
     def script(self, fault: Fault, task_id: str | None = None) -> None:
-        """Set the behaviour of one task, or of all that have none of their own.
+        """Set the fault of one task, or the default for tasks without a fault of their own.
 
-        :param fault: the behaviour from the next start on
-        :param task_id: the task, or None for all others
+        :param fault: fault to inject from the next start on
+        :param task_id: id of the task, or None to set the default
         """
         if task_id is None:
             self._default_fault = fault
@@ -229,7 +239,7 @@
             self._faults[task_id] = fault
 
     def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
-        """Run one task; see :meth:`HttpMinionClient.run`."""
+        """Run one task; parameters and errors as for :meth:`HttpMinionClient.run`."""
         fault = self._faults.get(task_id, self._default_fault)
         if fault.kind is FaultKind.REFUSE:
             raise NotStarted("connection refused")
@@ -247,7 +257,7 @@
         return msgspec.json.encode(result)
 
     def stop(self, minion: Announcement, task_id: str) -> bool:
-        """Stop a running task; see :meth:`HttpMinionClient.stop`."""
+        """Stop a running task and return whether there was one."""
         stopped = [run for run in self._runs if run.task_id == task_id]
         for run in stopped:
             self._runs.remove(run)
--- a/geraniumspool/standin_minion.py
+++ b/geraniumspool/standin_minion.py
@@ -1,4 +1,4 @@
-"""A minion for tests and trials, with faults that are switched on over HTTP."""
+"""Stand-in for a minion, for tests and trials, with fault injection over HTTP."""
 
 import contextlib
 import logging
@@ -34,13 +34,14 @@
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
-# epoll waits in whole milliseconds, rounded up, so timers fire up to this much
-# late; the rest is waited for by yielding, so that no task ends early either.
+# epoll rounds timeouts up to whole milliseconds, so a timer may fire this much late. Timers
+# are set this much earlier, and the remaining time is spent yielding in a loop, so that a task
+# ends neither late nor early.
 TIMER_LATENESS_MS = 1.2
 
 
 class Faults(NamedTuple):
-    """Faults in force; see :class:`FaultsDocument` for the keys."""
+    """Faults currently injected; :class:`FaultsDocument` describes the fields."""
 
     fail_share: float = 0.0
     fail_all: bool = False
@@ -51,13 +52,14 @@
 
 
 class FaultsDocument(TypedDict, total=False):
-    """Body of ``PUT /faults``; a key that is left out is off.
-
-    Keys: ``fail_share`` is the share of tasks that fail, ``fail_all`` fails
-    every one, ``fail_fast`` lets failing tasks fail at once (and, with neither
-    of the others, fails every one), ``slow_factor`` is a factor on run times,
-    ``freeze`` accepts and answers nothing until it is off again, and
-    ``early_close`` is the number of next tasks that run but get no answer.
+    """Request body of ``PUT /faults``; a missing key switches that fault off.
+
+    Keys: ``fail_share`` is the share of tasks that fail, from 0 to 1; ``fail_all``
+    makes all tasks fail; ``fail_fast`` makes failing tasks fail without waiting for
+    their run time, and all tasks fail if it is given without ``fail_share``;
+    ``slow_factor`` multiplies run times; ``freeze`` holds all requests back, without
+    starting or answering any, until it is switched off; ``early_close`` is the number
+    of following tasks that run but whose connection is closed without a response.
     """
 
     fail_share: Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -69,7 +71,12 @@
 
 
 class StartsReport(TypedDict):
-    """Body of the answer to ``GET /starts``."""
+    """Response body of ``GET /starts``.
+
+    Keys: ``starts`` is the number of all starts, ``tasks`` that of different task ids,
+    ``started_more_than_once`` that of task ids with more than one start, ``running`` and
+    ``peak_running`` the tasks at the same time, now and at most.
+    """
 
     starts: int
     tasks: int
@@ -79,7 +86,15 @@
 
 
 class StandinMinion:
-    """A minion that sleeps instead of working, and counts every start."""
+    """Minion whose tasks sleep for their run time; it counts the starts of each task.
+
+    :ivar starts: number of starts by task id
+    :ivar running: number of tasks that are running
+    :ivar peak_running: most tasks that ran at the same time
+    :ivar peak_connections: most connections that were served at the same time
+    :ivar url: base URL, empty until :meth:`start`
+    :ivar faults: faults currently injected
+    """
 
     def __init__(
         self,
@@ -91,15 +106,15 @@
         seed: int = 0,
         announce_period_ms: float = ANNOUNCE_PERIOD_MS,
     ):
-        """Record what to announce; nothing is started yet.
+        """Create a minion that is not started yet.
 
         :param service: service whose tasks it runs
-        :param slots: tasks it announces to run at once
-        :param connections: connections it announces to accept
+        :param slots: number of concurrent tasks to announce
+        :param connections: number of concurrent connections to announce
         :param clock: source of time
-        :param max_size: largest task size it announces, 0 for any
-        :param seed: seed of the faults' randomness
-        :param announce_period_ms: time between two announcements in milliseconds
+        :param max_size: largest task size to announce, 0 for no limit
+        :param seed: seed of the random choice of failing tasks
+        :param announce_period_ms: interval between announcements in milliseconds
         """
         self.starts: Counter[str] = Counter()
         self.running = 0
@@ -115,7 +130,7 @@
         self._random = random.Random(seed)
         self._announce_period_ms = announce_period_ms
         self._runs: dict[str, list[Event]] = {}
-        self._thawed: Event | None = None
+        self._unfrozen: Event | None = None
         self._pool = eventlet.GreenPool(POOL_SIZE)
         self._listener = None
         self._server: GreenThread | None = None
@@ -123,15 +138,15 @@
 
     @property
     def announcement(self) -> Announcement:
-        """What it says of itself."""
+        """The announcement that registers this minion with an agent."""
         return Announcement(self._service, self.url, self._slots, self._connections, self._max_size)
 
     def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen and serve.
+        """Start to listen and serve requests.
 
         :param host: address to listen on
-        :param port: port to listen on, 0 for any that is free
-        :returns: base address that tasks are posted to
+        :param port: port to listen on, 0 for any free one
+        :returns: base URL of the server
         """
         self._listener = eventlet.listen((host, port), backlog=LISTEN_BACKLOG)
         self.url = f"http://{host}:{self._listener.getsockname()[1]}"
@@ -146,7 +161,7 @@
         return self.url
 
     def stop(self) -> None:
-        """End at once: tasks in flight are cut off, nothing is said to the agent."""
+        """Stop at once, as in a crash: running tasks are killed and the agent is not told."""
         if self._announcer:
             self._announcer.stop()
         if self._server is None:
@@ -160,9 +175,9 @@
         self._server = None
 
     def announce(self, agent_url: str) -> None:
-        """Announce itself to an agent, again and again until it leaves.
+        """Register with an agent and repeat the announcement periodically until :meth:`leave`.
 
-        :param agent_url: base address of the agent
+        :param agent_url: base URL of the agent's listener for minions
         """
         if self._announcer:
             self._announcer.stop()
@@ -172,7 +187,7 @@
         self._announcer.start()
 
     def leave(self) -> bool:
-        """Take leave of the agent; tasks in flight and new ones are still served.
+        """Deregister from the agent; the server goes on running tasks.
 
         :returns: whether the agent confirmed it
         """
@@ -181,19 +196,19 @@
         return self._announcer.leave()
 
     def apply(self, faults: Faults) -> None:
-        """Put faults in force in place of all earlier ones.
+        """Replace the injected faults.
 
-        :param faults: the faults from now on
+        :param faults: faults to inject from now on
         """
         self.faults = faults
-        if faults.freeze and self._thawed is None:
-            self._thawed = Event()
-        elif not faults.freeze and self._thawed is not None:
-            self._thawed.send()
-            self._thawed = None
+        if faults.freeze and self._unfrozen is None:
+            self._unfrozen = Event()
+        elif not faults.freeze and self._unfrozen is not None:
+            self._unfrozen.send()
+            self._unfrozen = None
 
     def report(self) -> StartsReport:
-        """Return the counts of starts so far."""
+        """Return the counts of starts and running tasks."""
         repeated = sum(1 for count in self.starts.values() if count > 1)
         return StartsReport(
             starts=self.starts.total(),
@@ -204,32 +219,36 @@
         )
 
     def __call__(self, environ: dict, start_response: StartResponse) -> list[bytes]:
-        """Answer one request, as a WSGI application."""
+        """Serve one request, as a WSGI application.
+
+        :param environ: WSGI environment
+        :param start_response: WSGI callback for status and headers
+        """
         self.peak_connections = max(self.peak_connections, self._pool.running())
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
         if path == "/tasks" and method == "POST":
             return self._run_task(environ, start_response)
         if path.startswith("/tasks/") and method == "DELETE":
-            return self._stop_task(_last_part(environ), start_response)
+            return self._stop_task(_last_path_segment(environ), start_response)
         if path == "/faults" and method == "PUT":
             return self._put_faults(environ, start_response)
         if path == "/starts" and method == "GET":
-            return _answer(start_response, "200 OK", self.report())
+            return _respond(start_response, "200 OK", self.report())
         if path.startswith("/starts/") and method == "GET":
-            count = self.starts.get(_last_part(environ), 0)
-            return _answer(start_response, "200 OK", {"starts": count})
-        return _refuse(start_response, "404 Not Found", "not_found")
+            count = self.starts.get(_last_path_segment(environ), 0)
+            return _respond(start_response, "200 OK", {"starts": count})
+        return _respond_error(start_response, "404 Not Found", "not_found")
 
     def _run_task(self, environ: dict, start_response: StartResponse) -> list[bytes]:
         task_id = environ.get("HTTP_TASK_ID", "")
         try:
             payload = parse_payload(environ["wsgi.input"].read())
         except TaskFailed:
-            return _refuse(start_response, "400 Bad Request", "payload_malformed")
+            return _respond_error(start_response, "400 Bad Request", "payload_malformed")
         self._wait_while_frozen()
-        early_close = self._draw_early_close()
-        failing = self._draw_failure()
+        early_close = self._consume_early_close()
+        failing = self._should_fail()
         run_ms = payload.get("run_ms", DEFAULT_RUN_MS) * self.faults.slow_factor
         if failing and self.faults.fail_fast:
             run_ms = 0.0
@@ -239,11 +258,11 @@
             wsgi.WSGI_LOCAL.already_handled = True
             return []
         if stopped:
-            return _refuse(start_response, "409 Conflict", "stopped")
+            return _respond_error(start_response, "409 Conflict", "stopped")
         if failing:
-            return _refuse(start_response, "500 Internal Server Error", "fault")
+            return _respond_error(start_response, "500 Internal Server Error", "fault")
         result = TaskResult(value=payload.get("value"), minion=self.url, task=task_id)
-        return _answer(start_response, "200 OK", result)
+        return _respond(start_response, "200 OK", result)
 
     def _sleep_as_task(self, task_id: str, run_ms: float) -> bool:
         done = Event()
@@ -253,15 +272,19 @@
         runs = self._runs.setdefault(task_id, [])
         runs.append(done)
         try:
-            return self._wait_until(self._clock.now() + run_ms, done)
+            return self._wait_for_run_time(self._clock.now() + run_ms, done)
         finally:
             self.running -= 1
             runs.remove(done)
             if not runs:
                 self._runs.pop(task_id, None)
 
-    def _wait_until(self, due_ms: float, done: Event) -> bool:
-        """Wait until a task's time is over; return whether it was stopped before."""
+    def _wait_for_run_time(self, due_ms: float, done: Event) -> bool:
+        """Wait until a task's run time has passed; return whether it was stopped before.
+
+        :param due_ms: end of the run time on the clock, in milliseconds
+        :param done: event that is sent when the task is stopped
+        """
         left_ms = due_ms - self._clock.now() - TIMER_LATENESS_MS
         if left_ms > 0:
             self._clock.wait(done, left_ms)
@@ -273,7 +296,7 @@
         self._wait_while_frozen()
         runs = self._runs.get(task_id, [])
         if not runs:
-            return _refuse(start_response, "404 Not Found", "not_running")
+            return _respond_error(start_response, "404 Not Found", "not_running")
         for done in runs:
             if not done.ready():
                 done.send()
@@ -285,24 +308,26 @@
             document = msgspec.json.decode(environ["wsgi.input"].read(), type=dict[str, Any])
             unknown = sorted(set(document) - set(Faults._fields))
             if unknown:
-                return _refuse(start_response, "400 Bad Request", f"unknown: {', '.join(unknown)}")
+                return _respond_error(
+                    start_response, "400 Bad Request", f"unknown: {', '.join(unknown)}"
+                )
             faults = Faults(**msgspec.convert(document, FaultsDocument))
         except msgspec.MsgspecError as error:
-            return _refuse(start_response, "400 Bad Request", str(error))
+            return _respond_error(start_response, "400 Bad Request", str(error))
         self.apply(faults)
-        return _answer(start_response, "200 OK", faults._asdict())
+        return _respond(start_response, "200 OK", faults._asdict())
 
     def _wait_while_frozen(self) -> None:
-        while self._thawed is not None:
-            self._thawed.wait()
+        while self._unfrozen is not None:
+            self._unfrozen.wait()
 
-    def _draw_early_close(self) -> bool:
+    def _consume_early_close(self) -> bool:
         left = self.faults.early_close
         if left:
             self.faults = self.faults._replace(early_close=left - 1)
         return left > 0
 
-    def _draw_failure(self) -> bool:
+    def _should_fail(self) -> bool:
         faults = self.faults
         if faults.fail_all or (faults.fail_fast and not faults.fail_share):
             return True
@@ -310,7 +335,7 @@
 
 
 class _Announcer:
-    """Tells one agent of a minion until it leaves."""
+    """Registers a minion with an agent periodically, and deregisters it."""
 
     def __init__(self, agent_url: str, announcement: Announcement, period_ms: float, clock: Clock):
         self._url = agent_url.rstrip("/") + AGENT_PATH
@@ -320,31 +345,32 @@
         self._http = urllib3.PoolManager(
             retries=False, timeout=urllib3.Timeout(total=AGENT_LIMIT_MS / MS_PER_SECOND)
         )
-        # Held while a request is in flight, so that no announcement overtakes the leave.
-        self._sending = Semaphore(1)
-        self._left = False
+        # Held while a request is in flight, so that a delayed announcement cannot reach the agent
+        # after the deregistration and register the minion again.
+        self._send_lock = Semaphore(1)
+        self._has_left = False
         self._task: GreenThread | None = None
 
     def start(self) -> None:
-        self._task = eventlet.spawn(self._repeat)
+        self._task = eventlet.spawn(self._announce_periodically)
 
     def stop(self) -> None:
-        self._left = True
+        self._has_left = True
         if self._task:
             self._task.kill()
         self._http.clear()
 
     def leave(self) -> bool:
-        self._left = True
-        with self._sending:
+        self._has_left = True
+        with self._send_lock:
             left = self._send("DELETE", None)
         self.stop()
         return left
 
-    def _repeat(self) -> None:
-        while not self._left:
-            with self._sending:
-                if not self._left:
+    def _announce_periodically(self) -> None:
+        while not self._has_left:
+            with self._send_lock:
+                if not self._has_left:
                     self._send("PUT", self._body)
             self._clock.sleep(self._period_ms)
 
@@ -353,19 +379,19 @@
         try:
             response = self._http.request(method, self._url, body=body, headers=headers)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            log.info("agent not reached", extra={"url": self._url, "error": str(error)})
+            log.info("agent unreachable", extra={"url": self._url, "error": str(error)})
             return False
         return 200 <= response.status < 300
 
 
-def _last_part(environ: dict) -> str:
+def _last_path_segment(environ: dict) -> str:
     return unquote(environ["RAW_PATH_INFO"].rpartition("/")[2])
 
 
-def _answer(start_response: StartResponse, status: str, document: Any) -> list[bytes]:
+def _respond(start_response: StartResponse, status: str, document: Any) -> list[bytes]:
     start_response(status, list(JSON_HEADERS))
     return [msgspec.json.encode(document)]
 
 
-def _refuse(start_response: StartResponse, status: str, code: str) -> list[bytes]:
-    return _answer(start_response, status, {"code": code})
+def _respond_error(start_response: StartResponse, status: str, code: str) -> list[bytes]:
+    return _respond(start_response, status, {"code": code})
--- a/geraniumspool/standin_store.py
+++ b/geraniumspool/standin_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's store: an etcd JSON gateway with faults for tests."""
+"""Stand-in for the platform's store: a subset of etcd's JSON gateway, with fault injection."""
 
 import math
 import socket
@@ -65,17 +65,17 @@
     UNAVAILABLE: "503 Service Unavailable",
 }
 _OK = "200 OK"
-_HEADERS = [("Content-Type", "application/json")]
+_JSON_HEADERS = [("Content-Type", "application/json")]
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """Faults to switch; those left out stay as they are.
+    """Request body of ``PUT /faults``; a fault that is left out stays as it is.
 
-    :ivar down: refuse calls with 503 and break open watches
+    :ivar down: whether calls fail with status 503; switching it on also ends open watches
     :ivar slow_ms: delay of every call in milliseconds
-    :ivar lose_answers: how many of the next writes take effect without an answer
-    :ivar refuse_leases: refuse to grant and renew leases
-    :ivar lapse_leases: let all leases lapse now
+    :ivar lose_answers: number of following writes that are applied but not answered
+    :ivar refuse_leases: whether granting and renewing leases fails
+    :ivar lapse_leases: expire all leases now
     """
 
     down: bool | None = None
@@ -91,16 +91,20 @@
 
 
 class StandinStore:
-    """WSGI application that speaks the gateway's subset, backed by memory.
+    """WSGI application with a subset of etcd's JSON gateway, on top of a store in memory.
 
-    :ivar store: the store behind it, whose faults may also be set directly
+    It supports lookups of a key or a prefix, writes of one key on condition of its
+    revision, leases, and watches of a prefix.
+
+    :ivar store: the underlying store; tests may set its faults directly
     """
 
     def __init__(self, clock: Clock, history_limit: int = HISTORY_LIMIT):
-        """Start with an empty store that is not served yet.
+        """Create an empty store; :meth:`start` begins to serve it.
 
-        :param clock: what leases lapse by and delays are measured on
-        :param history_limit: changes kept for watches from older revisions
+        :param clock: source of time for the expiry of leases and for delays
+        :param history_limit: number of changes kept for watches that start at an older
+            revision
         """
         self.store = MemoryStore(clock, history_limit=history_limit)
         self._listener: socket.socket | None = None
@@ -112,15 +116,16 @@
             ("POST", GRANT_PATH): _Route(Lease, self._grant),
             ("POST", KEEPALIVE_PATH): _Route(Lease, self._keep_alive),
             ("POST", WATCH_PATH): _Route(WatchRequest, self._watch),
-            ("PUT", FAULTS_PATH): _Route(Faults, self._switch),
-            ("GET", CALLS_PATH): _Route(dict, self._count),
+            ("PUT", FAULTS_PATH): _Route(Faults, self._set_faults),
+            ("GET", CALLS_PATH): _Route(dict, self._count_calls),
         }
 
     def start(self, host: str, port: int = 0) -> tuple[str, int]:
-        """Serve on an address.
+        """Start to listen and serve requests.
 
-        :param port: port to bind, or 0 for any free one
-        :returns: the host and port that were bound
+        :param host: address to listen on
+        :param port: port to listen on, or 0 for any free one
+        :returns: the host and port in use
         """
         self._listener = eventlet.listen((host, port))
         bound = self._listener.getsockname()[:2]
@@ -136,7 +141,7 @@
         return bound
 
     def stop(self) -> None:
-        """Stop serving and close every connection; the keys are kept."""
+        """Stop serving and close all connections; the store keeps its data."""
         if self._server is None:
             return
         self._server.kill()
@@ -147,22 +152,22 @@
         self._server = None
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
-        """Answer one request.
+        """Serve one request, as a WSGI application.
 
-        :param environ: the WSGI environment
-        :param start_response: the WSGI callback for status and headers
+        :param environ: WSGI environment
+        :param start_response: WSGI callback for status and headers
         """
         try:
             reply = self._answer(environ)
         except StoreUnknown:
-            return _hang_up(environ)
+            return _drop_connection(environ)
         except DispatchError as error:
             code = _GATEWAY_CODES[type(error)]
-            start_response(_STATUS_LINES[code], list(_HEADERS))
+            start_response(_STATUS_LINES[code], list(_JSON_HEADERS))
             return [msgspec.json.encode(ErrorReply(code, error.detail))]
-        start_response(_OK, list(_HEADERS))
+        start_response(_OK, list(_JSON_HEADERS))
         if isinstance(reply, Iterator):
-            return _stream(reply, environ)
+            return _encode_lines(reply, environ)
         return [msgspec.json.encode(reply)]
 
     def _answer(self, environ: dict) -> Any:
@@ -174,11 +179,11 @@
         try:
             return route.handle(msgspec.json.decode(body or b"{}", type=route.request_type))
         except (msgspec.DecodeError, ValueError) as error:
-            raise _invalid(path, str(error)) from error
+            raise _invalid_request(path, str(error)) from error
 
     def _range(self, request: RangeRequest) -> RangeReply:
         if request.range_end:
-            snapshot = self.store.list(_prefix(request, RANGE_PATH))
+            snapshot = self.store.list(_parse_prefix(request, RANGE_PATH))
             pairs = [_wire_pair(pair) for pair in snapshot.pairs]
             return RangeReply(_header(snapshot.revision), pairs)
         pair = self.store.get(request.key.decode())
@@ -189,21 +194,21 @@
         if outcome.swapped:
             return TxnReply(_header(outcome.revision or self.store.revision), True)
         pairs = [_wire_pair(outcome.current)] if outcome.current else []
-        found = OperationReply(RangeReply(self._header(), pairs))
-        return TxnReply(self._header(), False, [found])
+        current = OperationReply(RangeReply(self._header(), pairs))
+        return TxnReply(self._header(), False, [current])
 
     def _swap(self, request: TxnRequest) -> SwapOutcome:
         if len(request.compare) != 1 or len(request.success) != 1:
-            raise _invalid(TXN_PATH, "expected one comparison and one operation")
+            raise _invalid_request(TXN_PATH, "expected one comparison and one operation")
         compare, operation = request.compare[0], request.success[0]
         if (compare.target, compare.result) != (COMPARE_REVISION, "EQUAL"):
-            raise _invalid(TXN_PATH, "expected a comparison of revisions for equality")
-        step = operation.request_put or operation.request_delete_range
-        if step is None or step.key != compare.key:
-            raise _invalid(TXN_PATH, "expected a write of the key that is compared")
+            raise _invalid_request(TXN_PATH, "expected a comparison of revisions for equality")
+        write = operation.request_put or operation.request_delete_range
+        if write is None or write.key != compare.key:
+            raise _invalid_request(TXN_PATH, "expected a write of the key that is compared")
         key, expected = compare.key.decode(), int(compare.mod_revision)
         if operation.request_put:
-            return self.store.swap(key, expected, step.value, int(step.lease))
+            return self.store.swap(key, expected, write.value, int(write.lease))
         return self.store.delete(key, expected)
 
     def _grant(self, request: Lease) -> Lease:
@@ -211,7 +216,7 @@
         return Lease(str(lease), str(request.ttl))
 
     def _keep_alive(self, request: Lease) -> KeepAliveLine:
-        # A lease that lapsed is reported by a reply without a time to live.
+        # etcd reports an expired lease by a reply without a TTL.
         try:
             ttl_ms = self.store.keep_alive(int(request.id))
         except LeaseExpired:
@@ -220,26 +225,26 @@
 
     def _watch(self, request: WatchRequest) -> Iterator[WatchReply]:
         create = request.create_request
-        prefix = _prefix(RangeRequest(create.key, create.range_end), WATCH_PATH)
+        prefix = _parse_prefix(RangeRequest(create.key, create.range_end), WATCH_PATH)
         try:
             changes = self.store.watch(prefix, int(create.start_revision) - 1)
         except CompactedRevision:
-            # etcd names the oldest revision that a watch may start at.
+            # etcd returns the oldest revision at which a watch may start.
             oldest = str(self.store.compacted_revision + 1)
             refusal = WatchReply(self._header(), canceled=True, compact_revision=oldest)
-            return iter([self._created(), refusal])
-        return self._follow(changes)
+            return iter([self._watch_created(), refusal])
+        return self._stream_changes(changes)
 
-    def _follow(self, changes: Iterator[Change | None]) -> Iterator[WatchReply]:
-        yield self._created()
+    def _stream_changes(self, changes: Iterator[Change | None]) -> Iterator[WatchReply]:
+        yield self._watch_created()
         for change in changes:
-            events = [_event(change)] if change else []
+            events = [_to_watch_event(change)] if change else []
             yield WatchReply(self._header(), events=events)
 
-    def _created(self) -> WatchReply:
+    def _watch_created(self) -> WatchReply:
         return WatchReply(self._header(), created=True)
 
-    def _switch(self, faults: Faults) -> Faults:
+    def _set_faults(self, faults: Faults) -> Faults:
         for name in ("down", "slow_ms", "lose_answers", "refuse_leases"):
             value = getattr(faults, name)
             if value is not None:
@@ -248,7 +253,7 @@
             self.store.lapse_leases()
         return faults
 
-    def _count(self, _request: dict) -> dict[str, int]:
+    def _count_calls(self, _request: dict) -> dict[str, int]:
         return dict(self.store.calls)
 
     def _header(self) -> Header:
@@ -263,34 +268,34 @@
     return WirePair(pair.key.encode(), pair.value, str(pair.revision))
 
 
-def _event(change: Change) -> WatchEvent:
+def _to_watch_event(change: Change) -> WatchEvent:
     pair = WirePair(change.key.encode(), change.value or b"", str(change.revision))
     if change.value is None:
         return WatchEvent(pair, DELETE_EVENT)
     return WatchEvent(pair)
 
 
-def _prefix(span: RangeRequest, path: str) -> str:
-    prefix = "" if span.key == b"\0" else span.key.decode()
-    if span != prefix_range(prefix):
-        raise _invalid(path, "expected the range of a prefix")
+def _parse_prefix(key_range: RangeRequest, path: str) -> str:
+    prefix = "" if key_range.key == b"\0" else key_range.key.decode()
+    if key_range != prefix_range(prefix):
+        raise _invalid_request(path, "expected the range of a prefix")
     return prefix
 
 
-def _invalid(path: str, text: str) -> InvalidInput:
+def _invalid_request(path: str, text: str) -> InvalidInput:
     return InvalidInput([Finding("request", 0, path, text)])
 
 
-def _stream(replies: Iterator[WatchReply], environ: dict) -> Iterator[bytes]:
+def _encode_lines(replies: Iterator[WatchReply], environ: dict) -> Iterator[bytes]:
     try:
         for reply in replies:
             yield msgspec.json.encode(WatchLine(reply)) + b"\n"
     except StoreUnavailable:
-        _hang_up(environ)
+        _drop_connection(environ)
 
 
-def _hang_up(environ: dict) -> list[bytes]:
-    """Close the connection without an answer."""
+def _drop_connection(environ: dict) -> list[bytes]:
+    """Close the connection without a response."""
     eventlet.wsgi.WSGI_LOCAL.already_handled = True
     eventlet.greenio.shutdown_safe(environ["wsgi.input"].get_socket())
     return []
--- a/geraniumspool/standins.py
+++ b/geraniumspool/standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform's store and of a minion as programs."""
+"""Applications that run the stand-ins for the store and for a minion as programs."""
 
 from geraniumspool.clock import SystemClock
 from geraniumspool.contracts import Clock
@@ -10,34 +10,38 @@
 
 
 class StandinStoreApplication:
-    """The stand-in of the platform's store as a program."""
+    """Runs the stand-in for the platform's store."""
 
     def __init__(self, host: str, port: int):
-        """Record where to listen; port 0 takes any."""
+        """Create the store; nothing is started yet.
+
+        :param host: address to listen on
+        :param port: port to listen on, 0 for any free one
+        """
         self._listen = (host, port)
         self._store = StandinStore(SystemClock())
         self._address = ""
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         host, port = self._store.start(*self._listen)
         self._address = f"http://{host}:{port}"
 
     def ready_line(self) -> dict[str, str]:
-        """Return the address in use."""
+        """Return the line printed once the program is ready: its kind and base URL."""
         return {"ready": "standin store", "store": self._address}
 
     def drain(self) -> bool:
-        """Do nothing: a store has no work to finish."""
+        """Return at once: a store has no work to finish."""
         return True
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop at once and close all connections."""
         self._store.stop()
 
 
 class StandinMinionApplication:
-    """The stand-in of a minion as a program."""
+    """Runs the stand-in for a minion."""
 
     def __init__(
         self,
@@ -49,7 +53,16 @@
         port: int,
         clock: Clock | None = None,
     ):
-        """Record where to listen and which agent to announce to."""
+        """Create the minion; nothing is started yet.
+
+        :param agent: base URL of the agent's listener for minions
+        :param service: service whose tasks it runs
+        :param slots: number of concurrent tasks to announce
+        :param connections: number of concurrent connections to announce
+        :param host: address to listen on
+        :param port: port to listen on, 0 for any free one
+        :param clock: source of time, or None for the system clock
+        """
         self._agent = agent
         self._listen = (host, port)
         self._clock = clock or SystemClock()
@@ -57,16 +70,19 @@
         self._url = ""
 
     def start(self) -> None:
-        """Begin to listen, then announce to the agent."""
+        """Start to listen, then register with the agent."""
         self._url = self._minion.start(*self._listen)
         self._minion.announce(self._agent)
 
     def ready_line(self) -> dict[str, str]:
-        """Return the address in use."""
+        """Return the line printed once the program is ready: its kind and base URL."""
         return {"ready": "standin minion", "minion": self._url}
 
     def drain(self) -> bool:
-        """Leave: take no new tasks and finish those that run."""
+        """Deregister from the agent and wait for running tasks, up to a time limit.
+
+        :returns: whether no task is running any more
+        """
         self._minion.leave()
         deadline_ms = self._clock.now() + DRAIN_LIMIT_MS
         while self._minion.running and self._clock.now() < deadline_ms:
@@ -74,5 +90,5 @@
         return not self._minion.running
 
     def stop(self) -> None:
-        """Stop listening."""
+        """Stop at once and close all connections."""
         self._minion.stop()
