--- a/geraniumspool/demo.py
+++ b/geraniumspool/demo.py
@@ -1,9 +1,10 @@
-"""The whole system in one process on loopback, under load and faults.
+"""Demo that runs the whole system in one process on loopback, under load and faults.
 
-Three failure domains with an entry each, eleven agents with a minion beside
-each, and a store: all talk by real sockets. While jobs run, a minion leaves and
-the store is down for a while. One line of JSON at the end says what was seen;
-starts of tasks are counted by the minions, not by the dispatcher.
+It starts three failure domains with one entry each, eleven agents with one minion
+each, and a store, which communicate over real sockets. While jobs run, one minion
+deregisters and the store is unavailable for part of the time. The report is printed
+as one line of JSON; it takes the starts of tasks from the minions' own counts rather
+than from the dispatcher's.
 """
 
 import contextlib
@@ -69,15 +70,16 @@
 
 
 class DemoReport(NamedTuple):
-    """What the demo saw.
-
-    :param tasks: tasks of all jobs
-    :param starts: starts that the minions counted
-    :param tasks_started_more_than_once: tasks with more than one start
-    :param false_not_run: jobs answered "not run" of which a minion counted a start
-    :param response_over_ideal_p50: median of response time over the ideal one
+    """Report of a demo run; fields that are not listed are as in :class:`LoadReport`.
+
+    :param tasks: number of tasks in all jobs
+    :param starts: number of task starts that the minions counted
+    :param tasks_started_more_than_once: number of tasks with more than one start
+    :param false_not_run: number of jobs reported as "not run" although a minion counted a
+        start of one of their tasks
+    :param response_over_ideal_p50: median ratio of the response time to the ideal one
     :param messages_per_task: messages between processes, heartbeats included, per task
-    :param cross_domain_messages_per_task: those of them between failure domains
+    :param cross_domain_messages_per_task: those between different failure domains, per task
     """
 
     jobs: int
@@ -104,17 +106,21 @@
 
     @property
     def is_sound(self) -> bool:
-        """Whether every promise to callers was kept."""
+        """Whether every guarantee to callers held.
+
+        Each task starts at most once, no job reported as "not run" ran, and every job gets an
+        answer, which is correct.
+        """
         broken = self.tasks_started_more_than_once + self.false_not_run
         return broken + self.unanswered + self.wrong_answers == 0
 
 
 class DemoMix(NamedTuple):
-    """Single tasks, with wide jobs among them.
+    """Distribution of jobs of one task, mixed with jobs of many.
 
-    :param single: the jobs of one task
-    :param wide: the wide jobs
-    :param wide_share: share of jobs that are wide
+    :param single: distribution of jobs with one task
+    :param wide: distribution of jobs with several tasks
+    :param wide_share: share of jobs drawn from ``wide``
     """
 
     single: RandomMix
@@ -123,12 +129,16 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean slot time of a job."""
+        """Mean sum of the run times of a job's tasks, in milliseconds."""
         wide = self.wide_share * self.wide.mean_work_ms
         return wide + (1 - self.wide_share) * self.single.mean_work_ms
 
     def draw(self, source: random.Random, team: str) -> JobPlan:
-        """Return the next job."""
+        """Return a random job.
+
+        :param source: random number generator
+        :param team: team of the job
+        """
         mix = self.wide if source.random() < self.wide_share else self.single
         return mix.draw(source, team)
 
@@ -146,16 +156,18 @@
 class System:
     """Store, entries, agents and minions, all in this process.
 
-    :ivar entries: one per failure domain
-    :ivar agents: in order of the failure domains
-    :ivar minions: one per agent, in the same order
+    :ivar store: stand-in for the platform's store
+    :ivar entries: one per failure domain, in the order of ``DOMAINS``
+    :ivar agents: all agents, ordered by failure domain
+    :ivar minions: one per agent, in the order of ``agents``
     """
 
     def __init__(self, clock: Clock, make_minion: MinionFactory = StandinMinion):
-        """Build nothing yet.
+        """Create a system that is not started yet.
 
-        :param clock: source of time for the stand-ins
-        :param make_minion: builds a stand-in of a minion
+        :param clock: source of time for the store and the minions
+        :param make_minion: creates a stand-in for a minion from service, slots, connections
+            and clock
         """
         self.store = StandinStore(clock)
         self.entries: list[Entry] = []
@@ -165,7 +177,7 @@
         self._make_minion = make_minion
 
     def start(self) -> None:
-        """Start everything; the processes find each other afterwards."""
+        """Start everything; the agents and entries discover each other afterwards."""
         host, port = self.store.start(HOST)
         store_urls = (f"http://{host}:{port}",)
         token, key = secrets.token_hex(), secrets.token_hex()
@@ -178,36 +190,43 @@
                 self._add_agent(AgentSettings(domain, store_urls))
 
     def wait_until_ready(self, limit_ms: float, is_stopped: Callable[[], bool]) -> bool:
-        """Return whether every entry knew every agent in time."""
+        """Wait until every entry knows every agent, and return whether it does in time.
+
+        :param limit_ms: longest wait in milliseconds
+        :param is_stopped: polled while waiting; the wait ends when it returns True
+        """
         end = self._clock.now() + limit_ms
-        while not all(self._knows_all(entry) for entry in self.entries):
+        while not all(self._knows_all_agents(entry) for entry in self.entries):
             if self._clock.now() >= end or is_stopped():
                 return False
             self._clock.sleep(POLL_MS)
         return True
 
     def callers(self) -> list[str]:
-        """Return the callers' addresses of all entries."""
+        """Return the address for callers of each entry."""
         return [entry.ready_line()["callers"] for entry in self.entries]
 
     def starts(self) -> Counter[str]:
-        """Return how often each task was started, by the minions' own count."""
+        """Return the number of starts by task id, as counted by the minions."""
         total: Counter[str] = Counter()
         for minion in self.minions:
             total.update(minion.starts)
         return total
 
     def running(self) -> int:
-        """Return how many tasks run now."""
+        """Return the number of tasks that are running."""
         return sum(minion.running for minion in self.minions)
 
     def count_messages(self, **labels: str) -> float:
-        """Return how many messages the processes have sent to each other."""
+        """Return the number of messages that entries and agents have sent.
+
+        :param labels: labels of the counter, to count only some of the messages
+        """
         processes = [*self.entries, *self.agents]
         return sum(process.metrics.get("messages_sent", **labels) for process in processes)
 
     def stop(self) -> None:
-        """Stop everything that was started."""
+        """Stop all minions, agents and entries, then the store."""
         for minion in self.minions:
             minion.stop()
         pool = eventlet.GreenPool()
@@ -225,18 +244,21 @@
         minion.start(HOST)
         minion.announce(agent.minion_url)
 
-    def _knows_all(self, entry: Entry) -> bool:
+    def _knows_all_agents(self, entry: Entry) -> bool:
         return len(entry.roster.agents(SERVICE)) == len(self.agents)
 
 
 class Demo:
-    """One run of the system under load and faults."""
+    """A run of the system under load and faults."""
 
     def __init__(self, seconds: float, progress: TextIO | None, make_minion: MinionFactory):
-        """Prepare; nothing is started yet.
+        """Create a run that is not started yet.
 
-        :param seconds: how long, the time for the last answers included
-        :param progress: where lines of progress go, or None for nowhere
+        :param seconds: duration in seconds, which leaves time for the last answers; at most
+            ``MAX_SECONDS``
+        :param progress: stream for progress messages, or None for none
+        :param make_minion: creates a stand-in for a minion from service, slots, connections
+            and clock
         """
         self._seconds = min(seconds, MAX_SECONDS)
         self._progress = progress
@@ -247,16 +269,16 @@
         self._not_run: list[str] = []
 
     def stop(self) -> None:
-        """Send no more jobs, and end once those in flight are answered."""
+        """Submit no more jobs and end the run once those in flight are answered."""
         self._is_stopped = True
         if self._load is not None:
             self._load.stop()
 
     def run(self) -> DemoReport | None:
-        """Run it and return the report, or None if the system did not come up."""
+        """Run the demo and return its report, or None if the system did not become ready."""
         try:
             self._system.start()
-            self._say("store, 3 entries, 11 agents and 11 minions started")
+            self._print_progress("store, 3 entries, 11 agents and 11 minions started")
             if not self._system.wait_until_ready(READY_LIMIT_MS, lambda: self._is_stopped):
                 return None
             return self._run_load()
@@ -275,55 +297,57 @@
             slots=len(self._system.agents) * SLOTS,
             resubmit_share=RESUBMIT_SHARE,
         )
-        self._load = Load(options, self._clock, self._observe)
-        before = self._system.count_messages()
-        cross_before = self._system.count_messages(scope=SCOPE_CROSS)
-        helpers = [eventlet.spawn(self._show_progress)]
-        helpers.append(eventlet.spawn(self._play_faults, sending_s * MS_PER_SECOND))
+        self._load = Load(options, self._clock, self._record_not_run)
+        messages_before = self._system.count_messages()
+        cross_domain_before = self._system.count_messages(scope=SCOPE_CROSS)
+        green_threads = [eventlet.spawn(self._report_progress)]
+        green_threads.append(eventlet.spawn(self._inject_faults, sending_s * MS_PER_SECOND))
         try:
             load = self._load.run()
         finally:
-            for helper in helpers:
-                helper.kill()
-        messages = self._system.count_messages() - before
-        cross = self._system.count_messages(scope=SCOPE_CROSS) - cross_before
-        return self._report(load, messages, cross)
+            for green_thread in green_threads:
+                green_thread.kill()
+        messages = self._system.count_messages() - messages_before
+        cross_domain = self._system.count_messages(scope=SCOPE_CROSS) - cross_domain_before
+        return self._build_report(load, messages, cross_domain)
 
-    def _report(self, load: LoadReport, messages: float, cross: float) -> DemoReport:
+    def _build_report(self, load: LoadReport, messages: float, cross_domain: float) -> DemoReport:
         starts = self._system.starts()
-        seen = {name: value for name, value in load.as_json().items() if name in _SHARED_FIELDS}
+        shared = {name: value for name, value in load.as_json().items() if name in _SHARED_FIELDS}
         return DemoReport(
-            **seen,
+            **shared,
             starts=starts.total(),
             tasks_started_more_than_once=sum(count > 1 for count in starts.values()),
             false_not_run=count_false_not_run(self._not_run, starts),
             messages_per_task=round(messages / max(1, load.tasks), 3),
-            cross_domain_messages_per_task=round(cross / max(1, load.tasks), 3),
+            cross_domain_messages_per_task=round(cross_domain / max(1, load.tasks), 3),
         )
 
-    def _observe(self, outcome: JobOutcome) -> None:
+    def _record_not_run(self, outcome: JobOutcome) -> None:
         if outcome.outcome == STATE_NOT_RUN and outcome.ticket:
             self._not_run.append(outcome.ticket)
 
-    def _play_faults(self, length_ms: float) -> None:
+    def _inject_faults(self, length_ms: float) -> None:
         self._clock.sleep(MINION_LEAVES_AT * length_ms)
-        self._say("a minion leaves")
+        self._print_progress("a minion leaves")
         self._system.minions[0].leave()
         self._clock.sleep((STORE_FAILS_AT - MINION_LEAVES_AT) * length_ms)
-        self._say("the store goes down")
+        self._print_progress("the store goes down")
         self._system.store.store.down = True
         self._clock.sleep((STORE_RETURNS_AT - STORE_FAILS_AT) * length_ms)
-        self._say("the store is back")
+        self._print_progress("the store is back")
         self._system.store.store.down = False
 
-    def _show_progress(self) -> None:
+    def _report_progress(self) -> None:
         while True:
             self._clock.sleep(PROGRESS_MS)
             running = self._system.running()
             load = self._load
-            self._say(f"{load.sent} jobs sent, {load.done} answered, {running} tasks running")
+            self._print_progress(
+                f"{load.sent} jobs sent, {load.done} answered, {running} tasks running"
+            )
 
-    def _say(self, text: str) -> None:
+    def _print_progress(self, text: str) -> None:
         if self._progress is not None:
             print(text, file=self._progress, flush=True)
 
@@ -333,12 +357,14 @@
     progress: bool | None = None,
     make_minion: MinionFactory = StandinMinion,
 ) -> int:
-    """Run the whole system in this process and print one line of JSON.
-
-    :param seconds: how long, at most ``MAX_SECONDS``
-    :param progress: whether to show progress, None for only on a terminal
-    :param make_minion: builds a stand-in of a minion
-    :returns: exit status, 1 if a promise to callers was broken
+    """Run the whole system in this process and print the report as one line of JSON.
+
+    :param seconds: duration in seconds, at most ``MAX_SECONDS``
+    :param progress: whether to print progress to standard error, None for only on a terminal
+    :param make_minion: creates a stand-in for a minion from service, slots, connections and
+        clock
+    :returns: exit code, 1 if a guarantee to callers was violated or the system did not become
+        ready
     """
     if progress is None:
         progress = sys.stderr.isatty()
@@ -353,10 +379,10 @@
 
 
 def count_false_not_run(tickets: list[str], starts: Counter[str]) -> int:
-    """Return how many jobs were answered "not run" although a task started.
+    """Return the number of jobs reported as "not run" although one of their tasks started.
 
-    :param tickets: tickets of the jobs answered "not run"
-    :param starts: starts by task id, as the minions counted them
+    :param tickets: tickets of the jobs reported as "not run"
+    :param starts: number of starts by task id, as counted by the minions
     """
     started = {task_id.partition(".")[0] for task_id in starts}
     return sum(f"{read_ticket(ticket).job:x}" in started for ticket in tickets)
@@ -371,7 +397,7 @@
 
 @contextlib.contextmanager
 def _stop_on_signal(stop: Callable[[], None]) -> Iterator[None]:
-    """Stop on the first SIGINT or SIGTERM; a second one acts as usual."""
+    """Call ``stop`` on the first SIGINT or SIGTERM; a second one has its previous effect."""
     previous: dict[int, Any] = {}
 
     def restore() -> None:
@@ -392,7 +418,7 @@
 
 @contextlib.contextmanager
 def _quiet_logs() -> Iterator[None]:
-    """Keep warnings of the expected faults from the terminal."""
+    """Keep warnings about the injected faults off the terminal."""
     handler = logging.NullHandler()
     loggers = [logging.getLogger(name) for name in ("geraniumspool", "urllib3")]
     for logger in loggers:
--- a/geraniumspool/load.py
+++ b/geraniumspool/load.py
@@ -1,8 +1,9 @@
-"""Load tool: sends jobs in an open loop and reports how they fared.
+"""Open-loop load generator: submits jobs and reports outcomes and response times.
 
-Jobs are sent at their times of arrival, whatever the answers do, and response
-times count from there. A refusal is counted and not tried again; only an answer
-that was lost is asked for again, under the same ticket, through another entry.
+Each job is submitted at its arrival time, whether or not earlier jobs have been
+answered, and its response time is measured from its arrival time. Jobs that are
+refused are counted and not retried; only when a response is lost is the job
+resubmitted, under the same ticket and through another entry.
 """
 
 import contextlib
@@ -48,17 +49,18 @@
 CONNECT_TIMEOUT_MS = 1_000.0
 ANSWER_GRACE_MS = 2_000.0
 RESUBMIT_PAUSE_MS = 50.0
-# Timers fire up to this much late; the rest is waited for by yielding.
+# A timer may fire this much late. Timers are set this much earlier, and the remaining time is
+# spent yielding in a loop.
 TIMER_LATENESS_MS = 1.5
 CONNECTIONS_PER_ENTRY = 2_000
 JOBS_IN_FLIGHT = 20_000
 
 
 class CancelWave(NamedTuple):
-    """A moment at which many jobs are cancelled.
+    """Cancellation of many jobs at once.
 
-    :param at_ms: when, counted from the load's begin
-    :param share: share of the jobs in flight
+    :param at_ms: time since the start of the load, in milliseconds
+    :param share: share of the jobs in flight that are cancelled
     """
 
     at_ms: float
@@ -66,24 +68,26 @@
 
 
 class LoadOptions(NamedTuple):
-    """What load to send; either ``rate`` or ``load_share`` is given.
-
-    :param entries: callers' addresses of the entries, used in turn
-    :param service: service that the jobs are for
-    :param team: team that they are counted for, or several with commas between
-    :param seconds: how long jobs are sent
-    :param rate: jobs a second
-    :param mix: name of a mix, or a mix itself
-    :param seed: seed of all draws
-    :param load_share: share of all slots' time that is offered
-    :param slots: slots of the whole system
-    :param trip_ms: one way between client and entries, for the ideal response time
-    :param resubmit_share: share of jobs that are submitted a second time,
-        under the same ticket and through another entry, while in flight
-    :param resubmit_lost: whether a lost answer is asked for again
-    :param bursts: when jobs arrive faster
-    :param cancel_waves: when jobs are cancelled
-    :param tickets_ahead: tickets kept in stock per entry and team
+    """Options of a load; exactly one of ``rate`` and ``load_share`` is given.
+
+    :param entries: entries' addresses for callers, as ``host:port`` or URL; jobs go to them
+        in round-robin order
+    :param service: service that runs the jobs
+    :param team: team of the jobs, or several separated by commas to choose from at random
+    :param seconds: how long jobs are submitted, in seconds
+    :param rate: mean number of jobs per second
+    :param mix: distribution of jobs, or its name, a key of ``MIXES``
+    :param seed: seed of all random numbers
+    :param load_share: offered load as a share of the capacity of all slots
+    :param slots: number of slots in the whole system
+    :param trip_ms: one-way network delay between client and entries in milliseconds, part of
+        the ideal response time
+    :param resubmit_share: share of jobs that are submitted a second time while in flight,
+        under the same ticket and through another entry
+    :param resubmit_lost: whether a job is resubmitted when its response is lost
+    :param bursts: periods in which jobs arrive faster
+    :param cancel_waves: times at which jobs are cancelled
+    :param tickets_ahead: number of tickets to prefetch per entry and team
     """
 
     entries: list[str]
@@ -104,19 +108,29 @@
 
 
 class _Answer(NamedTuple):
+    """HTTP status of a response and its JSON object, which is empty if the body has none."""
+
     status: int
     document: dict[str, Any]
 
 
-class _Verdict(NamedTuple):
+class _ReportedOutcome(NamedTuple):
+    """Outcome of a submission.
+
+    :param outcome: one of ``RANKED_OUTCOMES``
+    :param code: error code of the response, or empty
+    :param at_ms: time of the response on the clock
+    :param is_wrong: whether a complete answer lacks results or has results of other tasks
+    """
+
     outcome: str
     code: str
     at_ms: float
     is_wrong: bool = False
 
 
-class _Http:
-    """Requests over kept-alive connections; a fault gives None."""
+class _HttpClient:
+    """Sends requests on persistent connections; a network error gives None, not an exception."""
 
     def __init__(self):
         self._pool = urllib3.PoolManager(maxsize=CONNECTIONS_PER_ENTRY, retries=False)
@@ -144,28 +158,38 @@
         self._pool.clear()
 
 
-class _Stock:
-    """Tickets of one entry for one team, fetched ahead of need."""
+class _TicketCache:
+    """Prefetched tickets of one entry for one team.
 
-    def __init__(self, http: _Http, entry: str, options: LoadOptions, team: str, clock: Clock):
+    It is refilled in the background when at most half of the tickets are left.
+    """
+
+    def __init__(
+        self, http: _HttpClient, entry: str, options: LoadOptions, team: str, clock: Clock
+    ):
         self._http = http
         self._url = f"{entry}/v1/tickets"
         self._size = max(1, options.tickets_ahead)
-        order = {"service": options.service, "team": team, "count": self._size}
-        self._body = msgspec.json.encode(order)
+        request = {"service": options.service, "team": team, "count": self._size}
+        self._body = msgspec.json.encode(request)
         self._clock = clock
         self._tickets: deque[tuple[str, float]] = deque()
-        self._is_filling = False
+        self._is_refilling = False
 
     def take(self, limit_ms: float) -> tuple[str, _Answer | None]:
-        """Return a ticket, or an empty one and the answer that gave none."""
-        if len(self._tickets) <= self._size // 2 and not self._is_filling:
-            self._is_filling = True
-            eventlet.spawn_n(self._fill)
-        oldest = self._clock.now() - TICKET_MAX_AGE_MS
+        """Return a ticket and None, or an empty string and the response that has no ticket.
+
+        The response is None if the entry did not answer.
+
+        :param limit_ms: timeout of a request for tickets, in milliseconds
+        """
+        if len(self._tickets) <= self._size // 2 and not self._is_refilling:
+            self._is_refilling = True
+            eventlet.spawn_n(self._refill)
+        min_fetched_ms = self._clock.now() - TICKET_MAX_AGE_MS
         while self._tickets:
             ticket, fetched_ms = self._tickets.popleft()
-            if fetched_ms >= oldest:
+            if fetched_ms >= min_fetched_ms:
                 return ticket, None
         answer = self._fetch(limit_ms)
         return (self._tickets.pop()[0], None) if self._tickets else ("", answer)
@@ -175,14 +199,14 @@
             self._tickets.append((ticket, self._clock.now()))
 
     def fill(self) -> None:
-        self._is_filling = True
-        self._fill()
+        self._is_refilling = True
+        self._refill()
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         try:
             self._fetch(CONNECT_TIMEOUT_MS)
         finally:
-            self._is_filling = False
+            self._is_refilling = False
 
     def _fetch(self, limit_ms: float) -> _Answer | None:
         answer = self._http.send("POST", self._url, self._body, limit_ms)
@@ -193,7 +217,13 @@
 
 
 class _Job:
-    """One job in flight."""
+    """A job in flight.
+
+    :ivar due_ms: arrival time on the clock
+    :ivar end_ms: deadline on the clock
+    :ivar may_have_arrived: whether an entry may have received a submission without answering
+    :ivar values: the value that each task is expected to return, unique in the load
+    """
 
     def __init__(self, plan: JobPlan, number: int, due_ms: float, service: str):
         self.plan = plan
@@ -227,11 +257,11 @@
         results = document.get("results")
         if document.get("job") != self.ticket or not isinstance(results, list):
             return False
-        return [_value_of(result) for result in results] == self.values
+        return [_get_value(result) for result in results] == self.values
 
 
 class Load:
-    """One load, sent by :meth:`run`."""
+    """A load, which :meth:`run` submits."""
 
     def __init__(
         self,
@@ -239,26 +269,26 @@
         clock: Clock | None = None,
         observer: Callable[[JobOutcome], None] | None = None,
     ):
-        """Prepare; nothing is sent yet.
+        """Create a load; nothing is sent yet.
 
-        :param options: what to send
-        :param clock: source of time, the machine's clock where None
-        :param observer: is told of each job's outcome
-        :raises InvalidInput: if the options make no load
+        :param options: options of the load
+        :param clock: source of time, or None for the system clock
+        :param observer: called with the outcome of each job
+        :raises InvalidInput: if the options are incomplete or contradict each other
         """
-        self._mix = _check(options)
+        self._mix = _validate(options)
         self._options = options
         self._clock = clock or SystemClock()
         self._observer = observer
         self._entries = [_base_address(entry) for entry in options.entries]
         self._teams = options.team.split(",")
-        # Independent sources, so that an answer's time changes no later job.
-        self._plans = random.Random(f"plans {options.seed}")
-        self._arrivals = random.Random(f"arrivals {options.seed}")
-        self._faults = random.Random(f"faults {options.seed}")
-        self._http = _Http()
-        self._stocks = {
-            (entry, team): _Stock(self._http, address, options, team, self._clock)
+        # Independent generators, so that the timing of responses does not change which jobs follow.
+        self._plan_random = random.Random(f"plans {options.seed}")
+        self._arrival_random = random.Random(f"arrivals {options.seed}")
+        self._disruption_random = random.Random(f"faults {options.seed}")
+        self._http = _HttpClient()
+        self._ticket_caches = {
+            (entry, team): _TicketCache(self._http, address, options, team, self._clock)
             for entry, address in enumerate(self._entries)
             for team in self._teams
         }
@@ -273,137 +303,148 @@
 
     @property
     def sent(self) -> int:
-        """Number of jobs that have arrived so far."""
+        """Number of jobs submitted so far."""
         return self._tally.jobs
 
     def stop(self) -> None:
-        """Send no more jobs; those in flight are still waited for."""
+        """Submit no more jobs; :meth:`run` still waits for those in flight."""
         self._is_stopped = True
 
     def run(self) -> LoadReport:
-        """Send all jobs, wait for their answers and return the report."""
-        for stock in self._stocks.values():
-            stock.fill()
+        """Submit all jobs, wait for their outcomes and return the report."""
+        for cache in self._ticket_caches.values():
+            cache.fill()
         pool = eventlet.GreenPool(JOBS_IN_FLIGHT)
-        begin = self._clock.now()
-        waves = [eventlet.spawn(self._cancel, wave) for wave in self._options.cancel_waves]
+        start_ms = self._clock.now()
+        waves = [eventlet.spawn(self._run_cancel_wave, wave) for wave in self._options.cancel_waves]
         try:
-            self._send_all(pool, begin)
+            self._send_all(pool, start_ms)
             pool.waitall()
-            return self._tally.report(self._clock.now() - begin)
+            return self._tally.report(self._clock.now() - start_ms)
         finally:
             for wave in waves:
                 wave.kill()
             self._http.close()
 
-    def _send_all(self, pool: eventlet.GreenPool, begin: float) -> None:
+    def _send_all(self, pool: eventlet.GreenPool, start_ms: float) -> None:
         options = self._options
         rate = options.rate or rate_for_share(self._mix, options.load_share, options.slots)
         length_ms = options.seconds * MS_PER_SECOND
-        arrivals = draw_arrivals(rate, length_ms, self._arrivals, options.bursts)
+        arrivals = draw_arrivals(rate, length_ms, self._arrival_random, options.bursts)
         for number, at_ms in enumerate(arrivals):
-            plan = self._mix.draw(self._plans, self._plans.choice(self._teams))
-            self._sleep_until(begin + at_ms)
+            plan = self._mix.draw(self._plan_random, self._plan_random.choice(self._teams))
+            self._sleep_until(start_ms + at_ms)
             if self._is_stopped:
                 return
             self._tally.jobs += 1
             self._tally.tasks += len(plan.tasks)
-            pool.spawn_n(self._run_job, number, _Job(plan, number, begin + at_ms, options.service))
+            pool.spawn_n(
+                self._run_job, number, _Job(plan, number, start_ms + at_ms, options.service)
+            )
 
     def _sleep_until(self, due_ms: float) -> None:
-        left = due_ms - self._clock.now() - TIMER_LATENESS_MS
-        if left > 0:
-            self._clock.sleep(left)
+        left_ms = due_ms - self._clock.now() - TIMER_LATENESS_MS
+        if left_ms > 0:
+            self._clock.sleep(left_ms)
         while self._clock.now() < due_ms:
             self._clock.sleep(0)
 
     def _run_job(self, number: int, job: _Job) -> None:
         entry = number % len(self._entries)
-        is_double = self._faults.random() < self._options.resubmit_share
-        delay_share = self._faults.random()
-        verdict = self._take_ticket(job, entry)
-        if verdict is None:
+        is_resubmitted = self._disruption_random.random() < self._options.resubmit_share
+        delay_share = self._disruption_random.random()
+        reported = self._take_ticket(job, entry)
+        if reported is None:
             self._in_flight[job.ticket] = job
-            verdict = self._run_ticket(job, entry, delay_share if is_double else None)
+            reported = self._submit_under_ticket(
+                job, entry, delay_share if is_resubmitted else None
+            )
             del self._in_flight[job.ticket]
-        response_ms = verdict.at_ms - job.due_ms
-        outcome = JobOutcome(job.plan, job.ticket, verdict.outcome, verdict.code, response_ms)
+        response_ms = reported.at_ms - job.due_ms
+        outcome = JobOutcome(job.plan, job.ticket, reported.outcome, reported.code, response_ms)
         self._tally.note(outcome, job.is_cancelled)
         if self._observer:
             self._observer(outcome)
 
-    def _take_ticket(self, job: _Job, entry: int) -> _Verdict | None:
-        """Give the job a ticket; return a verdict where there is none."""
+    def _take_ticket(self, job: _Job, entry: int) -> _ReportedOutcome | None:
+        """Set the job's ticket and return None, or return the job's outcome if there is no ticket.
+
+        :param entry: index of the entry to ask first
+        """
         answer = None
         for step in range(len(self._entries)):
             index = (entry + step) % len(self._entries)
-            stock = self._stocks[index, job.plan.team]
-            job.ticket, answer = stock.take(job.end_ms - self._clock.now())
+            cache = self._ticket_caches[index, job.plan.team]
+            job.ticket, answer = cache.take(job.end_ms - self._clock.now())
             if job.ticket:
                 return None
-        code = NO_ENTRY if answer is None else _code_of(answer)
-        return _Verdict(OUTCOME_NOT_RUN, code, self._clock.now())
+        code = NO_ENTRY if answer is None else _get_code(answer)
+        return _ReportedOutcome(OUTCOME_NOT_RUN, code, self._clock.now())
 
-    def _run_ticket(self, job: _Job, entry: int, delay_share: float | None) -> _Verdict:
+    def _submit_under_ticket(
+        self, job: _Job, entry: int, delay_share: float | None
+    ) -> _ReportedOutcome:
         body = job.encode()
-        other = None
+        second = None
         if delay_share is not None:
             self._tally.resubmitted += 1
             ideal = ideal_ms(job.plan, self._options.slots)
-            other = eventlet.spawn(self._submit_again, job, entry + 1, body, delay_share * ideal)
-        verdicts = [self._submit(job, entry, body)]
-        if other is not None:
-            verdicts.append(other.wait())
-        self._tally.wrong_answers += _count_wrong(verdicts)
-        best = min(verdicts, key=lambda verdict: RANKED_OUTCOMES.index(verdict.outcome))
+            second = eventlet.spawn(self._submit_again, job, entry + 1, body, delay_share * ideal)
+        all_reported = [self._submit(job, entry, body)]
+        if second is not None:
+            all_reported.append(second.wait())
+        self._tally.wrong_answers += _count_wrong_answers(all_reported)
+        best = min(all_reported, key=lambda reported: RANKED_OUTCOMES.index(reported.outcome))
         if best.outcome == OUTCOME_UNANSWERED and not job.may_have_arrived:
             return best._replace(outcome=OUTCOME_NOT_RUN, code=NO_ENTRY)
         return best
 
-    def _submit_again(self, job: _Job, entry: int, body: bytes, delay_ms: float) -> _Verdict:
+    def _submit_again(
+        self, job: _Job, entry: int, body: bytes, delay_ms: float
+    ) -> _ReportedOutcome:
         self._clock.sleep(delay_ms)
         return self._submit(job, entry, body)
 
-    def _submit(self, job: _Job, entry: int, body: bytes) -> _Verdict:
+    def _submit(self, job: _Job, entry: int, body: bytes) -> _ReportedOutcome:
         while True:
             address = self._entries[entry % len(self._entries)]
             limit_ms = job.end_ms - self._clock.now() + ANSWER_GRACE_MS
             url = f"{address}/v1/jobs/{job.ticket}"
             answer = self._http.send("PUT", url, body, limit_ms, job)
-            verdict = None if answer is None else self._judge(job, answer)
-            if verdict is not None:
+            reported = None if answer is None else self._read_outcome(job, answer)
+            if reported is not None:
                 self._keep_ticket(job, entry, answer)
-                return verdict
+                return reported
             entry += 1
             is_late = self._clock.now() + RESUBMIT_PAUSE_MS >= job.end_ms
             if is_late or not self._options.resubmit_lost:
-                return _Verdict(OUTCOME_UNANSWERED, "", self._clock.now())
+                return _ReportedOutcome(OUTCOME_UNANSWERED, "", self._clock.now())
             self._clock.sleep(RESUBMIT_PAUSE_MS)
 
-    def _judge(self, job: _Job, answer: _Answer) -> _Verdict | None:
-        """Return what an answer says, or None where it says nothing of the job."""
+    def _read_outcome(self, job: _Job, answer: _Answer) -> _ReportedOutcome | None:
+        """Return the outcome that a response reports, or None if it leaves the outcome open."""
         now = self._clock.now()
         outcome = answer.document.get("outcome")
         if outcome == OUTCOME_COMPLETE and answer.status < 300:
-            return _Verdict(outcome, "", now, not job.has_own_results(answer.document))
+            return _ReportedOutcome(outcome, "", now, not job.has_own_results(answer.document))
         if outcome in (OUTCOME_NOT_RUN, OUTCOME_MAY_HAVE_RUN):
-            return _Verdict(outcome, _code_of(answer), now)
+            return _ReportedOutcome(outcome, _get_code(answer), now)
         if 400 <= answer.status < 500:
-            return _Verdict(OUTCOME_REJECTED, _code_of(answer), now)
+            return _ReportedOutcome(OUTCOME_REJECTED, _get_code(answer), now)
         job.may_have_arrived = True
         return None
 
     def _keep_ticket(self, job: _Job, entry: int, answer: _Answer) -> None:
         ticket = answer.document.get("next_ticket")
         if ticket:
-            self._stocks[entry % len(self._entries), job.plan.team].add(ticket)
+            self._ticket_caches[entry % len(self._entries), job.plan.team].add(ticket)
 
-    def _cancel(self, wave: CancelWave) -> None:
+    def _run_cancel_wave(self, wave: CancelWave) -> None:
         self._clock.sleep(wave.at_ms)
         jobs = list(self._in_flight.values())
-        for job in self._faults.sample(jobs, round(wave.share * len(jobs))):
+        for job in self._disruption_random.sample(jobs, round(wave.share * len(jobs))):
             job.is_cancelled = True
-            address = self._faults.choice(self._entries)
+            address = self._disruption_random.choice(self._entries)
             url = f"{address}/v1/jobs/{job.ticket}"
             eventlet.spawn_n(self._http.send, "DELETE", url, None, ANSWER_GRACE_MS)
 
@@ -419,17 +460,17 @@
     observer: Callable[[JobOutcome], None] | None = None,
     **options: Any,
 ) -> LoadReport:
-    """Send a load and return its report; see :class:`LoadOptions`.
+    """Submit a load and return its report; see :class:`LoadOptions` for the parameters.
 
-    :param observer: is told of each job's outcome
+    :param observer: called with the outcome of each job
     :param options: further fields of :class:`LoadOptions`
-    :raises InvalidInput: if the options make no load
+    :raises InvalidInput: if the options are incomplete or contradict each other
     """
     chosen = LoadOptions(entries, service, team, seconds, rate, mix, seed, **options)
     return Load(chosen, observer=observer).run()
 
 
-def _check(options: LoadOptions) -> Mix:
+def _validate(options: LoadOptions) -> Mix:
     findings = []
     mix = MIXES.get(options.mix) if isinstance(options.mix, str) else options.mix
     if mix is None:
@@ -456,15 +497,15 @@
     return {}
 
 
-def _code_of(answer: _Answer) -> str:
+def _get_code(answer: _Answer) -> str:
     return str(answer.document.get("code") or f"http_{answer.status}")
 
 
-def _value_of(result: Any) -> Any:
+def _get_value(result: Any) -> Any:
     return result.get("value") if isinstance(result, dict) else None
 
 
-def _count_wrong(verdicts: list[_Verdict]) -> int:
-    wrong = sum(verdict.is_wrong for verdict in verdicts)
-    outcomes = {verdict.outcome for verdict in verdicts}
+def _count_wrong_answers(all_reported: list[_ReportedOutcome]) -> int:
+    wrong = sum(reported.is_wrong for reported in all_reported)
+    outcomes = {reported.outcome for reported in all_reported}
     return wrong + ({OUTCOME_COMPLETE, OUTCOME_NOT_RUN} <= outcomes)
--- a/geraniumspool/loadreport.py
+++ b/geraniumspool/loadreport.py
@@ -1,4 +1,4 @@
-"""How the jobs of a load fared: outcomes counted, response times, the report."""
+"""Statistics of a load: counts of outcomes, histograms of response times, the report."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -25,12 +25,13 @@
 
 
 class JobOutcome(NamedTuple):
-    """What became of one job, for observers.
+    """Outcome of one job, as passed to observers.
 
-    :param ticket: its ticket, or empty where it got none
+    :param plan: the job as it was generated
+    :param ticket: ticket of the job, or empty if no ticket was issued
     :param outcome: one of ``RANKED_OUTCOMES``
-    :param code: code of the refusal or failure, or empty
-    :param response_ms: time from its arrival to the answer
+    :param code: error code of a job that failed or was refused, or empty
+    :param response_ms: time from the arrival of the job to its answer, in milliseconds
     """
 
     plan: JobPlan
@@ -41,23 +42,33 @@
 
 
 class LoadReport(NamedTuple):
-    """How the jobs fared; ratios and times are None where nothing was measured.
-
-    :param failed: jobs answered "not run" or "may have run"
-    :param unanswered: jobs without any answer by their deadline and a grace
-    :param rejected: jobs whose request was called wrong
-    :param wrong_answers: complete answers with a result that is missing or not
-        the task's own, and pairs of answers that contradict each other
-    :param tasks: tasks of all jobs
-    :param work_ms_complete: slot time of complete jobs
-    :param refused_ms_p50: time to the answer of jobs answered "not run",
-        without those that were cancelled
-    :param refusals: jobs answered with a failure, by code
-    :param elapsed_ms: time from the begin to the last answer
-    :param goodput_share: work of complete jobs by all slots' time in ``elapsed_ms``
-    :param deadline_missed: jobs not complete within their deadline, refused ones left out
-    :param resubmitted: jobs submitted through two entries at once
-    :param cancelled: jobs that were asked to be cancelled
+    """Results of a load; ratios and times without any sample are None.
+
+    The fields ``response_over_ideal_*`` are percentiles of the ratio of the response time
+    of a complete job to :func:`geraniumspool.workload.ideal_ms`, for all, narrow and wide jobs.
+
+    :param jobs: number of jobs submitted
+    :param complete: number of jobs answered with results
+    :param failed: number of jobs answered "not run" or "may have run"
+    :param failed_not_run: number of jobs answered "not run"
+    :param failed_may_have_run: number of jobs answered "may have run"
+    :param unanswered: number of jobs without an answer by their deadline plus a grace period
+    :param rejected: number of jobs whose request was answered as invalid
+    :param wrong_answers: number of complete answers with missing results or results of other
+        tasks, and of jobs with contradictory answers, "complete" and "not run"
+    :param tasks: number of tasks in all jobs
+    :param work_ms_complete: sum of the run times of the tasks of complete jobs, in milliseconds
+    :param refused_ms_p50: median time to the answer "not run", in milliseconds, without
+        cancelled jobs
+    :param refused_ms_p99: 99th percentile of the same
+    :param refusals: number of jobs answered with an error, by error code
+    :param elapsed_ms: time from the start of the load to the last answer, in milliseconds
+    :param goodput_share: ``work_ms_complete`` as a share of the capacity of all slots during
+        ``elapsed_ms``
+    :param deadline_missed: number of jobs that were completed late, may have run or got no
+        answer; jobs that did not run or were rejected are not counted
+    :param resubmitted: number of jobs submitted through two entries at once
+    :param cancelled: number of jobs for which a cancellation was sent
     """
 
     jobs: int
@@ -87,25 +98,25 @@
     cancelled: int
 
     def as_json(self) -> dict[str, Any]:
-        """Return the report as JSON can say it."""
+        """Return the report as a dictionary that can be encoded as JSON."""
         return self._asdict()
 
 
 class Tally:
-    """Counts and histograms of one load.
+    """Counters and histograms of a load.
 
-    :ivar jobs: jobs that have arrived so far
-    :ivar tasks: tasks of these
-    :ivar outcomes: jobs whose outcome is known, by outcome
-    :ivar wrong_answers: answers found wrong so far
-    :ivar resubmitted: jobs submitted through two entries at once
+    :ivar jobs: number of jobs submitted so far
+    :ivar tasks: number of tasks in these jobs
+    :ivar outcomes: number of jobs whose outcome is known, by outcome
+    :ivar wrong_answers: number of wrong answers so far; see :class:`LoadReport`
+    :ivar resubmitted: number of jobs submitted through two entries at once
     """
 
     def __init__(self, slots: int, trip_ms: float):
-        """Start empty.
+        """Create a tally without any jobs.
 
-        :param slots: slots of the whole system
-        :param trip_ms: one way between client and entries
+        :param slots: number of slots in the whole system
+        :param trip_ms: one-way network delay between client and entries in milliseconds
         """
         self._slots = slots
         self._trip_ms = trip_ms
@@ -118,31 +129,32 @@
         self._deadline_missed = 0
         self.resubmitted = 0
         self._cancelled = 0
-        self._ratios = _ratio_histogram()
-        self._narrow = _ratio_histogram()
-        self._wide = _ratio_histogram()
+        self._ratios = _make_ratio_histogram()
+        self._narrow = _make_ratio_histogram()
+        self._wide = _make_ratio_histogram()
         self._refused = HdrHistogram(1, MAX_LATENCY_MS, DIGITS)
 
     def note(self, job: JobOutcome, is_cancelled: bool) -> None:
-        """Take the outcome of one job.
+        """Record the outcome of one job.
 
-        :param is_cancelled: whether it was asked to be cancelled
+        :param job: outcome of the job
+        :param is_cancelled: whether a cancellation was sent for the job
         """
         self.outcomes[job.outcome] += 1
         self._cancelled += is_cancelled
         if job.code:
             self._refusals[job.code] += 1
         if job.outcome == OUTCOME_COMPLETE:
-            self._note_complete(job.plan, job.response_ms)
+            self._record_complete(job.plan, job.response_ms)
         elif job.outcome in (OUTCOME_MAY_HAVE_RUN, OUTCOME_UNANSWERED):
             self._deadline_missed += 1
         elif job.outcome == OUTCOME_NOT_RUN and not is_cancelled:
             self._refused.record_value(max(1, min(MAX_LATENCY_MS, round(job.response_ms))))
 
     def report(self, elapsed_ms: float) -> LoadReport:
-        """Return how the jobs fared.
+        """Return the report on the outcomes recorded so far.
 
-        :param elapsed_ms: time from the begin to the last answer
+        :param elapsed_ms: time from the start of the load to the last answer, in milliseconds
         """
         not_run = self.outcomes[OUTCOME_NOT_RUN]
         may_have_run = self.outcomes[OUTCOME_MAY_HAVE_RUN]
@@ -157,15 +169,15 @@
             wrong_answers=self.wrong_answers,
             tasks=self.tasks,
             work_ms_complete=round(self._work_ms, 1),
-            response_over_ideal_p50=_read(self._ratios, 50, RATIO_SCALE),
-            response_over_ideal_p90=_read(self._ratios, 90, RATIO_SCALE),
-            response_over_ideal_p99=_read(self._ratios, 99, RATIO_SCALE),
-            response_over_ideal_narrow_p50=_read(self._narrow, 50, RATIO_SCALE),
-            response_over_ideal_narrow_p99=_read(self._narrow, 99, RATIO_SCALE),
-            response_over_ideal_wide_p50=_read(self._wide, 50, RATIO_SCALE),
-            response_over_ideal_wide_p99=_read(self._wide, 99, RATIO_SCALE),
-            refused_ms_p50=_read(self._refused, 50),
-            refused_ms_p99=_read(self._refused, 99),
+            response_over_ideal_p50=_get_percentile(self._ratios, 50, RATIO_SCALE),
+            response_over_ideal_p90=_get_percentile(self._ratios, 90, RATIO_SCALE),
+            response_over_ideal_p99=_get_percentile(self._ratios, 99, RATIO_SCALE),
+            response_over_ideal_narrow_p50=_get_percentile(self._narrow, 50, RATIO_SCALE),
+            response_over_ideal_narrow_p99=_get_percentile(self._narrow, 99, RATIO_SCALE),
+            response_over_ideal_wide_p50=_get_percentile(self._wide, 50, RATIO_SCALE),
+            response_over_ideal_wide_p99=_get_percentile(self._wide, 99, RATIO_SCALE),
+            refused_ms_p50=_get_percentile(self._refused, 50),
+            refused_ms_p99=_get_percentile(self._refused, 99),
             refusals=dict(sorted(self._refusals.items())),
             elapsed_ms=round(elapsed_ms, 1),
             goodput_share=round(self._work_ms / max(1.0, self._slots * elapsed_ms), 4),
@@ -174,7 +186,7 @@
             cancelled=self._cancelled,
         )
 
-    def _note_complete(self, plan: JobPlan, response_ms: float) -> None:
+    def _record_complete(self, plan: JobPlan, response_ms: float) -> None:
         self._work_ms += plan.work_ms
         self._deadline_missed += response_ms > plan.deadline_ms
         ideal = ideal_ms(plan, self._slots, self._trip_ms)
@@ -186,11 +198,11 @@
             self._wide.record_value(ratio)
 
 
-def _ratio_histogram() -> HdrHistogram:
+def _make_ratio_histogram() -> HdrHistogram:
     return HdrHistogram(1, MAX_RATIO, DIGITS)
 
 
-def _read(histogram: HdrHistogram, percentile: float, scale: int = 1) -> float | None:
+def _get_percentile(histogram: HdrHistogram, percentile: float, scale: int = 1) -> float | None:
     if not histogram.get_total_count():
         return None
     return histogram.get_value_at_percentile(percentile) / scale
--- a/geraniumspool/workload.py
+++ b/geraniumspool/workload.py
@@ -1,6 +1,6 @@
-"""Model of the jobs that a load is made of: widths, run times, arrivals.
+"""Random model of a load: number of tasks per job, run times, arrival times.
 
-All draws come from a seeded generator, so a load can be repeated exactly.
+All random numbers come from seeded generators, so that a load is reproducible.
 """
 
 import functools
@@ -24,11 +24,12 @@
 
 
 class TaskPlan(NamedTuple):
-    """One task to send.
+    """A task to submit.
 
-    :param run_ms: how long the minion is to run it
-    :param declared_ms: run time that its caller declares, or 0 for none
-    :param size: declared size, in the service's own unit
+    :param run_ms: actual run time at the minion in milliseconds
+    :param declared_ms: expected run time that the caller declares, in milliseconds, or 0 for
+        none
+    :param size: declared size of the task, in a unit that the service defines
     """
 
     run_ms: float
@@ -37,9 +38,11 @@
 
 
 class JobPlan(NamedTuple):
-    """One job to send.
+    """A job to submit.
 
-    :param deadline_ms: time in which its answer is of use
+    :param tasks: tasks of the job
+    :param team: team whose quota the job counts against
+    :param deadline_ms: deadline in milliseconds from the arrival of the job
     """
 
     tasks: tuple[TaskPlan, ...]
@@ -48,39 +51,43 @@
 
     @property
     def work_ms(self) -> float:
-        """Slot time that the job takes."""
+        """Sum of the run times of all tasks, in milliseconds."""
         return sum(task.run_ms for task in self.tasks)
 
     @property
     def is_narrow(self) -> bool:
-        """Whether it has few tasks, at most ``NARROW_TASKS``."""
+        """Whether the job has at most ``NARROW_TASKS`` tasks."""
         return len(self.tasks) <= NARROW_TASKS
 
     @property
     def is_wide(self) -> bool:
-        """Whether it has many tasks, at least ``WIDE_TASKS``."""
+        """Whether the job has at least ``WIDE_TASKS`` tasks."""
         return len(self.tasks) >= WIDE_TASKS
 
 
 class Mix(Protocol):
-    """What jobs a load is made of."""
+    """Distribution of the jobs of a load."""
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean slot time of a job."""
+        """Mean sum of the run times of a job's tasks, in milliseconds."""
 
     def draw(self, source: random.Random, team: str) -> JobPlan:
-        """Return the next job."""
+        """Return a random job.
+
+        :param source: random number generator
+        """
 
 
 class Widths(NamedTuple):
-    """Distribution of the number of tasks of a job.
+    """Distribution of the width of a job, which is its number of tasks.
 
-    A job of ``w`` tasks has a chance in proportion to ``w ** -exponent``:
-    0 is uniform, 1 is log-uniform.
+    The probability of the width ``w`` is proportional to ``w ** -exponent``: exponent 0
+    gives a uniform distribution, 1 a log-uniform one.
 
-    :param least: fewest tasks
-    :param most: most tasks
+    :param least: smallest width
+    :param most: largest width
+    :param exponent: exponent of the power law
     """
 
     least: int
@@ -89,21 +96,24 @@
 
     @property
     def mean(self) -> float:
-        """Mean number of tasks."""
+        """Mean width."""
         weights = [width**-self.exponent for width in self._range()]
         total = sum(width * weight for width, weight in zip(self._range(), weights, strict=True))
         return total / sum(weights)
 
     def draw(self, source: random.Random) -> int:
-        """Return a number of tasks."""
-        return source.choices(self._range(), cum_weights=_accumulate(self))[0]
+        """Return a random width.
+
+        :param source: random number generator
+        """
+        return source.choices(self._range(), cum_weights=_cumulative_weights(self))[0]
 
     def _range(self) -> range:
         return range(self.least, self.most + 1)
 
 
 class RunTimes(NamedTuple):
-    """Distribution of run times: log-uniform, with a uniform tail.
+    """Distribution of run times: log-uniform, with a uniform tail; all times in milliseconds.
 
     :param least_ms: shortest run time outside the tail
     :param most_ms: longest run time outside the tail
@@ -120,26 +130,31 @@
 
     @property
     def mean_ms(self) -> float:
-        """Mean run time."""
-        body = self.least_ms
+        """Mean run time in milliseconds."""
+        log_uniform_mean = self.least_ms
         if self.most_ms > self.least_ms:
-            body = (self.most_ms - self.least_ms) / math.log(self.most_ms / self.least_ms)
-        tail = (self.tail_least_ms + self.tail_most_ms) / 2
-        return (1 - self.tail_share) * body + self.tail_share * tail
+            log_uniform_mean = (self.most_ms - self.least_ms) / math.log(
+                self.most_ms / self.least_ms
+            )
+        tail_mean = (self.tail_least_ms + self.tail_most_ms) / 2
+        return (1 - self.tail_share) * log_uniform_mean + self.tail_share * tail_mean
 
     def draw(self, source: random.Random) -> float:
-        """Return a run time in milliseconds."""
+        """Return a random run time in milliseconds.
+
+        :param source: random number generator
+        """
         if source.random() < self.tail_share:
             return source.uniform(self.tail_least_ms, self.tail_most_ms)
         return _draw_log_uniform(source, self.least_ms, self.most_ms)
 
 
 class Spread(NamedTuple):
-    """A log-normal distribution that is cut off.
+    """Log-normal distribution whose values are capped.
 
-    :param mean: mean before the cut
+    :param mean: mean of the distribution without the cap
     :param sigma: standard deviation of the logarithm
-    :param most: largest value
+    :param most: cap; larger values are replaced by it
     """
 
     mean: float
@@ -147,17 +162,22 @@
     most: float
 
     def draw(self, source: random.Random) -> float:
-        """Return a value."""
-        centre = math.log(self.mean) - self.sigma**2 / 2
-        return min(self.most, source.lognormvariate(centre, self.sigma))
+        """Return a random value.
+
+        :param source: random number generator
+        """
+        mu = math.log(self.mean) - self.sigma**2 / 2
+        return min(self.most, source.lognormvariate(mu, self.sigma))
 
 
 class SizedJob(NamedTuple):
-    """One job of equal tasks that each take room.
+    """A job of equal tasks that each reserve a share of a CPU core.
 
+    :param queue: queue to which the job belongs
     :param count: number of tasks
-    :param cpu: room of a task in thousandths of a core
-    :param declared_ms: run time that its caller declares
+    :param cpu: CPU that a task reserves, in thousandths of a core
+    :param run_ms: actual run time of a task in milliseconds
+    :param declared_ms: expected run time that the caller declares, in milliseconds
     """
 
     queue: str
@@ -168,18 +188,21 @@
 
     @property
     def work(self) -> float:
-        """Room times run time of all tasks, in core-seconds."""
+        """CPU time reserved by all tasks, in core-seconds."""
         return self.count * self.cpu * self.run_ms / MS_PER_SECOND**2
 
 
 class QueueMix(NamedTuple):
-    """The jobs of one queue.
-
-    :param priority: urgency of the queue, 0 is the most urgent
-    :param share: share of all jobs
-    :param widths: number of tasks
-    :param cpu: room of a task in thousandths of a core
-    :param declared_off: sigma of the error of declared run times
+    """Distribution of the jobs of one queue.
+
+    :param queue: name of the queue
+    :param priority: priority of the queue, 0 is the most urgent
+    :param share: share of all jobs that belong to the queue
+    :param widths: distribution of the number of tasks of a job
+    :param run_ms: distribution of the run time in milliseconds, equal for all tasks of a job
+    :param cpu: distribution of the CPU that a task reserves, in thousandths of a core
+    :param declared_off: sigma of the log-normal factor between the actual and the declared run
+        time
     """
 
     queue: str
@@ -191,24 +214,30 @@
     declared_off: float
 
     def draw(self, source: random.Random) -> SizedJob:
-        """Return the next job."""
+        """Return a random job.
+
+        :param source: random number generator
+        """
         run_ms = round(self.run_ms.draw(source), 1)
-        off = Spread(1.0, self.declared_off, MAX_DECLARED_FACTOR).draw(source)
+        declared_factor = Spread(1.0, self.declared_off, MAX_DECLARED_FACTOR).draw(source)
         return SizedJob(
             self.queue,
             max(1, round(self.widths.draw(source))),
             round(self.cpu.draw(source)),
             run_ms,
-            round(run_ms * off, 1),
+            round(run_ms * declared_factor, 1),
         )
 
 
 class RandomMix(NamedTuple):
-    """Jobs whose width and run times are drawn independently.
-
-    :param declared: how true the declared run times are: ``DECLARED_EXACT``,
-        ``DECLARED_WRONG`` (off by up to ten times either way) or ``DECLARED_NONE``
-    :param deadline_ms: deadline of every job
+    """Distribution of jobs whose width and run times are independent.
+
+    :param widths: distribution of the number of tasks of a job
+    :param run_times: distribution of the run times of tasks
+    :param declared: accuracy of declared run times: ``DECLARED_EXACT``, ``DECLARED_WRONG``
+        (too long or too short by a factor of up to ``MAX_DECLARED_FACTOR``) or
+        ``DECLARED_NONE`` (none declared)
+    :param deadline_ms: deadline of every job in milliseconds from its arrival
     """
 
     widths: Widths
@@ -218,11 +247,14 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean slot time of a job."""
+        """Mean sum of the run times of a job's tasks, in milliseconds."""
         return self.widths.mean * self.run_times.mean_ms
 
     def draw(self, source: random.Random, team: str) -> JobPlan:
-        """Return the next job."""
+        """Return a random job.
+
+        :param source: random number generator
+        """
         width = self.widths.draw(source)
         tasks = tuple(self._draw_task(source) for _ in range(width))
         return JobPlan(tasks, team, self.deadline_ms)
@@ -239,9 +271,9 @@
 
 BRIEF_TIMES = RunTimes(50, 1_000, 0.03, 2_000, 5_000)
 
-# Log-uniform widths alone would put 70 % of the work into jobs of 100 tasks or more.
-# The exponent of 1.5 weights them by the inverse square root of the width besides:
-# about half of the work is then in such jobs, and about half of all jobs are narrow.
+# With log-uniform widths (exponent 1), jobs of 100 tasks or more would make up 70 % of the
+# work. The exponent 1.5 adds a weight of 1 / sqrt(width): about half of the work is then in
+# such jobs, and about half of all jobs are narrow.
 BRIEF_WIDTHS = Widths(1, MAX_TASKS, 1.5)
 
 MIXES: dict[str, RandomMix] = {
@@ -253,11 +285,11 @@
 
 
 class Burst(NamedTuple):
-    """A while in which jobs arrive faster.
+    """Period in which jobs arrive faster.
 
-    :param start_ms: begin, counted from the load's begin
-    :param length_ms: how long
-    :param factor: factor on the rate
+    :param start_ms: time from the start of the load to the start of the burst, in milliseconds
+    :param length_ms: duration in milliseconds
+    :param factor: factor by which the arrival rate is multiplied
     """
 
     start_ms: float
@@ -266,19 +298,24 @@
 
 
 def ideal_ms(plan: JobPlan, slots: int, trip_ms: float = 0.0) -> float:
-    """Return the response time of a job that has all slots to itself.
+    """Return the ideal response time of a job, in milliseconds.
+
+    It is a lower bound, as if the job had all slots to itself: the longest run time or the
+    work divided by the slots, whichever is longer, plus the network delay both ways.
 
-    :param slots: slots of the whole system
-    :param trip_ms: one way between client and system
+    :param slots: number of slots in the whole system
+    :param trip_ms: one-way network delay between client and system, in milliseconds
     """
     longest = max(task.run_ms for task in plan.tasks)
     return max(longest, plan.work_ms / slots) + 2 * trip_ms
 
 
 def rate_for_share(mix: Mix, share: float, slots: int) -> float:
-    """Return the jobs a second that offer a share of the slots' time.
+    """Return the arrival rate, in jobs per second, for an offered load.
 
-    :param share: 1.0 offers just as much work as all slots can do
+    :param mix: distribution of jobs
+    :param share: offered load as a share of the capacity of all slots, 1.0 for all of it
+    :param slots: number of slots in the whole system
     """
     return share * slots * MS_PER_SECOND / mix.mean_work_ms
 
@@ -286,32 +323,34 @@
 def draw_arrivals(
     rate: float, length_ms: float, source: random.Random, bursts: tuple[Burst, ...] = ()
 ) -> Iterator[float]:
-    """Yield the times of Poisson arrivals in milliseconds, in order.
+    """Yield the arrival times of a Poisson process, in milliseconds and in ascending order.
 
-    :param rate: arrivals a second outside bursts
-    :param length_ms: when to end
-    :param bursts: when to be faster; the factors of overlapping ones multiply
+    :param rate: arrivals per second outside bursts
+    :param length_ms: end of the arrivals, in milliseconds
+    :param source: random number generator
+    :param bursts: periods with a higher rate; the factors of overlapping ones are multiplied
     """
     edges = {0.0, length_ms}
     for burst in bursts:
         edges.add(min(length_ms, burst.start_ms))
         edges.add(min(length_ms, burst.start_ms + burst.length_ms))
-    # The exponential distribution has no memory, so each span may start afresh.
+    # Intervals between arrivals are memoryless, so each span between two changes of the rate
+    # can be generated on its own.
     for begin, end in itertools.pairwise(sorted(edges)):
-        span_rate = rate * _factor_at(begin, bursts)
+        span_rate = rate * _rate_factor_at(begin, bursts)
         at_ms = begin + source.expovariate(span_rate) * MS_PER_SECOND
         while at_ms < end:
             yield at_ms
             at_ms += source.expovariate(span_rate) * MS_PER_SECOND
 
 
-def _factor_at(at_ms: float, bursts: tuple[Burst, ...]) -> float:
+def _rate_factor_at(at_ms: float, bursts: tuple[Burst, ...]) -> float:
     factors = [burst.factor for burst in bursts if 0 <= at_ms - burst.start_ms < burst.length_ms]
     return math.prod(factors)
 
 
 @functools.cache
-def _accumulate(widths: Widths) -> list[float]:
+def _cumulative_weights(widths: Widths) -> list[float]:
     weights = (width**-widths.exponent for width in range(widths.least, widths.most + 1))
     return list(itertools.accumulate(weights))
 
