--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the command line and of running programs."""
+"""Tests of the command line and of the life cycle of programs."""
 
 import io
 import json
@@ -29,7 +29,10 @@
 
 
 class ScriptedEntry:
-    """Answers each call with the next scripted status and document."""
+    """WSGI application that records requests and answers each with the status and document set.
+
+    A request without the operators' token is answered with status 401.
+    """
 
     def __init__(self):
         self.requests = []
@@ -49,7 +52,7 @@
 
 
 class CliTest(unittest.TestCase):
-    """Commands against a scripted entry."""
+    """Requests, output and exit codes of the commands, against a scripted entry."""
 
     def setUp(self):
         self.entry = ScriptedEntry()
@@ -249,7 +252,10 @@
 
 
 class FakeApplication:
-    """Sends itself signals at the given stages."""
+    """Application that sends SIGTERM to its own process once it is ready.
+
+    If it hangs, it sends SIGINT as well while it drains, and does not end the drain.
+    """
 
     def __init__(self, drained=True, hangs=False):
         self.calls = []
@@ -275,7 +281,7 @@
 
 
 class RunApplicationTest(unittest.TestCase):
-    """Life cycle of a program."""
+    """Start, drain and stop of a program, its exit code and the restored signal handlers."""
 
     def test_life_cycle(self):
         for app, expected in (
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' client against scripted entries."""
+"""Tests of the client library for callers, against scripted entries."""
 
 import logging
 import socket
@@ -29,7 +29,7 @@
 
 
 class RecordingClock(ManualClock):
-    """A clock that moves by what is slept, and notes it."""
+    """Clock whose sleeps return at once: each advances the time and is recorded."""
 
     def __init__(self):
         super().__init__()
@@ -41,14 +41,17 @@
 
 
 class FakeCounters:
-    """Counts nothing."""
+    """Counters that ignore all increments."""
 
     def add(self, name, amount=1, **labels):
         pass
 
 
 class Call(NamedTuple):
-    """One submission as an entry saw it."""
+    """A submission that an entry received.
+
+    :param entry: index of the entry
+    """
 
     entry: int
     ticket: str
@@ -100,7 +103,15 @@
 
 
 class Entries:
-    """Two entries that answer submissions from one script, in order."""
+    """Two entries that share a script: each request to either takes the next action.
+
+    An action gets the ticket and returns the reply, or None to close the connection without
+    one. Once the script is used up, every job is answered as complete.
+
+    :ivar calls: submissions received
+    :ivar fetches: requests for tickets received
+    :ivar others: other requests received, as method and path
+    """
 
     def __init__(self, test, script=()):
         self.script = list(script)
@@ -150,11 +161,14 @@
 
 
 class Case(NamedTuple):
-    """One script and what the client makes of it.
-
-    :param tickets: tickets submitted, in order
-    :param error: expected failure, or None for a complete answer
-    :param pauses: whole milliseconds of sleep asked for by entries
+    """A script of the entries and how the client is expected to act on it.
+
+    :param script: actions of the entries, one per submission
+    :param tickets: tickets under which the job is submitted, in order
+    :param error: class of the expected error, or None for a complete answer
+    :param reason: expected reason of the error
+    :param pauses: delays in milliseconds that the entries ask for; backoff of the client's own
+        is not listed
     """
 
     name: str
@@ -196,7 +210,7 @@
 
 
 class ImportTest(unittest.TestCase):
-    """What a caller's program gets with the client."""
+    """Effects of importing the client on the caller's program."""
 
     def test_brings_neither_eventlet_nor_warnings(self):
         code = "import sys, geraniumspool.client; sys.exit('eventlet' in sys.modules)"
@@ -217,7 +231,7 @@
 
 
 class RunTest(unittest.TestCase):
-    """What becomes of a job under each script."""
+    """Outcome of a job, and the submissions it takes, for each script."""
 
     def test_table(self):
         for case in CASES:
@@ -246,7 +260,10 @@
         self.assertEqual(found, (case.reason, case.tickets[-1], len(case.tickets)))
 
     def check_calls(self, calls):
-        """Check that a resubmission repeats the body, through the other entry."""
+        """Check that a resubmission has the same body and goes to the other entry.
+
+        A submission under a new ticket must have a shorter deadline than the one before.
+        """
         for before, after in zip(calls, calls[1:], strict=False):
             if before.ticket == after.ticket:
                 self.assertEqual(before.body, after.body)
@@ -293,7 +310,7 @@
         self.assertLessEqual(clock.now() - start_ms, DEADLINE_MS)
 
     def test_entries_gone_before_submission(self):
-        """With a ticket in stock and no connection made, not run is proved."""
+        """If no connection was established, the job under a prefetched ticket has not run."""
         entries = Entries(self)
         client = make_client(entries.addresses, RecordingClock())
         client.run(TASKS, DEADLINE_MS)
@@ -312,7 +329,7 @@
 
 
 class TicketTest(unittest.TestCase):
-    """Tickets are fetched ahead, kept fresh and used once."""
+    """Tickets are prefetched, discarded when too old and used once."""
 
     def test_fetched_ahead(self):
         entries = Entries(self)
@@ -347,7 +364,7 @@
 
 
 class AskTest(unittest.TestCase):
-    """State, cancel and decisions go through any entry that answers."""
+    """Requests for state, cancellation and decisions fail over to another entry."""
 
     def test_calls(self):
         entries = Entries(self, [lose])
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Tests of the demo, in a short form."""
+"""Tests of the demo, in runs of a few seconds."""
 
 import contextlib
 import io
@@ -31,7 +31,7 @@
 
 
 class FaultyMinion(StandinMinion):
-    """A minion that starts every task twice and answers with another's result."""
+    """Minion that counts two starts per task and answers with the result of another task."""
 
     def _sleep_as_task(self, task_id, run_ms):
         self.starts[task_id] += 1
@@ -43,7 +43,7 @@
 
 
 class InterruptingMinion(StandinMinion):
-    """A minion that interrupts the program at its first task."""
+    """Minion that sends SIGINT to the process when the first task starts."""
 
     interrupted = False
 
@@ -55,7 +55,7 @@
 
 
 class DemoTest(unittest.TestCase):
-    """The whole system in this process, for a moment."""
+    """Runs of the whole system in this process, and their reports."""
 
     def run_demo(self, seconds, **options):
         output = io.StringIO()
@@ -63,7 +63,7 @@
             code = run_demo(seconds, **options)
         return code, json.loads(output.getvalue().splitlines()[-1])
 
-    def test_promises_are_kept(self):
+    def test_guarantees_hold(self):
         code, report = self.run_demo(3)
         self.assertEqual(code, OK, report)
         self.assertLessEqual(FIELDS, set(report))
@@ -72,22 +72,27 @@
         self.assertGreater(report["messages_per_task"], 0)
         self.assertLess(report["cross_domain_messages_per_task"], report["messages_per_task"])
 
-    def test_broken_promises_are_told(self):
+    def test_violations_are_reported(self):
         code, report = self.run_demo(1, make_minion=FaultyMinion)
         self.assertEqual(code, BROKEN)
         self.assertEqual(report["tasks_started_more_than_once"] * 2, report["starts"])
         self.assertGreater(report["complete"], 0)
         self.assertGreaterEqual(report["wrong_answers"], report["complete"])
 
-    def test_each_promise_counts(self):
+    def test_each_violation_counts(self):
         sound = DemoReport(*[0] * len(DemoReport._fields))
-        cases = {"unanswered", "wrong_answers", "tasks_started_more_than_once", "false_not_run"}
+        violations = {
+            "unanswered",
+            "wrong_answers",
+            "tasks_started_more_than_once",
+            "false_not_run",
+        }
         for field in DemoReport._fields:
             with self.subTest(field):
-                broken = sound._replace(**{field: 1})
-                self.assertEqual(broken.is_sound, field not in cases)
+                report = sound._replace(**{field: 1})
+                self.assertEqual(report.is_sound, field not in violations)
 
-    def test_interrupt_ends_it_cleanly(self):
+    def test_interrupt_ends_the_run_cleanly(self):
         before = signal.getsignal(signal.SIGINT)
         code, report = self.run_demo(24, make_minion=InterruptingMinion)
         self.assertEqual((code, report["unanswered"]), (OK, 0))
@@ -95,7 +100,7 @@
         self.assertIs(signal.getsignal(signal.SIGINT), before)
 
     def test_false_not_run(self):
-        """A job is found by the ids that minions saw, however few of its tasks started."""
+        """A job counts as started if a minion started any of its tasks."""
         keyring = Keyring(["a-key-for-the-tests"])
         tickets = [keyring.issue(Peer("tcp://127.0.0.1:1", 1), "fitting", 0) for _ in range(3)]
         started = read_ticket(tickets[1])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the whole system as real separate processes."""
+"""Tests of the whole system, with entries, agents and minions in separate processes."""
 
 import json
 import unittest
@@ -12,7 +12,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Jobs through real processes, killed at the wrong moment."""
+    """Jobs in a system whose processes are killed or replaced meanwhile."""
 
     def setUp(self):
         self.fleet = Fleet(["north", "south"], [1, 1])
@@ -27,7 +27,7 @@
         return reply.status, reply.json()
 
     def put_and_lose(self, entry, ticket, tasks):
-        """Submit and return whether the answer was lost."""
+        """Submit a job and return whether the connection broke before its answer."""
         try:
             self.put(entry, ticket, tasks)
         except urllib3.exceptions.HTTPError:
@@ -39,8 +39,8 @@
         body = {"service": SERVICE, "team": TEAM, "count": 1}
         return self.fleet.http.request("POST", url, json=body).json()["tickets"][0]
 
-    def test_job_runs_whole(self):
-        """A wide job comes back whole, in task order, one start a task."""
+    def test_job_returns_all_results_in_order(self):
+        """A job of many tasks returns all results in task order, with one start per task."""
         client = Client(self.fleet.callers(), SERVICE, TEAM)
         tasks = [TaskRequest({"run_ms": 30, "value": number}) for number in range(40)]
         result = client.run(tasks, deadline_ms=15000)
@@ -48,8 +48,11 @@
         starts = self.fleet.starts()
         self.assertEqual((starts["starts"], starts["started_more_than_once"]), (40, 0))
 
-    def test_entry_killed_in_mid_job(self):
-        """The whole answer comes through another entry; nothing runs twice."""
+    def test_entry_killed_while_job_runs(self):
+        """After the entry of a job is killed, another entry answers the resubmitted job.
+
+        No task may start a second time.
+        """
         first, second = self.fleet.entries
         ticket = self.issue(first)
         tasks = [{"payload": {"run_ms": 600, "value": number}} for number in range(24)]
@@ -63,8 +66,8 @@
         starts = self.fleet.starts()
         self.assertEqual((starts["starts"], starts["started_more_than_once"]), (24, 0))
 
-    def test_planned_restart(self):
-        """Every agent and entry is replaced under load; no job fails."""
+    def test_rolling_restart(self):
+        """All agents and one entry are drained and replaced under load; no job fails."""
         outcomes = []
         stopping = []
         callers = [eventlet.spawn(self.keep_calling, outcomes, stopping) for _ in range(3)]
@@ -86,7 +89,7 @@
         self.assertEqual(sum(row["started_more_than_once"] for row in starts), 0)
 
     def keep_calling(self, outcomes, stopping):
-        """Run jobs through whatever entry answers until told to stop."""
+        """Run jobs one after the other, with failover, until ``stopping`` is not empty."""
         client = Client(self.fleet.callers(), SERVICE, TEAM)
         while not stopping:
             try:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool against a scripted entry."""
+"""Tests of the load generator against scripted entries."""
 
 import itertools
 import json
@@ -17,7 +17,15 @@
 
 
 class ScriptedEntry:
-    """A WSGI application that answers jobs as a script says."""
+    """WSGI application that answers jobs by calling a function and records requests.
+
+    :ivar script: called with the ticket, the job and the number of jobs so far; returns status
+        and document, or None as status to close the connection without an answer
+    :ivar hold_ms: delay of every answer in milliseconds
+    :ivar puts: submissions received, as ticket and job
+    :ivar deleted: tickets of cancelled jobs
+    :ivar most_held: most jobs that waited for their answer at the same time
+    """
 
     numbers = itertools.count(1)
 
@@ -57,18 +65,18 @@
 
 
 def complete(ticket, job, _number):
-    """Answer as the dispatcher does when all goes well."""
+    """Answer with the results of all tasks, as the dispatcher does for a successful job."""
     results = [{"value": task["payload"]["value"]} for task in job["tasks"]]
     return 200, {"job": ticket, "outcome": "complete", "results": results}
 
 
 def refuse(status, outcome, code):
-    """Return a script that answers every job with a problem."""
+    """Return a script that answers every job with an error."""
     return lambda *_: (status, {"code": code, "outcome": outcome})
 
 
-def spoil(change):
-    """Return a script whose complete answers are changed."""
+def alter(change):
+    """Return a script that answers with results after ``change`` has modified them."""
 
     def script(ticket, job, number):
         status, document = complete(ticket, job, number)
@@ -79,7 +87,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    """What the tool counts, for each way an entry may answer."""
+    """The report of a load, for each kind of answer from the entries."""
 
     def load(self, *scripts, hold_ms=0, observer=None, **options):
         self.entries = [ScriptedEntry(script, hold_ms) for script in scripts]
@@ -88,7 +96,7 @@
         return run_load(addresses, "fitting", "opticians,guests", observer=observer, **chosen)
 
     def test_complete_jobs(self):
-        """All is measured; jobs alternate between entries and draw both teams."""
+        """All statistics are filled in; jobs alternate between entries and use both teams."""
         report = self.load(complete, complete)
         self.assertGreater(report.jobs, 10)
         self.assertEqual((report.complete, report.wrong_answers), (report.jobs, 0))
@@ -127,10 +135,10 @@
         }
         for name, change in changes.items():
             with self.subTest(name):
-                report = self.load(spoil(change))
+                report = self.load(alter(change))
                 self.assertEqual(report.wrong_answers, report.jobs)
 
-    def test_lost_answers_are_asked_for_through_another_entry(self):
+    def test_jobs_with_lost_answers_are_resubmitted_through_another_entry(self):
         for resubmit_lost in (True, False):
             with self.subTest(resubmit_lost=resubmit_lost):
                 report = self.load(lambda *_: (None, {}), complete, resubmit_lost=resubmit_lost)
@@ -145,7 +153,10 @@
                     self.assertTrue(all(body == bodies[0] for body in bodies))
 
     def test_double_submission(self):
-        """The better answer counts; "complete" beside "not run" is a contradiction."""
+        """Of two answers to a job, the better one counts.
+
+        "complete" and "not run" for the same job contradict each other: that is a wrong answer.
+        """
         cases = [
             (refuse(502, "may_have_run", "home_gone"), 0),
             (refuse(503, "not_run", "job_refused_overload"), 1),
@@ -157,7 +168,7 @@
                 self.assertEqual(report.wrong_answers, wrong * report.jobs)
 
     def test_no_entry(self):
-        """Jobs that never left are not run, and nothing is raised."""
+        """Jobs that could not be sent count as not run, and no exception is raised."""
         with eventlet.listen(("127.0.0.1", 0)) as closed:
             address = f"127.0.0.1:{closed.getsockname()[1]}"
         report = run_load([address], "fitting", "opticians", 0.1, 100, MIX)
@@ -171,7 +182,7 @@
         self.assertEqual(len(self.entries[0].deleted), report.cancelled)
 
     def test_jobs_are_sent_on_time_however_slow_the_answers(self):
-        """Open loop: a slow entry sees the same jobs as a fast one."""
+        """The load is an open loop: a slow entry receives the same jobs as a fast one."""
         plans = []
         for hold_ms in (0, 250):
             report = self.load(complete, hold_ms=hold_ms, seed=5)
@@ -180,7 +191,7 @@
         self.assertEqual(*plans)
         self.assertGreaterEqual(self.entries[0].most_held, report.jobs / 2)
 
-    def test_wrong_options(self):
+    def test_invalid_options(self):
         cases = [
             {"mix": "unknown", "rate": 1},
             {"entries": [], "rate": 1},
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,4 +1,4 @@
-"""Tests of the arithmetic and the report of the measurements."""
+"""Tests of the statistics and the report of the benchmarks."""
 
 import tempfile
 import unittest
@@ -30,7 +30,7 @@
 
 
 class FakeMinion:
-    """Answers how often tasks were started."""
+    """Minion that reports the given number of starts by task id."""
 
     def __init__(self, counts):
         self.counts = counts
@@ -43,10 +43,10 @@
 
 
 class TallyTest(unittest.TestCase):
-    """Response times over ideal, and jobs by outcome."""
+    """Ratios of response time to the ideal one, refusals and missed deadlines."""
 
     def test_ratios(self):
-        """The ideal is the longest task, or the work over all slots, plus two trips."""
+        """The ideal is the longest task, or the work divided by all slots, plus a round trip."""
         tally = Tally(trip_ms=1.0)
         narrow = JobPlan((TaskPlan(98.0), TaskPlan(10.0)), "t", deadline_ms=250.0)
         wide = JobPlan((TaskPlan(88.0),) * 198, "t", deadline_ms=5_000.0)
@@ -58,7 +58,10 @@
         self.assertEqual(tally.late, 1)
 
     def test_refusals(self):
-        """Cancelled and expired jobs are no refusals; expired and lost ones are late."""
+        """Cancelled and expired jobs do not count as refusals.
+
+        Jobs that expired or may have run count as late.
+        """
         tally = Tally(0.0)
         plan = JobPlan((TaskPlan(50.0),), "t")
         tally.note(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_refused_deadline", 4.0))
@@ -71,7 +74,7 @@
 
 
 class StartsTest(unittest.TestCase):
-    """Starts at the minions against what callers were told."""
+    """Starts counted by the minions against the outcomes that callers were told."""
 
     def setUp(self):
         keyring = Keyring([TICKET_KEY])
@@ -86,7 +89,10 @@
         return check_starts(SimpleNamespace(minions=minions, http=http), jobs, starts)
 
     def test_checks(self):
-        """Each case: outcomes, starts by minion, all starts, what is found."""
+        """A case: name, outcomes, starts by minion, sum of all starts, expected violations.
+
+        The violations are tasks started more than once, and jobs answered "not run" that started.
+        """
         lost = {f"{self.names[1]}.0": 1}
         complete, not_run = OUTCOME_COMPLETE, OUTCOME_NOT_RUN
         cases = (
@@ -96,16 +102,16 @@
             ("one at two minions", (complete, OUTCOME_MAY_HAVE_RUN), [lost, lost], 4, (1, 0)),
             ("not run, yet started", (complete, not_run), [lost], 3, (0, 1)),
         )
-        for name, outcomes, per_minion, starts, found in cases:
+        for name, outcomes, per_minion, starts, violations in cases:
             with self.subTest(name):
-                self.assertEqual(tuple(self.check(outcomes, per_minion, starts)), found)
+                self.assertEqual(tuple(self.check(outcomes, per_minion, starts)), violations)
 
 
 class ReportTest(unittest.TestCase):
-    """Rows, their table and their plot."""
+    """Result rows of the experiments, their table and their plot."""
 
     def test_merge(self):
-        """A new run replaces all rows of its experiments and no others."""
+        """New rows replace all rows of the same experiments and no others."""
         old = [make_row("a", "x"), make_row("a", "y"), make_row("b", "x")]
         new = [make_row("a", "x", jobs=7)]
         merged = merge_rows(old, new)
@@ -123,7 +129,10 @@
             place_table("no place", "new")
 
     def test_aims(self):
-        """The worst row in force counts; what was not measured is not met."""
+        """A target is compared with the worst row of the policies in use.
+
+        A target without a measurement is not shown as met.
+        """
         rows = [
             make_row("light", "x", chosen=True, messages_per_task=2.0),
             make_row("overload", "x", chosen=True, goodput_share=0.9, refused_ms_p99=None),
@@ -139,7 +148,10 @@
         self.assertEqual(met["store faults: share of failed jobs"], ("0.01", "**no**"))
 
     def test_parts(self):
-        """A note's table has the rows of its experiments, without empty columns."""
+        """A table in a page has the rows of the experiments that its marker names.
+
+        Columns without values are left out.
+        """
         page = "x\n<!-- table of a, b begins -->\nold\n<!-- table ends -->\ny\n"
         rows = [make_row("a", "p", jobs=3), make_row("c", "q", jobs=4)]
         lines = fill_parts(page, rows).splitlines()
--- a/tests/test_minion.py
+++ b/tests/test_minion.py
@@ -1,4 +1,4 @@
-"""Contract tests of the minion clients, with fault cases in tables."""
+"""Contract tests of the minion clients: the HTTP client and the fake pass the same cases."""
 
 import contextlib
 import itertools
@@ -27,7 +27,7 @@
 
 
 class FakeCounters:
-    """Counts by name and labels."""
+    """Counters by name and labels."""
 
     def __init__(self):
         self.values = Counter()
@@ -40,7 +40,13 @@
 
 
 class Case(NamedTuple):
-    """One row: the fault, the wait, what is raised and how often it starts."""
+    """A test case; its name is also the id of the task.
+
+    :param fault: fault to inject
+    :param limit_ms: timeout of the task in milliseconds
+    :param raises: class of the expected error, or None
+    :param starts: expected number of starts of the task
+    """
 
     name: str
     fault: object
@@ -50,7 +56,7 @@
 
 
 class MemoryContractTest(unittest.TestCase):
-    """The table against the fake, and a stop."""
+    """Outcomes and stops of tasks, with the fake client."""
 
     CASES = (
         Case("ok", Fault(), LONG_MS, None, 1),
@@ -122,7 +128,7 @@
 
 
 class HttpContractTest(MemoryContractTest):
-    """The same against the stand-in, over sockets."""
+    """The same contract with the HTTP client against the stand-in minion, over sockets."""
 
     CASES = (
         Case("ok", Faults(), LONG_MS, None, 1),
@@ -161,7 +167,7 @@
             while not self.running():
                 eventlet.sleep(0.001)
 
-    def test_frozen_task_starts_once_after_its_caller_gave_up(self):
+    def test_frozen_task_starts_once_after_its_client_timed_out(self):
         self.switch(Faults(freeze=True))
         with self.assertRaises(TaskUnknown):
             self.client.run(self.minion, "late", b'{"run_ms": 1}', LIMIT_MS)
@@ -180,40 +186,43 @@
         self.assertEqual(1, self.counters.get(minion_module.REQUESTS_METRIC, **labels))
 
     def test_never_more_connections_than_announced(self):
-        opened = []
-        peaks = []
+        connections = []
+        open_counts = []
 
-        class Watched(endpoint_module.EndpointConnection):
+        class RecordingConnection(endpoint_module.EndpointConnection):
             def connect(self):
                 super().connect()
-                opened.append(self)
-                peaks.append(sum(connection.sock is not None for connection in opened))
+                connections.append(self)
+                open_counts.append(sum(connection.sock is not None for connection in connections))
 
-        self.enterContext(mock.patch.object(endpoint_module.EndpointPool, "ConnectionCls", Watched))
+        self.enterContext(
+            mock.patch.object(endpoint_module.EndpointPool, "ConnectionCls", RecordingConnection)
+        )
         self.run_many("calm")
-        self.assertEqual(self.minion.connections, max(peaks))
+        self.assertEqual(self.minion.connections, max(open_counts))
         self.assertEqual(self.minion.connections, self.standin.peak_connections)
-        # Callers killed in any state, waiting ones included, leave no connection too many.
-        for turns, first in itertools.product(range(1, 8), (0, self.minion.connections)):
+        # Callers that are killed in any state, also while they wait for a connection, must not
+        # make the client exceed the announced number of connections afterwards.
+        for switches, first in itertools.product(range(1, 8), (0, self.minion.connections)):
             tasks = [
                 eventlet.spawn(
-                    self.outcome, Case(f"{turns}/{first}/{index}", None, LONG_MS, None, 1)
+                    self.outcome, Case(f"{switches}/{first}/{index}", None, LONG_MS, None, 1)
                 )
                 for index in range(9)
             ]
-            for _ in range(turns):
+            for _ in range(switches):
                 eventlet.sleep(0)
             for task in tasks[first:]:
                 task.kill()
-            self.run_many(f"after {turns}/{first}")
-            self.assertEqual(self.minion.connections, max(peaks))
+            self.run_many(f"after {switches}/{first}")
+            self.assertEqual(self.minion.connections, max(open_counts))
         self.assertEqual(0, self.standin.report()["started_more_than_once"])
 
-    def test_request_leaves_in_one_piece(self):
-        plain = mock.patch.object(
+    def test_headers_and_body_are_sent_at_once(self):
+        patched_send = mock.patch.object(
             HTTPConnection, "send", autospec=True, side_effect=HTTPConnection.send
         )
-        with plain as send:
+        with patched_send as send:
             self.run_many("one")
         self.assertEqual(40, send.call_count)
         self.assertTrue(send.call_args.args[1].endswith(b'{"run_ms": 5, "value": [1]}'))
@@ -232,7 +241,12 @@
 
 
 class RawMinion:
-    """Answers each connection's requests by a script, and counts tasks read."""
+    """Minion on a raw socket that answers requests as scripted and counts them by task.
+
+    An item of the script is the bytes to answer with, followed by a close of the connection if
+    they end in ``+close``; "close" or "reset" to end the connection without an answer; or None
+    to keep it open without an answer.
+    """
 
     def __init__(self, *script):
         self.script = list(script)
@@ -276,7 +290,10 @@
 
 
 class WireFaultsTest(unittest.TestCase):
-    """Faults below HTTP, each over a connection that was kept alive."""
+    """Faults of the connection and malformed responses, each on a reused connection.
+
+    A task must never be sent a second time after such a fault.
+    """
 
     def start(self, *script):
         raw = RawMinion(OK_ANSWER, *script)
@@ -326,17 +343,17 @@
         self.assertEqual([1, 1, 1], list(raw.starts.values()))
 
     def test_connect_timeout_is_unknown(self):
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        self.addCleanup(full.close)
-        address = full.getsockname()
+        listener = socket.socket()
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        self.addCleanup(listener.close)
+        address = listener.getsockname()
         for _ in range(3):
-            filler = socket.socket()
-            self.addCleanup(filler.close)
-            filler.settimeout(0.01)
+            pending = socket.socket()
+            self.addCleanup(pending.close)
+            pending.settimeout(0.01)
             with contextlib.suppress(OSError):
-                filler.connect(address)
+                pending.connect(address)
         client = HttpMinionClient(FakeCounters())
         target = Announcement("fitting", f"http://127.0.0.1:{address[1]}", 8, 4)
         with self.assertRaises(TaskUnknown):
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages say what the code does."""
+"""Tests that the documentation pages match the code."""
 
 import ast
 import json
@@ -25,49 +25,53 @@
 EXAMPLES = ROOT / "examples"
 PACKAGE = ROOT / "geraniumspool"
 OPERATIONS = ROOT / "docs" / "OPERATIONS.md"
-FOR_TRIALS = frozenset({"standin_store", "standin_minion", "demo", "load", "workload"})
+TRIAL_MODULES = frozenset({"standin_store", "standin_minion", "demo", "load", "workload"})
 CODE = re.compile(r"[a-z]+(?:_[a-z]+)+|internal")
-ANSWERS = frozenset({"reply_problem", "_refuse", "NoAnswer", "Verdict", "Answer"})
+CODE_CALLS = frozenset({"reply_problem", "_refuse", "NoAnswer", "Verdict", "Answer"})
 PROGRAM = "geraniumspool"
 OUTCOMES = frozenset({"not_run", "may_have_run"})
 
 
 def find_pages():
-    """Return every page, generated folders left out."""
+    """Return the paths of all documentation pages."""
     folders = (ROOT, ROOT / "docs", ROOT / "docs" / "decisions", EXAMPLES)
     return sorted(page for folder in folders for page in folder.glob("*.md"))
 
 
 def read_blocks(page, language):
-    """Return the code blocks of a language with the line that each begins on."""
+    """Yield the line number and text of each code block in a language."""
     text = page.read_text(encoding="utf-8")
     pattern = rf"^```{language}\n(.*?)^```$"
     for match in re.finditer(pattern, text, re.MULTILINE | re.DOTALL):
         yield text.count("\n", 0, match.start()) + 1, match[1]
 
 
-def anchors_of(page):
-    """Return the anchors of a page's headings."""
+def find_anchors(page):
+    """Return the link anchors of a page's headings."""
     headings = re.findall(r"^#+ (.+)$", page.read_text(encoding="utf-8"), re.MULTILINE)
     return {re.sub(r"[^a-z0-9 _-]", "", heading.lower()).replace(" ", "-") for heading in headings}
 
 
 def read_trees():
-    """Yield the syntax tree of each module that serves callers and operators."""
+    """Yield the syntax tree of each module, without those for trials only."""
     for path in sorted(PACKAGE.glob("*.py")):
-        if path.stem not in FOR_TRIALS:
+        if path.stem not in TRIAL_MODULES:
             yield ast.parse(path.read_text(encoding="utf-8"))
 
 
-def find_texts(node):
-    """Return texts by which a node of the package's source may name a code."""
+def find_code_expressions(node):
+    """Return the syntax nodes of expressions that may be codes.
+
+    These are the attribute ``code`` of a class, module constants, and arguments of the calls in
+    ``CODE_CALLS``.
+    """
     if isinstance(node, ast.ClassDef):
         return [item.value for item in node.body if isinstance(item, ast.Assign) and _is_code(item)]
     if isinstance(node, ast.Module):
         return [item.value for item in node.body if isinstance(item, ast.Assign)]
     if isinstance(node, ast.Call):
         name = getattr(node.func, "id", getattr(node.func, "attr", ""))
-        return node.args if name in ANSWERS else []
+        return node.args if name in CODE_CALLS else []
     return []
 
 
@@ -76,29 +80,29 @@
 
 
 def find_codes():
-    """Return every code that the package can answer, record or log."""
+    """Return all codes of errors and decisions that the package uses."""
     codes = set(EXPLANATIONS)
     for tree in read_trees():
         for node in ast.walk(tree):
-            values = [getattr(text, "value", None) for text in find_texts(node)]
+            values = [getattr(text, "value", None) for text in find_code_expressions(node)]
             codes.update(v for v in values if isinstance(v, str) and CODE.fullmatch(v))
     return codes
 
 
-def find_rows(text):
-    """Return the names in the first cells of all tables in a text."""
+def find_first_cells(text):
+    """Return the names in code style in the first column of all tables in a text."""
     cells = re.findall(r"^\| ([^|]*) \|", text, re.MULTILINE)
     return {name for cell in cells for name in re.findall(r"`(\w+)`", cell)}
 
 
 def find_counters():
-    """Return the names of all counters that the package raises."""
+    """Return the names of all counters that the package increments."""
     pattern = re.compile(r"(?:counters|metrics)\.add\(\s*\"([a-z_]+)\"")
     return {name for path in PACKAGE.glob("*.py") for name in pattern.findall(path.read_text())}
 
 
 class PagesTest(unittest.TestCase):
-    """Commands, codes, settings, examples and links in the pages."""
+    """Commands, codes, settings, examples and links in the documentation."""
 
     def setUp(self):
         before = os.getcwd()
@@ -106,29 +110,29 @@
         self.addCleanup(os.chdir, before)
         point_commands(self, "h:1", "t")
 
-    def test_commands_in_blocks_are_understood(self):
-        seen = 0
+    def test_commands_in_code_blocks_parse(self):
+        checked = 0
         for page in find_pages():
             for line, block in read_blocks(page, "sh"):
                 lines = block.splitlines()
                 for command in [text for text in lines if text.startswith(f"{PROGRAM} ")]:
                     words = shlex.split(command.split(" & ")[0], comments=True)
-                    seen += 1
+                    checked += 1
                     with self.subTest(page=page.name, line=line, command=command):
                         self.assertIsNotNone(cli._understand(words[1:]).run)
-        self.assertGreater(seen, 20)
+        self.assertGreater(checked, 20)
 
-    def test_idempotency_keys_are_taken(self):
-        seen = 0
+    def test_idempotency_keys_are_valid(self):
+        checked = 0
         for page in find_pages():
             text = page.read_text(encoding="utf-8")
             for key in re.findall(r"Idempotency-Key: ([^\s`'\"]+)", text):
-                seen += 1
+                checked += 1
                 with self.subTest(page=page.name, key=key):
                     self.assertTrue(key.startswith("$") or parse_key(key))
-        self.assertGreater(seen, 2)
+        self.assertGreater(checked, 2)
 
-    def test_commands_in_texts_exist(self):
+    def test_commands_in_text_exist(self):
         commands = cli.Commands(cli.Plan())
         for page in find_pages():
             text = page.read_text(encoding="utf-8")
@@ -144,19 +148,19 @@
         for name in names:
             self.assertIn(f"`{PROGRAM} {name}", text)
 
-    def test_every_code_is_explained(self):
+    def test_every_code_is_documented(self):
         text = OPERATIONS.read_text(encoding="utf-8")
         codes = find_codes()
         self.assertLessEqual({"job_conflict", "body_incomplete", "home_silent"}, codes)
-        self.assertEqual(sorted(codes - OUTCOMES - find_rows(text)), [])
+        self.assertEqual(sorted(codes - OUTCOMES - find_first_cells(text)), [])
         reading = text.split("## Reading why")[1].split("## Drain")[0]
-        self.assertEqual(sorted(EXPLANATIONS.keys() - find_rows(reading)), [])
+        self.assertEqual(sorted(EXPLANATIONS.keys() - find_first_cells(reading)), [])
 
-    def test_every_counter_is_explained(self):
+    def test_every_counter_is_documented(self):
         text = OPERATIONS.read_text(encoding="utf-8")
-        self.assertEqual(sorted(find_counters() - find_rows(text)), [])
+        self.assertEqual(sorted(find_counters() - find_first_cells(text)), [])
 
-    def test_settings_and_documents_stand_with_their_defaults(self):
+    def test_settings_and_documents_are_listed_with_their_defaults(self):
         text = OPERATIONS.read_text(encoding="utf-8")
         entry, agent = text.split("### Entry")[1].split("## Configuration")[0].split("### Agent")
         documents = text.split("## Configuration")[1].split("## Commands")[0]
@@ -167,7 +171,7 @@
             for field in kind._fields:
                 with self.subTest(kind=kind.__name__, field=field):
                     self.assertIn(field, rows)
-                    self.assertEqual(rows[field], show_default(kind, field, part is documents))
+                    self.assertEqual(rows[field], format_default(kind, field, part is documents))
 
     def test_examples_parse(self):
         for page in find_pages():
@@ -181,7 +185,7 @@
                 with self.subTest(page=page.name, line=line):
                     compile(block, page.name, "exec")
 
-    def test_files_of_examples_are_clean(self):
+    def test_example_files_are_valid(self):
         files = sorted(EXAMPLES.glob("*/*.yaml"))
         kinds = Counter(path.stem.partition("-")[0] for path in files)
         self.assertEqual((kinds["entry"], kinds["agent"]), (2 * 3, 2 * 11))
@@ -206,11 +210,11 @@
                     target = page.parent / path if path else page
                     self.assertTrue(target.exists())
                     if anchor:
-                        self.assertIn(anchor, anchors_of(target))
+                        self.assertIn(anchor, find_anchors(target))
 
 
-def show_default(kind, field, in_document):
-    """Return how a table shows a field's default."""
+def format_default(kind, field, in_document):
+    """Return a field's default as the tables in the documentation write it."""
     if field not in kind._field_defaults:
         return "required"
     default = kind._field_defaults[field]
@@ -220,7 +224,7 @@
 
 
 def check_json(text):
-    """Check a JSON example, as what it is an example of."""
+    """Check a JSON example with the parser that its keys point to."""
     value = json.loads(text)
     if "count" in value:
         parse_ticket_order(text.encode())
@@ -235,7 +239,7 @@
 
 
 def check_yaml(text):
-    """Return the findings in an example of settings."""
+    """Return the errors found in an example of a settings file."""
     with tempfile.NamedTemporaryFile("w", suffix=".yaml") as file:
         file.write(text)
         file.flush()
--- a/tests/test_standin_minion.py
+++ b/tests/test_standin_minion.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in for a minion: counters, faults, announcing."""
+"""Tests of the stand-in for a minion: counts, fault injection, registration."""
 
 import json
 import unittest
@@ -12,7 +12,7 @@
 
 
 class StandinTest(unittest.TestCase):
-    """The stand-in over HTTP."""
+    """Tasks, counts and faults over HTTP."""
 
     def setUp(self):
         self.http = urllib3.PoolManager(retries=False, timeout=5, maxsize=8)
@@ -64,19 +64,19 @@
         self.call(standin, "PUT", "/faults", b"{}")
         self.assertEqual(200, frozen.wait()[0])
 
-    def test_runs_its_whole_time(self):
+    def test_task_takes_its_whole_run_time(self):
         clock = ManualClock()
         standin = self.start(clock=clock)
         run = eventlet.spawn(self.post, standin, "whole", b'{"run_ms": 50}')
         with eventlet.Timeout(5):
             while not standin.running:
                 eventlet.sleep(0.001)
-        for passed, running in ((49.0, 1), (0.9, 1), (0.1, 0)):
-            clock.advance(passed)
+        for advance_ms, running in ((49.0, 1), (0.9, 1), (0.1, 0)):
+            clock.advance(advance_ms)
             self.assertEqual(running, standin.running)
         self.assertEqual(200, run.wait()[0])
 
-    def test_failures_repeat_with_the_seed(self):
+    def test_same_seed_gives_same_failures(self):
         def statuses(seed):
             standin = self.start(seed)
             self.call(standin, "PUT", "/faults", b'{"fail_share": 0.5}')
@@ -89,7 +89,7 @@
 
 
 class AnnounceTest(unittest.TestCase):
-    """Announcing to an agent and leaving it."""
+    """Registration with an agent, and deregistration."""
 
     def setUp(self):
         self.calls = []
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -1,4 +1,4 @@
-"""Tests of the model of the served jobs."""
+"""Tests of the random model of jobs and arrivals."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 
 
 class MixTest(unittest.TestCase):
-    """Widths, run times and declarations of the named mixes."""
+    """Widths, run times and declared run times of the predefined distributions of jobs."""
 
     def draw(self, name, count=DRAWS, **changes):
         source = random.Random(7)
@@ -46,7 +46,7 @@
                 self.assertTrue(least <= min(widths) and max(widths) <= most)
                 self.assertTrue(shortest <= min(times) and max(times) <= longest)
 
-    def test_mean_work_is_that_of_the_draws(self):
+    def test_mean_work_matches_the_generated_jobs(self):
         for name, mix in MIXES.items():
             with self.subTest(name):
                 count = 500 if name == "wide" else DRAWS
@@ -54,7 +54,7 @@
                 self.assertAlmostEqual(mean / mix.mean_work_ms, 1.0, delta=0.1)
 
     def test_brief_work_is_spread_over_widths(self):
-        """About half of the work is in wide jobs, half of the jobs are narrow."""
+        """Wide jobs make up about half of the work, narrow jobs over half of all jobs."""
         jobs = self.draw("brief")
         work = sum(job.work_ms for job in jobs)
         wide = sum(job.work_ms for job in jobs if job.is_wide) / work
@@ -74,7 +74,7 @@
 
 
 class TimeTest(unittest.TestCase):
-    """Ideal response times and arrivals."""
+    """Ideal response times, arrival rates and arrival times."""
 
     def test_ideal(self):
         cases = [
@@ -87,8 +87,8 @@
                 plan = JobPlan(tuple(TaskPlan(run_ms) for run_ms in times), "opticians")
                 self.assertAlmostEqual(ideal_ms(plan, slots, trip_ms), expected)
 
-    def test_rate_offers_the_share(self):
-        """Single tasks of 50 ms: 88 slots do 1760 a second."""
+    def test_rate_for_a_load_share(self):
+        """88 slots run 1760 single tasks of 50 ms per second; half of that is 880."""
         self.assertAlmostEqual(rate_for_share(MIXES["light"], 0.5, 88), 880)
 
     def test_arrivals_are_ordered_and_bursts_are_faster(self):
