--- a/geraniumspool/standin_minion.py
+++ b/geraniumspool/standin_minion.py
@@ -130,7 +130,7 @@
         self._random = random.Random(seed)
         self._announce_period_ms = announce_period_ms
         self._runs: dict[str, list[Event]] = {}
-        self._unfrozen: Event | None = None
+        self._thaw_event: Event | None = None
         self._pool = eventlet.GreenPool(POOL_SIZE)
         self._listener = None
         self._server: GreenThread | None = None
@@ -201,11 +201,11 @@
         :param faults: faults to inject from now on
         """
         self.faults = faults
-        if faults.freeze and self._unfrozen is None:
-            self._unfrozen = Event()
-        elif not faults.freeze and self._unfrozen is not None:
-            self._unfrozen.send()
-            self._unfrozen = None
+        if faults.freeze and self._thaw_event is None:
+            self._thaw_event = Event()
+        elif not faults.freeze and self._thaw_event is not None:
+            self._thaw_event.send()
+            self._thaw_event = None
 
     def report(self) -> StartsReport:
         """Return the counts of starts and running tasks."""
@@ -318,8 +318,8 @@
         return _respond(start_response, "200 OK", faults._asdict())
 
     def _wait_while_frozen(self) -> None:
-        while self._unfrozen is not None:
-            self._unfrozen.wait()
+        while self._thaw_event is not None:
+            self._thaw_event.wait()
 
     def _consume_early_close(self) -> bool:
         left = self.faults.early_close
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -129,9 +129,9 @@
             place_table("no place", "new")
 
     def test_aims(self):
-        """A target is compared with the worst row of the policies in use.
+        """An aim is compared with the worst row of the chosen policies.
 
-        A target without a measurement is not shown as met.
+        An aim without a measurement is not shown as met.
         """
         rows = [
             make_row("light", "x", chosen=True, messages_per_task=2.0),
--- a/tests/test_minion.py
+++ b/tests/test_minion.py
@@ -218,7 +218,7 @@
             self.assertEqual(self.minion.connections, max(open_counts))
         self.assertEqual(0, self.standin.report()["started_more_than_once"])
 
-    def test_headers_and_body_are_sent_at_once(self):
+    def test_request_is_sent_in_one_call(self):
         patched_send = mock.patch.object(
             HTTPConnection, "send", autospec=True, side_effect=HTTPConnection.send
         )
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -33,7 +33,7 @@
 
 
 def find_pages():
-    """Return the paths of all documentation pages."""
+    """Return the paths of all documentation pages, without those in generated folders."""
     folders = (ROOT, ROOT / "docs", ROOT / "docs" / "decisions", EXAMPLES)
     return sorted(page for folder in folders for page in folder.glob("*.md"))
 
@@ -53,7 +53,10 @@
 
 
 def read_trees():
-    """Yield the syntax tree of each module, without those for trials only."""
+    """Yield the syntax tree of each module that serves callers or operators.
+
+    Modules that are only used in trials are left out.
+    """
     for path in sorted(PACKAGE.glob("*.py")):
         if path.stem not in TRIAL_MODULES:
             yield ast.parse(path.read_text(encoding="utf-8"))
