--- a/geraniumspool/arguments.py
+++ b/geraniumspool/arguments.py
@@ -7,6 +7,7 @@
 
 ENTRY_VARIABLE = "GERANIUMSPOOL_ENTRY"
 TOKEN_VARIABLE = "GERANIUMSPOOL_TOKEN"
+# Fire passes this text for a flag that is given without a value.
 FLAG_WITHOUT_VALUE = "True"
 
 
--- a/geraniumspool/cli.py
+++ b/geraniumspool/cli.py
@@ -47,6 +47,8 @@
 
 PROGRAM = "geraniumspool"
 MIN_TICKET_CHARS = 40
+# A ticket may begin with "-", which Fire would take for a flag. Such a ticket, recognised by its
+# length, is therefore passed as the value of the flag given here for each command.
 TICKET_FLAGS = {"job": "--ticket", "cancel": "--ticket", "why": "--subject"}
 HELP_NOTICE = "INFO: Showing help"
 STANDARD_INPUT = "/dev/stdin"
--- a/geraniumspool/demo.py
+++ b/geraniumspool/demo.py
@@ -129,7 +129,7 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean sum of the run times of a job's tasks, in milliseconds."""
+        """Mean work of a job, the sum of its tasks' run times, in milliseconds."""
         wide = self.wide_share * self.wide.mean_work_ms
         return wide + (1 - self.wide_share) * self.single.mean_work_ms
 
--- a/geraniumspool/workload.py
+++ b/geraniumspool/workload.py
@@ -70,7 +70,7 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean sum of the run times of a job's tasks, in milliseconds."""
+        """Mean work of a job, the sum of its tasks' run times, in milliseconds."""
 
     def draw(self, source: random.Random, team: str) -> JobPlan:
         """Return a random job.
@@ -247,7 +247,7 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean sum of the run times of a job's tasks, in milliseconds."""
+        """Mean work of a job, the sum of its tasks' run times, in milliseconds."""
         return self.widths.mean * self.run_times.mean_ms
 
     def draw(self, source: random.Random, team: str) -> JobPlan:
