--- a/geraniumspool/demo.py
+++ b/geraniumspool/demo.py
@@ -2,7 +2,7 @@
 
 It starts three failure domains with one entry each, eleven agents with one minion
 each, and a store, which communicate over real sockets. While jobs run, one minion
-deregisters and the store is unavailable for part of the time. The report is printed
+unregisters and the store is unavailable for part of the time. The report is printed
 as one line of JSON; it takes the starts of tasks from the minions' own counts rather
 than from the dispatcher's.
 """
--- a/geraniumspool/standin_minion.py
+++ b/geraniumspool/standin_minion.py
@@ -335,7 +335,7 @@
 
 
 class _Announcer:
-    """Registers a minion with an agent periodically, and deregisters it."""
+    """Registers a minion with an agent periodically, and unregisters it."""
 
     def __init__(self, agent_url: str, announcement: Announcement, period_ms: float, clock: Clock):
         self._url = agent_url.rstrip("/") + AGENT_PATH
