--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher; green sockets and timers are switched on here."""
+"""Tests of the dispatcher. Importing the package monkey-patches the standard library."""
 
 import warnings
 
--- a/tests/check.py
+++ b/tests/check.py
@@ -1,7 +1,7 @@
-"""Runs all tests; those that KNOWN-RED.txt names may fail, and are printed.
+"""Run all tests, and tolerate failures of exactly those that KNOWN-RED.txt lists.
 
-Run as ``python -m tests.check``. A known red test that passes fails the run too: its
-line has to go.
+Run as ``python -m tests.check``. Known failures are printed. The run also fails when a listed
+test passes, so that its line is removed from the file.
 """
 
 import sys
@@ -10,13 +10,16 @@
 
 ROOT = Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN = 3
+MAX_KNOWN_FAILURES = 3
 
 
 def read_known(path: Path = KNOWN_RED) -> dict[str, str]:
-    """Return the reasons of the known red tests by their ids.
+    """Return the tests that are known to fail: the reason of each by test id.
 
-    :raises ValueError: if there are too many, or a line names no test
+    :param path: file with one ``id: reason`` per line; empty lines are skipped, and a
+        missing file lists no test
+    :raises ValueError: if a line has no test id or no reason, or if the file lists more than
+        ``MAX_KNOWN_FAILURES`` tests
     """
     if not path.exists():
         return {}
@@ -25,21 +28,25 @@
     for line in lines:
         name, _, reason = line.partition(": ")
         if not name.startswith("tests.") or not reason:
-            raise ValueError(f"no test and reason in {path.name}: {line}")
+            raise ValueError(f"{path.name}: not of the form 'tests.ID: REASON': {line}")
         known[name] = reason
-    if len(known) > MOST_KNOWN:
-        raise ValueError(f"{path.name} has {len(known)} lines, {MOST_KNOWN} at most")
+    if len(known) > MAX_KNOWN_FAILURES:
+        raise ValueError(f"{path.name} lists {len(known)} tests, at most {MAX_KNOWN_FAILURES}")
     return known
 
 
 def judge(result: unittest.TestResult, known: dict[str, str]) -> tuple[set[str], set[str]]:
-    """Return the tests that failed without being known, and the known ones that did not fail."""
-    red = {_name(test) for test, _ in (*result.failures, *result.errors)}
-    return red - known.keys(), known.keys() - red
+    """Compare the failures and errors of a run with the known failures.
+
+    :returns: ids of the tests that failed but aren't known to, and of the known failures that
+        did not fail
+    """
+    failed = {_test_id(test) for test, _ in (*result.failures, *result.errors)}
+    return failed - known.keys(), known.keys() - failed
 
 
 def main() -> int:
-    """Run the tests; return the exit code."""
+    """Run all tests and return the exit code."""
     known = read_known()
     tests = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
     result = unittest.TextTestRunner(verbosity=0).run(tests)
@@ -55,8 +62,8 @@
     return 1 if failed or result.unexpectedSuccesses else 0
 
 
-def _name(test: unittest.TestCase) -> str:
-    """Return the id of a test, of the whole test where a subtest failed."""
+def _test_id(test: unittest.TestCase) -> str:
+    """Return the id of a test; for a failed subtest, the id of the test that contains it."""
     return getattr(test, "test_case", test).id()
 
 
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,4 +1,4 @@
-"""Tests of the run of all tests and its list of known red ones."""
+"""Tests of the test runner and its list of known failures."""
 
 import tempfile
 import unittest
@@ -7,8 +7,8 @@
 from tests import check
 
 
-class Sample(unittest.TestCase):
-    """Tests that are run here only."""
+class SampleTests(unittest.TestCase):
+    """Methods without the prefix ``test``, which the loader skips and this module runs."""
 
     def passes(self):
         pass
@@ -22,34 +22,34 @@
 
 
 def run(*names):
-    """Return the result of some sample tests."""
+    """Run sample tests by method name and return the result."""
     result = unittest.TestResult()
-    unittest.TestSuite(map(Sample, names)).run(result)
+    unittest.TestSuite(map(SampleTests, names)).run(result)
     return result
 
 
-def name_of(name):
+def sample_id(name):
     """Return the id of a sample test."""
-    return f"{Sample.__module__}.Sample.{name}"
+    return f"{SampleTests.__module__}.SampleTests.{name}"
 
 
 class CheckTest(unittest.TestCase):
-    """What makes the run fail."""
+    """Conditions under which the run fails."""
 
-    def test_only_known_tests_may_fail_and_they_have_to(self):
-        fails, passes = name_of("fails"), name_of("passes")
+    def test_exactly_the_known_tests_must_fail(self):
+        fails, passes = sample_id("fails"), sample_id("passes")
         rows = [
             (("passes",), {}, set(), set()),
             (("passes", "fails"), {}, {fails}, set()),
             (("passes", "fails"), {fails: "r"}, set(), set()),
             (("passes",), {passes: "r"}, set(), {passes}),
-            (("fails_in_a_subtest",), {name_of("fails_in_a_subtest"): "r"}, set(), set()),
+            (("fails_in_a_subtest",), {sample_id("fails_in_a_subtest"): "r"}, set(), set()),
         ]
         for names, known, unknown, mended in rows:
             with self.subTest(names=names, known=known):
                 self.assertEqual((unknown, mended), check.judge(run(*names), known))
 
-    def test_the_list_is_checked(self):
+    def test_malformed_lists_are_rejected(self):
         line = "tests.a.B.c: reason\n"
         others = "".join(f"tests.a.B.{name}: reason\n" for name in "defg")
         with tempfile.TemporaryDirectory() as folder:
@@ -62,5 +62,5 @@
                 with self.assertRaises(ValueError):
                     check.read_known(path)
 
-    def test_the_list_of_this_project_can_be_read(self):
+    def test_this_projects_list_is_valid(self):
         check.read_known()
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,8 +1,8 @@
-"""Golden files: whole sessions of callers and operators, request by request.
+"""Golden file tests: sessions of callers and operators, request by request.
 
-Written anew with ``GERANIUMSPOOL_WRITE_GOLDEN=1``. What differs from run to
-run is replaced by names in order of appearance; what depends on placement or
-on speed has one name for all.
+``GERANIUMSPOOL_WRITE_GOLDEN=1`` rewrites the files. Values that differ from run to run are
+replaced by placeholders numbered in order of appearance; values that depend on placement or on
+timing by one fixed placeholder per field.
 """
 
 import json
@@ -32,7 +32,7 @@
 WRITE_VARIABLE = "GERANIUMSPOOL_WRITE_GOLDEN"
 HEADERS = ("Content-Type", "Allow", "Retry-After")
 TICKET = re.compile(r"[A-Za-z0-9_-]{60,}")
-FIXED = {
+FIXED_PLACEHOLDERS = {
     "minion": "<minion>",
     "task": "<task>",
     "decision": "<decision>",
@@ -47,68 +47,75 @@
     "home": "<address>",
     "Idempotency-Key": "<key>",
 }
-PATTERNS = (
+NUMBERED_PATTERNS = (
     (re.compile(r"tcp://[0-9.]+:[0-9]+"), "address"),
     (re.compile(r"(?<=revision )[0-9]+"), "revision"),
 )
-SPEED = re.compile(r"[0-9.]+(?= ms)")
+DURATION = re.compile(r"[0-9.]+(?= ms)")
 
 
-class Names:
-    """Stable names for values that differ from run to run."""
+class Placeholders:
+    """Stable placeholders for values that differ from run to run."""
 
     def __init__(self):
-        """Start with none."""
-        self._names: dict[tuple[str, str], str] = {}
+        """Start without placeholders."""
+        self._placeholders: dict[tuple[str, str], str] = {}
 
-    def name(self, kind: str, value: object) -> str:
-        """Return the name of a value, by order of appearance within its kind."""
+    def placeholder(self, kind: str, value: object) -> str:
+        """Return the placeholder of a value, numbered by order of appearance within its kind."""
         key = (kind, str(value))
-        if key not in self._names:
-            count = sum(known == kind for known, _ in self._names) + 1
-            self._names[key] = f"<{kind}-{count}>"
-        return self._names[key]
+        if key not in self._placeholders:
+            count = sum(known == kind for known, _ in self._placeholders) + 1
+            self._placeholders[key] = f"<{kind}-{count}>"
+        return self._placeholders[key]
 
-    def clean(self, value, key: str = ""):
-        """Return a document with names in place of volatile values."""
+    def replace_volatile(self, value, key: str = ""):
+        """Return a copy of a document with placeholders in place of volatile values.
+
+        :param value: decoded JSON
+        :param key: name of the field that holds the value; empty for none
+        """
         if isinstance(value, dict):
-            return {name: self.clean(inner, name) for name, inner in value.items()}
+            return {name: self.replace_volatile(inner, name) for name, inner in value.items()}
         if isinstance(value, list):
-            return [self.clean(inner, key) for inner in value]
-        if key in FIXED and value is not None and not isinstance(value, dict | list):
-            return FIXED[key]
+            return [self.replace_volatile(inner, key) for inner in value]
+        if key in FIXED_PLACEHOLDERS and value is not None and not isinstance(value, dict | list):
+            return FIXED_PLACEHOLDERS[key]
         if key in ("revision", "expected_revision", "newest", "config_revision") and value:
-            return self.name("revision", value)
+            return self.placeholder("revision", value)
         if key == "subject":
-            return self.name("job", value)
-        return self._clean_text(value) if isinstance(value, str) else value
+            return self.placeholder("job", value)
+        return self._replace_in_text(value) if isinstance(value, str) else value
 
-    def _clean_text(self, text: str) -> str:
-        text = TICKET.sub(lambda found: self.name("ticket", found[0]), text)
-        for pattern, kind in PATTERNS:
-            text = pattern.sub(lambda found, kind=kind: self.name(kind, found[0]), text)
-        return SPEED.sub("<ms>", text)
+    def _replace_in_text(self, text: str) -> str:
+        text = TICKET.sub(lambda found: self.placeholder("ticket", found[0]), text)
+        for pattern, kind in NUMBERED_PATTERNS:
+            text = pattern.sub(lambda found, kind=kind: self.placeholder(kind, found[0]), text)
+        return DURATION.sub("<ms>", text)
 
 
 class Recorder:
-    """Does a session's requests and notes them with their answers."""
+    """Sends the requests of a session and records them with their responses.
+
+    :ivar steps: requests and responses with placeholders, in the order of the responses
+    """
 
     def __init__(self, small: Small):
-        """Start with nothing noted."""
+        """Start with nothing recorded."""
         self.small = small
         self.steps: list[dict] = []
-        self._names = Names()
+        self._placeholders = Placeholders()
 
     def call(self, method: str, path: str, body=None, entry: int = 0, **headers):
-        """Ask the callers' interface and note it."""
-        return self.note("callers", method, path, body, entry, headers)
+        """Send a request to the callers' API and record it."""
+        return self.record("callers", method, path, body, entry, headers)
 
     def operate(self, method: str, path: str, body=None, entry: int = 0):
-        """Ask the operators' interface and note it."""
-        return self.note("operators", method, path, body, entry, {})
+        """Send a request to the operators' API and record it."""
+        return self.record("operators", method, path, body, entry, {})
 
-    def note(self, listener, method, path, body, entry, headers):
-        """Ask, and note request and answer in the order of the answers."""
+    def record(self, listener, method, path, body, entry, headers):
+        """Send a request; record it with its response once that has arrived."""
         if listener == "callers":
             answered = self.small.call(method, path, body, entry, **headers)
         else:
@@ -123,33 +130,33 @@
             sent["Retry-After"] = "<s>"
         response = {"status": answered.status, "headers": sent, "body": answered.body}
         step = {"request": request, "response": response}
-        self.steps.append(self._names.clean(step))
+        self.steps.append(self._placeholders.replace_volatile(step))
         return answered
 
     def ticket(self) -> str:
-        """Order one ticket."""
+        """Request one ticket."""
         order = {"service": SERVICE, "team": TEAM, "count": 1}
         return self.call("POST", "/v1/tickets", order).body["tickets"][0]
 
     def put(self, ticket: str, values: list, entry: int = 0, run_ms: float = 0, **fields):
-        """Submit a job of quick tasks."""
+        """Submit a job with one short task for each value."""
         job = make_job([make_task(value, run_ms) for value in values], **fields)
         return self.call("PUT", f"/v1/jobs/{ticket}", job, entry)
 
 
 class GoldenTest(unittest.TestCase):
-    """Sessions go as they are written down."""
+    """Sessions give the responses that the golden files hold."""
 
     maxDiff = None
 
     def setUp(self):
-        """Start a system of its own, so that sessions don't meet."""
+        """Start a separate deployment for each session."""
         self.small = Small()
         self.addCleanup(self.small.stop)
         self.session = Recorder(self.small)
 
     def check(self, name: str) -> None:
-        """Compare the session with its file, or write it."""
+        """Compare the session with its golden file, which is written first if so requested."""
         path = FOLDER / f"{name}.json"
         text = json.dumps(self.session.steps, indent=2, ensure_ascii=False) + "\n"
         if os.environ.get(WRITE_VARIABLE):
@@ -157,7 +164,7 @@
         self.assertEqual(json.loads(path.read_text(encoding="utf-8")), self.session.steps)
 
     def test_submit(self):
-        """Tickets, a job, its answer, its state, the reasons, a job by POST."""
+        """Get tickets, submit a job, read its state and decisions, submit jobs by POST."""
         session = self.session
         ticket = session.ticket()
         url = f"/v1/jobs/{ticket}"
@@ -173,7 +180,7 @@
         self.check("submit")
 
     def test_resubmit_elsewhere(self):
-        """The same job through another entry, while it runs and afterwards."""
+        """Submit the same job through another entry, while it runs and afterwards."""
         session = self.session
         ticket = session.ticket()
         job = make_job([make_task("once", 700)])
@@ -189,7 +196,7 @@
         self.check("resubmit_elsewhere")
 
     def test_cancel(self):
-        """Before submission, while queued, while running, and when done."""
+        """Cancel before submission, while queued, while running, and when done."""
         session = self.session
         unused = session.ticket()
         session.call("DELETE", f"/v1/jobs/{unused}")
@@ -211,7 +218,7 @@
         self.check("cancel")
 
     def test_leave(self):
-        """An agent leaves: its answers stay, its unused tickets are refused."""
+        """After an agent leaves, its answers are kept and its unused tickets refused."""
         session = self.session
         done, unused = session.ticket(), session.ticket()
         session.put(done, ["kept"])
@@ -229,7 +236,7 @@
         self.check("leave")
 
     def test_refuse(self):
-        """Every kind of refusal, each with what the caller can do next."""
+        """Get every kind of refusal, each with what the caller can do next."""
         session = self.session
         ticket = session.ticket()
         url = f"/v1/jobs/{ticket}"
@@ -257,8 +264,8 @@
         self.check("refuse")
 
 
-class FilesTest(unittest.TestCase):
-    """The files themselves."""
+class GoldenFilesTest(unittest.TestCase):
+    """Contents of the golden files."""
 
     def test_no_secret_in_files(self):
         """The files hold no token and no ticket."""
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the table of lost jobs."""
+"""Tests of the table of jobs that were not served in time."""
 
 import json
 import unittest
@@ -7,13 +7,17 @@
 
 
 def line(second, message, job="j1", prefix="", **fields):
-    """Return a line of a dispatcher's log."""
+    """Return a line of a dispatcher's log.
+
+    :param second: time of the line in seconds after a fixed minute
+    :param prefix: text before the JSON
+    """
     record = {"time": f"2026-03-04T16:41:{second:06.3f}Z", "message": message, "job": job, **fields}
     return prefix + json.dumps(record)
 
 
 class LossesTest(unittest.TestCase):
-    """What is read from lines, and how it is counted."""
+    """Reading of log lines, and counts of what they report."""
 
     def test_each_way_to_lose_a_job(self):
         lines = [
@@ -35,7 +39,7 @@
             read_losses(lines),
         )
 
-    def test_counts_by_stretch(self):
+    def test_counts_by_interval(self):
         losses = [Loss(at, "scan", "late", held) for at, held in ((0.5, 10), (1.9, 30), (2.0, 7))]
         rows = count_losses(losses, 2.0)
         self.assertEqual([[0.0, "scan", "late", 2, 20.0], [2.0, "scan", "late", 1, 7.0]], rows)
--- a/tests/test_patterns.py
+++ b/tests/test_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns replayed against the policy in use and against others."""
+"""Tests of simulated load patterns under the policy in use."""
 
 import unittest
 
@@ -6,39 +6,39 @@
 from benchmarks.pattern_play import Play
 from benchmarks.pattern_policies import IN_USE, POLICIES
 
-ROOM_CPU = 800_000
-# Half of what the tool plays.
+CAPACITY_CPU_MS = 800_000
+# Half the size that ``benchmarks.patterns`` simulates.
 WORKERS = 6
 DISPATCHERS = 2
 
 
 class LoadTest(unittest.TestCase):
-    """What arrives."""
+    """Arrivals that are drawn from a pattern."""
 
     def test_a_load_repeats_by_seed_and_offers_its_share(self):
         for pattern in PATTERNS:
             with self.subTest(pattern=pattern.name):
-                load = draw_load(pattern, ROOM_CPU, 3)
-                self.assertEqual(load, draw_load(pattern, ROOM_CPU, 3))
+                load = draw_load(pattern, CAPACITY_CPU_MS, 3)
+                self.assertEqual(load, draw_load(pattern, CAPACITY_CPU_MS, 3))
                 self.assertEqual(load, sorted(load))
-                offered = sum(arrival.job.work for arrival in load) / (ROOM_CPU * 6 / 1_000)
+                offered = sum(arrival.job.work for arrival in load) / (CAPACITY_CPU_MS * 6 / 1_000)
                 self.assertGreater(offered, 0.7 * pattern.load)
 
     def test_a_burst_of_one_queue_brings_only_its_jobs(self):
-        crowd = next(pattern for pattern in PATTERNS if pattern.only)
-        plain = crowd._replace(bursts=())
+        burst_pattern = next(pattern for pattern in PATTERNS if pattern.only)
+        steady_pattern = burst_pattern._replace(bursts=())
         counts = [
-            sum(arrival.job.queue == SHORT for arrival in draw_load(pattern, ROOM_CPU, 3))
-            for pattern in (crowd, plain)
+            sum(arrival.job.queue == SHORT for arrival in draw_load(pattern, CAPACITY_CPU_MS, 3))
+            for pattern in (burst_pattern, steady_pattern)
         ]
         self.assertEqual(*counts)
 
 
 class WorstLoadTest(unittest.TestCase):
-    """Decisions at the worst load: shares in time, waste, and who is turned away when."""
+    """Decisions under overload and faults: jobs in time, wasted work, and late refusals."""
 
     def play(self, name):
-        """Return what became of a pattern's jobs, with no minion over its room."""
+        """Simulate a pattern, check that no minion exceeded its capacity, and return the result."""
         pattern = next(pattern for pattern in PATTERNS if pattern.name == name)
         played = Play(pattern, POLICIES[IN_USE], workers=WORKERS, dispatchers=DISPATCHERS)
         row = played.run()
@@ -51,12 +51,13 @@
         row = self.play("just full")
         self.assertGreater(row.in_time, 0.85)
         self.assertGreater(row.worst, 0.7)
-        # One of 730: begun, late since it was declared at half of its time, and then last.
+        # One job of 730 is lost: its run time was declared at half of the real one, so it was
+        # late when its turn came, and was served last.
         self.assertLess(row.lost, 0.002)
         self.assertEqual(0.0, round(row.wasted, 3))
 
     def test_nearly_twice_the_load_leaves_most_of_the_room_to_jobs_in_time(self):
-        # Where a job is refused only for being late itself, 0.30 of the room goes to them.
+        # 0.30 of the capacity goes to jobs in time if only jobs already late are refused.
         row = self.play("1.8 times full")
         self.assertGreater(row.goodput, 0.6)
         self.assertGreater(row.wide, 0.5)
@@ -70,7 +71,8 @@
         self.assertLess(row.lost, 0.05)
 
     def test_an_evacuated_domain_leaves_the_rest_as_full_as_a_full_service(self):
-        # Two thirds of the room carry what is 0.9 of it: as many in time as where all are full.
+        # Two thirds of the workers carry 0.9 of their capacity, so as many jobs are in time as
+        # in a service that is just full.
         for name in ("a domain evacuated", "a domain evacuated in a burst"):
             with self.subTest(name=name):
                 row = self.play(name)
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,7 +1,16 @@
-"""Proofs that what must always hold does hold under failure.
-
-Every case ends all faults, delivers what is late, waits a minute of clock
-time, and then holds all answers against the starts that the minions counted.
+"""Tests that the guarantees to callers and operators hold under failures.
+
+Every case ends all faults, delivers delayed messages, lets a minute of simulated time pass, and
+then compares all responses with the starts that the minions counted. What is guaranteed:
+
+* a task is started at most once;
+* every request is answered by the job's deadline plus a margin;
+* callers get the complete answer to their own request;
+* a job answered as "not run" has not run and never will;
+* a request under one idempotency key runs at most once;
+* what leaves gets no new work after a few seconds;
+* a graceful shutdown interrupts nothing that is in flight;
+* accepted configuration is in force within seconds, and stays in force.
 """
 
 import contextlib
@@ -18,9 +27,9 @@
 from geraniumspool.minion import Fault, FaultKind
 from tests.world import SERVICE, TEAM, Job, World
 
-WIDE = (300.0,) * 6
-LATE_MS = 20_000.0
-AFTER_MS = 15_000.0
+WIDE_RUNS_MS = (300.0,) * 6
+LONG_DELAY_MS = 20_000.0
+RUN_OUT_MS = 15_000.0
 
 
 def setUpModule():  # noqa: N802
@@ -31,8 +40,8 @@
     logging.disable(logging.NOTSET)
 
 
-class ProofTest(unittest.TestCase):
-    """Base of the proofs."""
+class GuaranteeTest(unittest.TestCase):
+    """Base class that compares the responses with the starts."""
 
     def make(self, **settings) -> World:
         world = World(**settings)
@@ -41,26 +50,30 @@
 
     @contextlib.contextmanager
     def case(self, settings=None, **names):
-        """Play one case of a table in a world of its own, then hold it."""
+        """Run one case of a table as a subtest in its own world, then check the guarantees.
+
+        :param settings: keyword arguments of :class:`tests.world.World`
+        :param names: parameters that name the subtest
+        """
         with self.subTest(**names):
             world = self.make(**settings or {})
             yield world
-            self.hold(world)
+            self.check_guarantees(world)
 
-    def hold(self, world: World):
-        """End all faults and hold the answers against the starts."""
+    def check_guarantees(self, world: World):
+        """End all faults and check the guarantees."""
         world.quiet()
         self.assertEqual(world.find_violations(), [])
 
-    def leave(self, world: World, process, limit_ms: float):
-        """Let a process leave, and finish all it has, within a time."""
-        leaving = eventlet.spawn(process.application.drain)
+    def drain(self, world: World, process, limit_ms: float):
+        """Drain a process and check that it finishes its work within a time."""
+        draining = eventlet.spawn(process.application.drain)
         world.run(limit_ms)
-        self.assertTrue(leaving.wait())
+        self.assertTrue(draining.wait())
 
 
-def resubmit(world: World, job: Job, entries, pauses=(250.0, 1_000.0, 4_000.0)):
-    """Submit a job, and again after each pause through the next entry."""
+def submit_repeatedly(world: World, job: Job, entries, pauses=(250.0, 1_000.0, 4_000.0)):
+    """Submit a job, then again after each pause in milliseconds through the next living entry."""
     calls = [world.submit(entries[0], job)]
     for turn, pause in enumerate(pauses, 1):
         world.run(pause)
@@ -69,16 +82,16 @@
     return calls
 
 
-def lose(kind, number):
+def lose_next(kind, number):
     return lambda network: network.lose_first.update({kind.__name__: number})
 
 
-def double(kind, late_ms):
-    def switch(network):
+def duplicate(kind, late_ms):
+    def inject(network):
         network.double_delay_ms = late_ms
         network.double_kinds.add(kind.__name__)
 
-    return switch
+    return inject
 
 
 def delay(kind, late_ms):
@@ -90,50 +103,50 @@
     (f"{kind.__name__} {name}", make(kind, amount))
     for kind in KINDS
     for name, make, amount in (
-        ("lost once", lose, 1),
-        ("lost three times", lose, 3),
-        ("lost for good", lose, 10_000),
-        ("doubled", double, 40.0),
-        ("doubled much later", double, LATE_MS),
+        ("lost once", lose_next, 1),
+        ("lost three times", lose_next, 3),
+        ("lost for good", lose_next, 10_000),
+        ("doubled", duplicate, 40.0),
+        ("doubled much later", duplicate, LONG_DELAY_MS),
         ("late", delay, 700.0),
         ("very late", delay, 6_000.0),
     )
 ]
 
 
-class MessageFaultTest(ProofTest):
-    """Points 1 to 4 while messages are lost, doubled or late."""
+class MessageFaultTest(GuaranteeTest):
+    """Starts and answers while messages are lost, duplicated or delayed."""
 
     def run_table(self, play):
-        """Play every fault in one world, so that late copies hit later cases too."""
+        """Run every fault in one world, so that delayed copies also reach later cases."""
         world = self.make()
         entries = list(world.entries)
-        for name, switch in MESSAGE_FAULTS:
-            switch(world.network)
-            job = world.job(world.agents[0], WIDE)._replace(name=name)
+        for name, inject in MESSAGE_FAULTS:
+            inject(world.network)
+            job = world.job(world.agents[0], WIDE_RUNS_MS)._replace(name=name)
             play(world, job, entries)
-            world.run(AFTER_MS)
+            world.run(RUN_OUT_MS)
             world.network.clear()
             world.submit(entries[1], job)
             world.run(500.0)
         world.quiet()
-        wrong = world.find_violations()
+        violations = world.find_violations()
         for name, _ in MESSAGE_FAULTS:
             with self.subTest(fault=name):
-                self.assertEqual([text for text in wrong if text.startswith(name)], [])
-        self.assertEqual(wrong, [])
+                self.assertEqual([text for text in violations if text.startswith(name)], [])
+        self.assertEqual(violations, [])
         return world
 
     def test_resubmission(self):
-        """Starts stay at most one; answers are whole, true and in time."""
-        world = self.run_table(resubmit)
+        """A job is resubmitted; it completes wherever a fault can be overcome."""
+        world = self.run_table(submit_repeatedly)
         self.assertGreater(world.network.count(m.Revoke), 0)
         complete = {call.job.name for call in world.calls if call.outcome == "complete"}
-        mendable = [name for name, _ in MESSAGE_FAULTS if "once" in name or "doubled" in name]
-        self.assertEqual([name for name in mendable if name not in complete], [])
+        recoverable = [name for name, _ in MESSAGE_FAULTS if "once" in name or "doubled" in name]
+        self.assertEqual([name for name in recoverable if name not in complete], [])
 
     def test_cancellation(self):
-        """A cancelled job's answer is true whatever is lost on the way."""
+        """The answer about a cancelled job is correct whichever message is lost."""
 
         def play(world, job, entries):
             world.submit(entries[0], job)
@@ -145,91 +158,107 @@
         self.run_table(play)
 
     def test_deadline(self):
-        """A job whose deadline passes while tasks wait is answered truly."""
+        """The answer is correct when the deadline passes while tasks are queued."""
 
         def play(world, job, entries):
             blocker = world.job(world.agents[0], (900.0,) * 8)._replace(name=job.name + " blocker")
             world.submit(entries[0], blocker)
-            resubmit(world, job._replace(deadline_ms=500.0), entries, (50.0, 300.0, 400.0))
+            submit_repeatedly(world, job._replace(deadline_ms=500.0), entries, (50.0, 300.0, 400.0))
 
         self.run_table(play)
 
 
-def cut(one, other):
-    def strike(world, actors):
+def cut_link(one, other):
+    def inject(world, actors):
         world.network.part(actors[one].peer.address, actors[other].peer.address)
 
-    return strike
+    return inject
 
 
-def act(name, who):
+def process_fault(name, who):
     return lambda world, actors: getattr(world, name)(actors[who])
 
 
 PROCESS_FAULTS = [
-    ("entry killed", act("kill", "entry")),
-    ("entry replaced", act("replace", "entry")),
-    ("home killed", act("kill", "home")),
-    ("home replaced", act("replace", "home")),
-    ("home frozen and back", act("freeze", "home")),
-    ("runner killed", act("kill", "runner")),
-    ("runner replaced", act("replace", "runner")),
-    ("runner frozen and back", act("freeze", "runner")),
-    ("home cut off from runner", cut("home", "runner")),
-    ("entry cut off from home", cut("entry", "home")),
+    ("entry killed", process_fault("kill", "entry")),
+    ("entry replaced", process_fault("replace", "entry")),
+    ("home killed", process_fault("kill", "home")),
+    ("home replaced", process_fault("replace", "home")),
+    ("home frozen and back", process_fault("freeze", "home")),
+    ("runner killed", process_fault("kill", "runner")),
+    ("runner replaced", process_fault("replace", "runner")),
+    ("runner frozen and back", process_fault("freeze", "runner")),
+    ("home cut off from runner", cut_link("home", "runner")),
+    ("entry cut off from home", cut_link("entry", "home")),
 ]
-MOMENTS = {"before it arrives": 0.5, "while offered": 2.5, "while running": 150.0}
+FAULT_TIMES_MS = {"before it arrives": 0.5, "while offered": 2.5, "while running": 150.0}
 
 
-class ProcessFaultTest(ProofTest):
+class ProcessFaultTest(GuaranteeTest):
     """Points 1 to 4 while processes die, are replaced, pause or are cut off."""
 
-    def play(self, strike, moment_ms, second=None):
+    def play(self, inject, moment_ms, second=None):
         world = self.make()
         home, runner = world.agents
         entry, other = world.entries
         actors = {"entry": entry, "home": home, "runner": runner}
-        job = world.job(home, WIDE)
+        job = world.job(home, WIDE_RUNS_MS)
         world.submit(entry, job)
         world.run(moment_ms)
-        strike(world, actors)
+        inject(world, actors)
         living = [one for one in (other, entry) if not one.clock.dead]
-        resubmit(world, job, living, (300.0, 1_500.0, 5_000.0))
+        submit_repeatedly(world, job, living, (300.0, 1_500.0, 5_000.0))
         if second is not None:
             second(world, actors)
         for process in list(world.processes):
             world.thaw(process)
         world.network.heal()
-        world.run(AFTER_MS)
-        fresh = world.job(world.agents[-1], WIDE)
+        world.run(RUN_OUT_MS)
+        fresh = world.job(world.agents[-1], WIDE_RUNS_MS)
         world.submit(other, job)
         world.submit(other, fresh)
-        self.hold(world)
+        self.check_guarantees(world)
         return world
 
     def test_one_fault(self):
-        for name, strike in PROCESS_FAULTS:
-            for moment, moment_ms in MOMENTS.items():
+        for name, inject in PROCESS_FAULTS:
+            for moment, moment_ms in FAULT_TIMES_MS.items():
                 with self.subTest(fault=name, moment=moment):
-                    world = self.play(strike, moment_ms)
+                    world = self.play(inject, moment_ms)
                     last = world.calls[-1]
                     self.assertEqual(last.outcome, "complete", last.document)
 
     def test_two_faults(self):
         """A runner pauses or is cut off, and then the home or an entry dies too."""
         pairs = (
-            ("runner frozen, home killed", act("freeze", "runner"), act("kill", "home")),
-            ("runner cut off, entry killed", cut("home", "runner"), act("kill", "entry")),
-            ("home frozen, runner replaced", act("freeze", "home"), act("replace", "runner")),
-            ("runner frozen, home replaced", act("freeze", "runner"), act("replace", "home")),
+            (
+                "runner frozen, home killed",
+                process_fault("freeze", "runner"),
+                process_fault("kill", "home"),
+            ),
+            (
+                "runner cut off, entry killed",
+                cut_link("home", "runner"),
+                process_fault("kill", "entry"),
+            ),
+            (
+                "home frozen, runner replaced",
+                process_fault("freeze", "home"),
+                process_fault("replace", "runner"),
+            ),
+            (
+                "runner frozen, home replaced",
+                process_fault("freeze", "runner"),
+                process_fault("replace", "home"),
+            ),
         )
         for name, first, second in pairs:
             with self.subTest(fault=name):
                 self.play(first, 2.5, second)
 
 
-class MinionFaultTest(ProofTest):
-    """Points 1, 2 and 4 while one minion misbehaves."""
+class MinionFaultTest(GuaranteeTest):
+    """Starts and answers while one minion misbehaves."""
 
     def play(self, role, fault, expected):
         world = World(agents=2)
@@ -237,9 +266,9 @@
             world.agents[role].minion.inner.script(fault)
             calls = []
             for _ in range(6):
-                job = world.job(world.agents[0], WIDE)
-                calls += resubmit(world, job, world.entries, (200.0, 1_500.0))
-            self.hold(world)
+                job = world.job(world.agents[0], WIDE_RUNS_MS)
+                calls += submit_repeatedly(world, job, world.entries, (200.0, 1_500.0))
+            self.check_guarantees(world)
         finally:
             world.stop()
         self.assertLessEqual({call.outcome for call in calls}, expected)
@@ -257,21 +286,21 @@
                     self.play(role, fault, expected)
 
 
-class OwnAnswerTest(ProofTest):
-    """Point 3: callers get the whole answer to their own request."""
+class AnswerIdentityTest(GuaranteeTest):
+    """Callers get the complete answer to their own request."""
 
     def test_crossed_answers(self):
         cases = (
-            ("answers doubled", double(m.Answer, 35.0), False),
-            ("answers doubled much later", double(m.Answer, 900.0), False),
+            ("answers doubled", duplicate(m.Answer, 35.0), False),
+            ("answers doubled much later", duplicate(m.Answer, 900.0), False),
             ("answers late", delay(m.Answer, 900.0), False),
             ("late answers meet an entry replaced", delay(m.Answer, 900.0), True),
-            ("doubled answers meet an entry replaced", double(m.Answer, 900.0), True),
+            ("doubled answers meet an entry replaced", duplicate(m.Answer, 900.0), True),
         )
-        for name, switch, is_replaced in cases:
+        for name, inject, is_replaced in cases:
             with self.case(fault=name) as world:
                 entry = world.entries[0]
-                switch(world.network)
+                inject(world.network)
                 homes = [*world.agents, *world.agents]
                 for home in homes:
                     world.submit(entry, world.job(home, (60.0, 20.0)))
@@ -284,7 +313,7 @@
                 self.assertEqual({call.outcome for call in again}, {"complete"})
 
     def test_other_body_under_one_ticket(self):
-        """The second body is a conflict; the first one's answer is untouched."""
+        """A different body under a used ticket is a conflict; the first job is unaffected."""
         world = self.make()
         job = world.job(world.agents[0])
         first = world.submit(world.entries[0], job)
@@ -294,11 +323,11 @@
         world.run(100.0)
         self.assertEqual((first.status, second.status, late.status), (200, 409, 409))
         self.assertEqual(world.starts["other.0"], 0)
-        self.hold(world)
+        self.check_guarantees(world)
 
 
-class NotRunTest(ProofTest):
-    """Point 4: "not run" is true, and stays true."""
+class NotRunTest(GuaranteeTest):
+    """A job answered as "not run" has not run and never will."""
 
     def set_team(self, world, **limits):
         body = json.dumps(limits).encode()
@@ -310,12 +339,12 @@
         entry.application.callers._max_running_jobs = 0
 
     def test_refusal_of_a_resubmission(self):
-        """An entry that refuses says "not run" of no job that runs elsewhere."""
+        """An entry that refuses a resubmission never says "not run" of a job that runs."""
         for name in ("overload", "quota"):
             for moment_ms in (0.0, 1.5, 100.0, 2_000.0):
                 with self.case(refusal=name, moment_ms=moment_ms) as world:
                     first, second = world.entries
-                    job = world.job(world.agents[0], WIDE)
+                    job = world.job(world.agents[0], WIDE_RUNS_MS)
                     if name == "quota":
                         self.set_team(world, running_tasks=6)
                         blocker = world.job(world.agents[1], (3_000.0,))
@@ -327,7 +356,7 @@
                     world.submit(second, job)
 
     def test_refusal_stays(self):
-        """What was refused never runs, also when its late submission arrives."""
+        """A refused job never runs, even if a delayed submission of it arrives later."""
         world = self.make()
         first, second = world.entries
         job = world.job(world.agents[0])
@@ -337,16 +366,16 @@
         refused = world.submit(second, job)
         world.run(100.0)
         self.assertEqual((refused.outcome, refused.status), ("not_run", 503))
-        self.hold(world)
+        self.check_guarantees(world)
         self.assertEqual(world.started(job), 0)
 
     def test_cancellation(self):
-        """Before submission, while queued, while offered, while running, after."""
+        """Cancel before submission, while queued, while offered, while running, and after."""
         for moment_ms in (None, 0.0, 1.1, 2.1, 3.1, 50.0, 299.0, 5_000.0):
             for fault in ("none", "runner cut off", "runner frozen", "revokes lost"):
                 with self.case(moment_ms=moment_ms, fault=fault) as world:
                     home, runner = world.agents
-                    job = world.job(home, WIDE)
+                    job = world.job(home, WIDE_RUNS_MS)
                     if moment_ms is not None:
                         world.submit(world.entries[0], job)
                         world.run(moment_ms)
@@ -361,7 +390,7 @@
                     world.submit(world.entries[1], job)
 
     def test_drain_that_gives_up(self):
-        """A home that leaves with jobs unfinished leaves no false archive."""
+        """A home whose drain times out with unfinished jobs archives no false answer."""
         for fault in ("none", "cut off", "revokes lost"):
             with self.case({"agents": 2, "drain_limit_ms": 1_000.0}, fault=fault) as world:
                 home = world.agents[0]
@@ -379,9 +408,9 @@
                         world.network.part(home.peer.address, holder.peer.address)
                 elif fault == "revokes lost":
                     world.network.lose_kinds.add("Revoke")
-                leaving = eventlet.spawn(home.application.drain)
+                draining = eventlet.spawn(home.application.drain)
                 world.run(6_000.0)
-                self.assertTrue(leaving.dead)
+                self.assertTrue(draining.dead)
                 world.kill(home)
                 world.run(2_000.0)
                 for entry in world.entries:
@@ -389,22 +418,22 @@
                     world.submit(entry, blocker)
 
     def test_archive(self):
-        """An archive says "not run" of a ticket never submitted, and runs nothing."""
+        """The archive answers "not run" for a ticket that was never submitted."""
         world = self.make()
         home = world.agents[0]
         done, unused = world.job(home), world.job(home)
         world.submit(world.entries[0], done)
         world.run(1_000.0)
-        self.leave(world, home, 5_000.0)
+        self.drain(world, home, 5_000.0)
         world.kill(home)
         calls = [world.submit(world.entries[1], job) for job in (done, unused)]
         world.run(500.0)
         self.assertEqual([call.outcome for call in calls], ["complete", "not_run"])
-        self.hold(world)
+        self.check_guarantees(world)
         self.assertEqual((world.started(done), world.started(unused)), (3, 0))
 
     def test_evicted_record(self):
-        """A ticket whose record may be gone may have run."""
+        """A ticket whose record may have been evicted is answered "may have run"."""
         world = self.make(max_record_bytes=2_000)
         jobs = [world.job(world.agents[0]) for _ in range(6)]
         for job in jobs:
@@ -414,14 +443,19 @@
         world.run(100.0)
         outcomes = {call.outcome for call in again}
         self.assertEqual(outcomes, {"complete", "may_have_run"})
-        self.hold(world)
+        self.check_guarantees(world)
 
 
-class IdempotencyKeyTest(ProofTest):
-    """Point 5: a request under an idempotency key runs at most once."""
+class IdempotencyKeyTest(GuaranteeTest):
+    """A request under an idempotency key runs at most once."""
 
     def play(self, world, prepare, between=None):
-        """Post one request through both entries, again and again."""
+        """Post one request through both entries repeatedly.
+
+        :param prepare: injects a fault before the first request
+        :param between: injects a fault before the third request
+        :returns: the first and the last call
+        """
         job = world.job(None, (200.0, 200.0))
         prepare(world)
         first = world.submit(world.entries[0], job, "order-1")
@@ -436,7 +470,7 @@
         for entry in world.entries:
             world.submit(entry, job, "order-1")
             world.run(1_000.0)
-        self.hold(world)
+        self.check_guarantees(world)
         self.assertLessEqual(max(world.starts.values(), default=0), 1)
         return first, world.calls[-1]
 
@@ -445,11 +479,11 @@
             pass
 
         def set_store(**values):
-            def switch(world):
+            def inject(world):
                 for name, value in values.items():
                     setattr(world.store, name, value)
 
-            return switch
+            return inject
 
         def kill_entry(world):
             world.replace(world.entries[0])
@@ -473,8 +507,8 @@
                 _, last = self.play(world, prepare, between)
                 self.assertEqual(last.outcome, "complete", last.document)
 
-    def test_refusals_are_not_promises(self):
-        """While the store cannot tell, "not run" is not said of a key."""
+    def test_no_not_run_while_store_is_unreachable(self):
+        """While the store is unreachable, no key is answered "not run"."""
         world = self.make()
         job = world.job(None, (200.0,))
         first = world.submit(world.entries[0], job, "order-1")
@@ -483,10 +517,10 @@
         second = world.submit(world.entries[1], job, "order-1")
         world.run(1_000.0)
         self.assertEqual((first.outcome, second.outcome), ("complete", "may_have_run"))
-        self.hold(world)
+        self.check_guarantees(world)
 
     def test_no_home_left(self):
-        """A key whose job ran is not said to be "not run" when all agents are gone."""
+        """A key whose job ran is not answered "not run" once all agents are gone."""
         world = self.make()
         job = world.job(None, (200.0,))
         world.submit(world.entries[0], job, "order-1")
@@ -497,10 +531,10 @@
         again = world.submit(world.entries[1], job, "order-1")
         world.run(8_000.0)
         self.assertEqual(again.outcome, "may_have_run", again.document)
-        self.hold(world)
+        self.check_guarantees(world)
 
     def test_no_second_run_at_any_age(self):
-        """A key never runs again, with its binding held, just gone, and long gone."""
+        """A key never runs again, whether its binding exists, just lapsed or lapsed long ago."""
         for dropped in (False, True):
             with self.subTest(dropped_early=dropped):
                 world = self.make()
@@ -516,11 +550,11 @@
                     world.run(60_000.0 if minute else 1_000.0)
                 self.assertEqual((first.outcome, warm.outcome), ("complete", "complete"))
                 self.assertEqual(world.calls[-1].document["code"], "idempotency_key_expired")
-                self.hold(world)
+                self.check_guarantees(world)
                 self.assertEqual(max(world.starts.values()), 1)
 
-    def test_lease_lapsed_before_the_write(self):
-        """No key from before the lease lapsed is bound; later ones get a new lease."""
+    def test_lease_lapsed_before_binding_a_key(self):
+        """A key made before the lease lapsed is not bound; later keys get a new lease."""
         world = self.make()
         world.submit(world.entries[0], world.job(None, (50.0,)), "order-1")
         world.run(500.0)
@@ -535,13 +569,13 @@
         last = world.submit(world.entries[0], world.job(None, (50.0,)), "order-3")
         world.run(1_000.0)
         self.assertEqual(last.outcome, "complete", last.document)
-        self.hold(world)
+        self.check_guarantees(world)
 
 
-class LeavingTest(ProofTest):
-    """Point 6: what leaves gets no new work after a few seconds."""
+class NoNewWorkTest(GuaranteeTest):
+    """What leaves gets no new work after a few seconds."""
 
-    def load(self, world, rounds=6, pause_ms=400.0):
+    def submit_load(self, world, rounds=6, pause_ms=400.0):
         for _ in range(rounds):
             for entry in world.entries:
                 world.submit(entry, world.job(None, (150.0,) * 4))
@@ -552,55 +586,55 @@
             for fault in ("none", "heartbeats lost", "heartbeats doubled late"):
                 with self.subTest(way=way, fault=fault):
                     world = self.make(domains=2, agents=2)
-                    gone = world.agents[0]
-                    self.load(world)
+                    leaver = world.agents[0]
+                    self.submit_load(world)
                     if fault == "heartbeats lost":
                         world.network.lose_first.update(Heartbeat=6, ShortHeartbeat=6)
                     elif fault == "heartbeats doubled late":
                         world.network.double_delay_ms = 900.0
                         world.network.double_kinds |= {"Heartbeat", "ShortHeartbeat"}
-                    self.assertGreater(sum(gone.minion.starts.values()), 0)
+                    self.assertGreater(sum(leaver.minion.starts.values()), 0)
                     if way == "minion leaves":
-                        gone.application.runner.leave()
+                        leaver.application.runner.leave()
                     else:
-                        eventlet.spawn(gone.application.drain)
-                    begun = sum(gone.minion.starts.values())
-                    self.load(world, 10)
+                        eventlet.spawn(leaver.application.drain)
+                    starts_before = sum(leaver.minion.starts.values())
+                    self.submit_load(world, 10)
                     world.network.clear()
-                    marks = (world.network.count(m.Offer, gone.peer), len(world.calls))
-                    self.load(world)
-                    others = [one for one in world.processes if one is not gone]
-                    told = [one.application.roster.get(gone.peer) for one in others]
-                    states = {member.state for member in told if member}
+                    counts_before = (world.network.count(m.Offer, leaver.peer), len(world.calls))
+                    self.submit_load(world)
+                    others = [one for one in world.processes if one is not leaver]
+                    member_records = [one.application.roster.get(leaver.peer) for one in others]
+                    states = {member.state for member in member_records if member}
                     self.assertLessEqual(states, {m.MEMBER_LEAVING, m.MEMBER_LEFT})
-                    self.assertEqual(sum(gone.minion.starts.values()), begun)
-                    self.assertEqual(world.network.count(m.Offer, gone.peer), marks[0])
+                    self.assertEqual(sum(leaver.minion.starts.values()), starts_before)
+                    self.assertEqual(world.network.count(m.Offer, leaver.peer), counts_before[0])
                     homes = [row[1] for row in world.network.sent if isinstance(row[2], m.Submit)]
-                    self.assertNotIn(gone.peer, homes[-12:])
-                    self.hold(world)
-                    ended = {call.outcome for call in world.calls[marks[1] :]}
+                    self.assertNotIn(leaver.peer, homes[-12:])
+                    self.check_guarantees(world)
+                    ended = {call.outcome for call in world.calls[counts_before[1] :]}
                     self.assertEqual(ended, {"complete"})
 
 
-class ShutdownTest(ProofTest):
-    """Point 7: a shutdown cuts off nothing that is in flight."""
+class ShutdownTest(GuaranteeTest):
+    """A graceful shutdown interrupts nothing that is in flight."""
 
     FAULTS = (
         ("none", lambda network: None),
-        ("answers lost", lose(m.Answer, 1)),
-        ("answers lost twice", lose(m.Answer, 2)),
-        ("results lost", lose(m.Results, 2)),
+        ("answers lost", lose_next(m.Answer, 1)),
+        ("answers lost twice", lose_next(m.Answer, 2)),
+        ("results lost", lose_next(m.Results, 2)),
         ("results late", delay(m.Results, 600.0)),
-        ("offers lost", lose(m.Offer, 1)),
-        ("handover lost", lose(m.Handover, 1)),
-        ("receipts lost", lose(m.HandoverReceipt, 1)),
-        ("heartbeats lost", lose(m.Heartbeat, 2)),
+        ("offers lost", lose_next(m.Offer, 1)),
+        ("handover lost", lose_next(m.Handover, 1)),
+        ("receipts lost", lose_next(m.HandoverReceipt, 1)),
+        ("heartbeats lost", lose_next(m.Heartbeat, 2)),
     )
 
     def test_agent_drains(self):
-        """Jobs of a leaving home, and tasks at a leaving runner, are finished."""
+        """Jobs of a draining home and tasks at a draining runner are finished."""
         for role in ("home", "runner"):
-            for name, switch in self.FAULTS:
+            for name, inject in self.FAULTS:
                 with self.case({"agents": 2}, role=role, fault=name) as world:
                     home = world.agents[0]
                     jobs = [world.job(home, (600.0,) * 4) for _ in range(2)]
@@ -608,13 +642,13 @@
                     world.run(100.0)
                     holders = [one for one in world.agents[1:] if one.minion.starts]
                     leaver = home if role == "home" else holders[0]
-                    switch(world.network)
-                    leaving = eventlet.spawn(leaver.application.drain)
+                    inject(world.network)
+                    draining = eventlet.spawn(leaver.application.drain)
                     for _ in range(400):
                         world.run(20.0)
-                        if leaving.dead:
+                        if draining.dead:
                             break
-                    self.assertTrue(leaving.wait())
+                    self.assertTrue(draining.wait())
                     world.kill(leaver)
                     world.run(8_000.0)
                     self.assertEqual([call.outcome for call in calls], ["complete"] * 2)
@@ -623,46 +657,46 @@
                     self.assertEqual({call.outcome for call in again}, {"complete"})
 
     def test_all_agents_in_turn(self):
-        """A planned restart of every agent, one after another, fails no job."""
+        """A rolling restart of all agents fails no job."""
         world = self.make(agents=2)
-        kept = []
+        jobs = []
         for leaver in list(world.agents):
             for home in world.agents:
-                kept.append(world.job(home, (200.0,) * 3))
-                world.submit(world.entries[0], kept[-1])
+                jobs.append(world.job(home, (200.0,) * 3))
+                world.submit(world.entries[0], jobs[-1])
             world.run(60.0)
-            self.leave(world, leaver, 3_000.0)
+            self.drain(world, leaver, 3_000.0)
             world.replace(leaver)
             world.run(3_000.0)
-        again = [world.submit(world.entries[1], job) for job in kept]
+        again = [world.submit(world.entries[1], job) for job in jobs]
         world.run(1_000.0)
-        self.assertEqual([call.outcome for call in again], ["complete"] * len(kept))
-        self.hold(world)
+        self.assertEqual([call.outcome for call in again], ["complete"] * len(jobs))
+        self.check_guarantees(world)
 
     def test_entry_drains(self):
-        """A request over a real connection is answered while its entry leaves."""
+        """A request over a real connection is answered while its entry drains."""
         world = self.make()
         entry = world.entries[0].application
         job = world.job(world.agents[0], (500.0,) * 3)
-        request = self.wire(job)
+        request = self.encode_request(job)
         host, port = entry.ready_line()["callers"].rsplit(":", 1)
         connection = eventlet.connect((host, int(port)))
         self.addCleanup(connection.close)
         connection.sendall(request)
-        self.assertTrue(self.turn(world, lambda: world.started(job) > 0))
-        leaving = eventlet.spawn(entry.drain)
-        self.turn(world, lambda: not entry.callers.ready)
+        self.assertTrue(self.run_until(world, lambda: world.started(job) > 0))
+        draining = eventlet.spawn(entry.drain)
+        self.run_until(world, lambda: not entry.callers.ready)
         world.run(1_000.0)
-        self.assertTrue(self.turn(world, lambda: leaving.dead, 300.0))
-        self.assertTrue(leaving.wait())
-        reply = self.read(connection)
+        self.assertTrue(self.run_until(world, lambda: draining.dead, 300.0))
+        self.assertTrue(draining.wait())
+        reply = self.read_response(connection)
         self.assertIn(b"200 OK", reply.split(b"\r\n", 1)[0])
         results = json.loads(reply.split(b"\r\n\r\n", 1)[1])["results"]
         self.assertEqual([row["value"] for row in results], job.values)
-        self.hold(world)
+        self.check_guarantees(world)
 
     @staticmethod
-    def wire(job: Job) -> bytes:
+    def encode_request(job: Job) -> bytes:
         tasks = [
             {"payload": {"run_ms": run, "value": value}}
             for run, value in zip(job.runs, job.values, strict=True)
@@ -672,7 +706,7 @@
         return (head + "Connection: close\r\n\r\n" + body).encode()
 
     @staticmethod
-    def turn(world: World, condition, step_ms=5.0) -> bool:
+    def run_until(world: World, condition, step_ms=5.0) -> bool:
         for _ in range(200):
             if condition():
                 return True
@@ -681,7 +715,7 @@
         return condition()
 
     @staticmethod
-    def read(connection) -> bytes:
+    def read_response(connection) -> bytes:
         chunks = []
         with eventlet.Timeout(5):
             while chunk := connection.recv(65536):
@@ -689,65 +723,65 @@
         return b"".join(chunks)
 
 
-class ConfigurationTest(ProofTest):
-    """Point 8: accepted configuration is in force within seconds, for good."""
+class ConfigurationTest(GuaranteeTest):
+    """Accepted configuration is in force within seconds, and stays in force."""
 
-    WITHIN_MS = 4_000.0
+    PROPAGATION_LIMIT_MS = 4_000.0
 
-    def change(self, world, entry, weight, expected, name, team=TEAM):
+    def propose_weight(self, world, entry, weight, expected, name, team=TEAM):
         body = json.dumps({"weight": weight}).encode()
         desk = entry.application.desk
         return desk.propose(f"team/{team}", body, expected, name, "nomin", "weights").revision
 
-    def weights(self, world, team):
+    def weights_in_force(self, world, team):
         return {process.application.configuration.team(team).weight for process in world.processes}
 
-    def settled(self, world, weight, team=TEAM):
-        """Check that a weight is in force everywhere, and stays so."""
-        world.run(self.WITHIN_MS)
-        self.assertEqual(self.weights(world, team), {weight})
+    def check_weight_in_force(self, world, weight, team=TEAM):
+        """Check that a weight comes into force in every process in time and stays in force."""
+        world.run(self.PROPAGATION_LIMIT_MS)
+        self.assertEqual(self.weights_in_force(world, team), {weight})
         for _ in range(10):
             world.run(1_000.0)
-            self.assertEqual(self.weights(world, team), {weight})
+            self.assertEqual(self.weights_in_force(world, team), {weight})
 
-    def accept_two(self, world):
-        first = self.change(world, world.entries[0], 2.0, 0, "change-1")
-        world.run(self.WITHIN_MS)
-        return self.change(world, world.entries[1], 3.0, first, "change-2")
+    def accept_two_changes(self, world):
+        first = self.propose_weight(world, world.entries[0], 2.0, 0, "change-1")
+        world.run(self.PROPAGATION_LIMIT_MS)
+        return self.propose_weight(world, world.entries[1], 3.0, first, "change-2")
 
     def test_message_faults(self):
         faults = (
             ("none", lambda network: None),
-            ("replies lost", lose(m.HeartbeatReply, 6)),
-            ("replies doubled late", double(m.HeartbeatReply, 6_000.0)),
-            ("digests lost", lose(m.Digest, 6)),
-            ("digests doubled late", double(m.Digest, 6_000.0)),
+            ("replies lost", lose_next(m.HeartbeatReply, 6)),
+            ("replies doubled late", duplicate(m.HeartbeatReply, 6_000.0)),
+            ("digests lost", lose_next(m.Digest, 6)),
+            ("digests doubled late", duplicate(m.Digest, 6_000.0)),
             ("replies late", delay(m.HeartbeatReply, 900.0)),
             ("digests late", delay(m.Digest, 900.0)),
         )
-        for name, switch in faults:
+        for name, inject in faults:
             with self.case(fault=name) as world:
-                switch(world.network)
-                self.accept_two(world)
-                self.settled(world, 3.0)
+                inject(world.network)
+                self.accept_two_changes(world)
+                self.check_weight_in_force(world, 3.0)
 
     def test_store_outage(self):
-        """In an outage all keep what was accepted, also processes that join."""
+        """During a store outage all processes, new ones included, use what was accepted."""
         cases = (
             ("nobody joins", lambda world: None),
             ("an agent joins", lambda world: world.replace(world.agents[0])),
             ("an entry is replaced", lambda world: world.replace(world.entries[0])),
             ("a domain's entry and agent are replaced", self.replace_domain),
         )
-        for name, strike in cases:
+        for name, change_processes in cases:
             with self.case(case=name) as world:
-                self.accept_two(world)
-                world.run(self.WITHIN_MS)
+                self.accept_two_changes(world)
+                world.run(self.PROPAGATION_LIMIT_MS)
                 world.store.down = True
                 world.run(3_000.0)
-                strike(world)
+                change_processes(world)
                 world.run(6_000.0)
-                self.settled(world, 3.0)
+                self.check_weight_in_force(world, 3.0)
 
     @staticmethod
     def replace_domain(world):
@@ -755,55 +789,59 @@
         world.replace(world.agents[0])
 
     def test_store_falls_silent_after_the_write(self):
-        """An accepted change reaches every domain though the store goes down at once."""
+        """An accepted change reaches every domain even if the store goes down right after it."""
         world = self.make()
-        self.accept_two(world)
+        self.accept_two_changes(world)
         world.store.down = True
-        self.settled(world, 3.0)
+        self.check_weight_in_force(world, 3.0)
 
     def test_stale_store(self):
-        """A store set back takes nothing out of force, and no change that would not come in."""
+        """A store restored from a backup reverts no configuration.
+
+        Processes keep the newer configuration that they hold. A change that would not come into
+        force, because the store's revisions are behind, is not accepted.
+        """
         world = self.make()
-        first = self.change(world, world.entries[0], 2.0, 0, "change-1")
-        world.run(self.WITHIN_MS)
+        first = self.propose_weight(world, world.entries[0], 2.0, 0, "change-1")
+        world.run(self.PROPAGATION_LIMIT_MS)
         saved = (dict(world.store._pairs), world.store._revision)
-        second = self.change(world, world.entries[1], 3.0, first, "change-2")
-        self.change(world, world.entries[1], 4.0, 0, "change-3", "archers")
-        world.run(self.WITHIN_MS)
+        second = self.propose_weight(world, world.entries[1], 3.0, first, "change-2")
+        self.propose_weight(world, world.entries[1], 4.0, 0, "change-3", "archers")
+        world.run(self.PROPAGATION_LIMIT_MS)
         world.store.down = True
         world.store._pairs, world.store._revision = saved
         world.run(1_000.0)
         world.store.down = False
         world.replace(world.entries[0])
-        self.settled(world, 3.0)
-        self.settled(world, 4.0, "archers")
+        self.check_weight_in_force(world, 3.0)
+        self.check_weight_in_force(world, 4.0, "archers")
         for entry in world.entries:
             with self.assertRaises(ChangeUnknown):
-                self.change(world, entry, 5.0, second, "change-4")
+                self.propose_weight(world, entry, 5.0, second, "change-4")
         for _ in range(20):
             world.store.swap("other", 0, b"")
             world.store.delete("other", world.store.revision)
         world.store.down = True
         world.run(1_000.0)
         world.store.down = False
-        self.settled(world, 3.0)
-        self.settled(world, 4.0, "archers")
+        self.check_weight_in_force(world, 3.0)
+        self.check_weight_in_force(world, 4.0, "archers")
 
     def test_watch_falls_behind(self):
-        """An entry that slept through changes whose history is gone takes them all."""
+        """A paused entry catches up although the store has compacted the missed changes."""
         world = self.make(entries=2)
         sleeper = world.entries[0]
         world.freeze(sleeper)
-        first = self.change(world, world.entries[1], 2.0, 0, "change-1")
+        first = self.propose_weight(world, world.entries[1], 2.0, 0, "change-1")
         world.run(2_000.0)
-        self.change(world, world.entries[2], 3.0, first, "change-2")
+        self.propose_weight(world, world.entries[2], 3.0, first, "change-2")
         world.store.compact()
         world.run(8_000.0)
         world.thaw(sleeper)
-        self.settled(world, 3.0)
+        self.check_weight_in_force(world, 3.0)
 
     def test_operators_race(self):
-        """Of two changes on one revision one is accepted, also with answers lost."""
+        """Of two concurrent changes to one revision exactly one is accepted."""
         for lost in (0, 1, 2):
             with self.case(answers_lost=lost) as world:
                 world.store.slow_ms = 30.0
@@ -813,7 +851,7 @@
                 def propose(number, world=world, outcomes=outcomes):
                     entry, weight = world.entries[number], 5.0 + number
                     try:
-                        self.change(world, entry, weight, 0, f"change-{number}")
+                        self.propose_weight(world, entry, weight, 0, f"change-{number}")
                     except (StaleRevision, ChangeUnknown) as error:
                         outcomes[weight] = error.code
                     else:
@@ -825,16 +863,16 @@
                 accepted = [weight for weight, code in outcomes.items() if code == "accepted"]
                 self.assertEqual(len(outcomes), 2)
                 self.assertEqual(len(accepted), 1, outcomes)
-                self.settled(world, accepted[0])
+                self.check_weight_in_force(world, accepted[0])
 
 
-class StormTest(ProofTest):
-    """Points 1 to 5 while any message may be lost, doubled or late, and processes fail."""
+class RandomFaultTest(GuaranteeTest):
+    """Starts, answers and idempotency keys under random message and process faults."""
 
     STEPS = 60
     SEEDS = range(6)
 
-    def strike(self, world, draw):
+    def inject_process_fault(self, world, draw):
         process = draw.choice(world.processes)
         if process.clock.frozen:
             world.thaw(process)
@@ -862,7 +900,7 @@
             world.cancel(entry, jobs[-1])
         world.store.lose_answers = draw.choice((0, 0, 0, 1))
         if draw.random() < 0.12:
-            self.strike(world, draw)
+            self.inject_process_fault(world, draw)
         world.run(draw.choice((1.0, 40.0, 300.0, 900.0)))
 
     def test_storm(self):
@@ -875,6 +913,6 @@
                 jobs = []
                 for _ in range(self.STEPS):
                     self.step(world, draw, jobs)
-                self.hold(world)
+                self.check_guarantees(world)
                 outcomes.update(call.outcome for call in world.calls)
         self.assertGreaterEqual(outcomes, {"complete", "not_run", "may_have_run"})
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Tests of the arithmetic that the capacity page rests on."""
+"""Tests of the line fits from which capacity is computed."""
 
 import unittest
 
@@ -6,9 +6,9 @@
 
 
 class FitTest(unittest.TestCase):
-    """Lines of least squares and their spread."""
+    """Least-squares lines and their relative spread."""
 
-    def test_lines(self):
+    def test_fit(self):
         """Each case: points, slope, intercept, spread."""
         cases = (
             ("exact", [(1, 5.0), (2, 7.0), (4, 11.0)], 2.0, 3.0, 0.0),
@@ -25,12 +25,12 @@
                 self.assertAlmostEqual(line.spread, spread)
                 self.assertAlmostEqual(line.at(10), intercept + 10 * slope)
 
-    def test_no_point(self):
+    def test_no_point_is_an_error(self):
         with self.assertRaises(ValueError):
             fit("none", "us", [])
 
-    def test_written_and_read_back(self):
-        """Figures are kept to four digits."""
+    def test_encoded_and_decoded(self):
+        """Encoded figures are rounded to four significant digits."""
         line = fit("a / b", "us", [Point(1, 123456.0), Point(2, 123456.0)])
         (read,) = decode_slopes(encode_slopes([line]))
         self.assertEqual((read.name, read.unit, read.at(5)), ("a / b", "us", 123500.0))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: real programs as processes, with faults from one seed."""
+"""Short soak tests with real processes and seeded random faults."""
 
 import tempfile
 import unittest
@@ -6,25 +6,25 @@
 from benchmarks.soak import Soak
 
 # Long enough for a few faults that overlap.
-LOAD_S = 5.0
+LOAD_DURATION_S = 5.0
 SEED = 1_000
 EARLY_CALLERS_SEED = 4_000
 
 
 class ShortSoakTest(unittest.TestCase):
-    """Promises hold for one short seed."""
+    """Guarantees hold in a short run for each kind of caller."""
 
     def play(self, seed):
         with tempfile.TemporaryDirectory() as folder:
-            soak = Soak(seed, folder, LOAD_S)
+            soak = Soak(seed, folder, LOAD_DURATION_S)
             soak.run()
         self.assertEqual([], soak.witness.broken)
         self.assertTrue(any(outcome.succeeded for outcome in soak.outcomes))
 
-    def test_no_promise_is_broken(self):
+    def test_no_guarantee_is_violated(self):
         self.play(SEED)
 
-    def test_no_promise_is_broken_by_callers_that_are_back_at_once(self):
+    def test_no_guarantee_is_violated_with_callers_that_retry_at_once(self):
         self.play(EARLY_CALLERS_SEED)
 
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,4 @@
-"""Tests of random storms, and that their checks notice what is wrong."""
+"""Tests that guarantees hold under random faults and that the checks detect violations."""
 
 import logging
 import unittest
@@ -7,11 +7,11 @@
 from benchmarks.storm import Storm
 from tests.world import ProcessMinion
 
-FEW_STEPS = 8
+SHORT_RUN_STEPS = 8
 
 
 class StormTest(unittest.TestCase):
-    """A few storms; ``python -m benchmarks.explore`` runs more."""
+    """A few seeds of random faults; ``python -m benchmarks.explore`` runs more."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -22,22 +22,22 @@
         self.addCleanup(storm.stop)
         return storm
 
-    def test_promises_hold(self):
+    def test_guarantees_hold(self):
         for seed in range(5):
             with self.subTest(seed=seed):
                 storm = self.make(seed)
                 self.assertEqual(storm.run(), [], storm.acts)
 
-    def test_same_seed_same_acts(self):
-        first, second = self.make(3, FEW_STEPS), self.make(3, FEW_STEPS)
+    def test_same_seed_repeats_the_acts(self):
+        first, second = self.make(3, SHORT_RUN_STEPS), self.make(3, SHORT_RUN_STEPS)
         first.run()
         second.run()
         self.assertEqual(first.acts, second.acts)
 
-    def test_checks_notice(self):
-        """Each case: what is wrong, and a word of what is said of it."""
+    def test_checks_detect_violations(self):
+        """Each case: a function that causes a violation, and part of the reported text."""
 
-        def double_starts(storm):
+        def count_starts_twice(storm):
             count = ProcessMinion._count
             twice = mock.patch.object(
                 ProcessMinion, "_count", lambda self, value, amount: count(self, value, 2 * amount)
@@ -45,24 +45,24 @@
             twice.start()
             self.addCleanup(twice.stop)
 
-        def accept_more(storm):
+        def add_accepted_revision(storm):
             storm._accepted[1 << 40] = 1.0
 
-        def forget_agent(storm):
+        def remove_agent_from_world(storm):
             storm.world.agents.pop()
 
-        def never_serve(storm):
+        def lose_all_submits(storm):
             storm.world.network.lose_kinds.add("Submit")
             storm.world.network.clear = lambda: None
 
         cases = (
-            (double_starts, "started 2 times"),
-            (accept_more, "was accepted"),
-            (forget_agent, "believes in"),
-            (never_serve, "after the faults"),
+            (count_starts_twice, "started 2 times"),
+            (add_accepted_revision, "was accepted"),
+            (remove_agent_from_world, "believes in"),
+            (lose_all_submits, "after the faults"),
         )
-        for break_it, word in cases:
-            with self.subTest(break_it.__name__):
-                storm = self.make(3, FEW_STEPS)
-                break_it(storm)
+        for inject_violation, word in cases:
+            with self.subTest(inject_violation.__name__):
+                storm = self.make(3, SHORT_RUN_STEPS)
+                inject_violation(storm)
                 self.assertIn(word, " ".join(storm.run()))
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A whole system in memory, on one clock, whose faults a test switches."""
+"""In-memory simulation of a whole deployment on one manual clock, with fault injection."""
 
 import io
 import itertools
@@ -29,38 +29,44 @@
 from geraniumspool.web import Application as WebApplication
 from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN
 
-JOIN_MS = 3_500.0
-QUIET_MS = 60_000.0
+STARTUP_MS = 3_500.0
+RECOVERY_MS = 60_000.0
 END_MS = 5_000.0
 
 
 class WorldClock(ManualClock):
-    """A clock that settles for as long as a green task is ready, and no longer."""
+    """Manual clock that lets green threads run until none of them is ready."""
 
-    MAX_TURNS = 2_000
+    MAX_ROUNDS = 2_000
 
     def settle(self) -> None:
         hub = hubs.get_hub()
-        for _ in range(self.MAX_TURNS):
+        for _ in range(self.MAX_ROUNDS):
             eventlet.sleep(0)
             is_due = hub.timers and hub.timers[0][0] <= hub.clock()
             if not hub.next_timers and not is_due:
                 return
-        raise AssertionError("green tasks go on for ever without time passing")
+        raise AssertionError(f"green threads still ready after {self.MAX_ROUNDS} rounds")
 
 
 class ProcessClock(BaseClock):
-    """The world's clock as one process sees it; frozen or dead, nothing fires."""
+    """Clock of one process, driven by the clock of the world.
+
+    Timers that come due while the process is frozen fire when it thaws. Those of a dead process
+    never fire.
+
+    :ivar paused_ms: total time in milliseconds that the process has been frozen
+    """
 
     def __init__(self, world: ManualClock):
         self._world = world
-        self._held: list[Timer] = []
-        self._thawed = Event()
-        self._thawed.send()
+        self._held_timers: list[Timer] = []
+        self._thaw_event = Event()
+        self._thaw_event.send()
         self.frozen = False
         self.dead = False
         self.paused_ms = 0.0
-        self._frozen_ms = 0.0
+        self._frozen_at_ms = 0.0
 
     def now(self) -> float:
         return self._world.now()
@@ -75,38 +81,41 @@
 
     def freeze(self) -> None:
         self.frozen = True
-        self._frozen_ms = self.now()
-        self._thawed = Event()
+        self._frozen_at_ms = self.now()
+        self._thaw_event = Event()
 
     def thaw(self) -> None:
         self.frozen = False
-        self.paused_ms += self.now() - self._frozen_ms
-        held, self._held = self._held, []
+        self.paused_ms += self.now() - self._frozen_at_ms
+        held, self._held_timers = self._held_timers, []
         for timer in held:
             timer.fire()
-        self._thawed.send()
+        self._thaw_event.send()
 
     def die(self) -> None:
-        """End all timers for good; the time that a frozen process lost counts as paused."""
+        """Drop all timers for good; if the process is frozen, count that time as paused."""
         if self.frozen:
-            self.paused_ms += self.now() - self._frozen_ms
+            self.paused_ms += self.now() - self._frozen_at_ms
         self.dead = True
 
     def pass_gate(self) -> None:
-        """Hold the calling green task while the process is frozen; end it when dead."""
-        self._thawed.wait()
+        """Block the calling green thread while the process is frozen.
+
+        :raises GreenletExit: if the process is dead
+        """
+        self._thaw_event.wait()
         if self.dead:
             raise GreenletExit
 
     def _fire(self, timer: Timer) -> None:
         if self.frozen:
-            self._held.append(timer)
+            self._held_timers.append(timer)
         elif not self.dead:
             timer.fire()
 
 
 class ProcessMessenger(MemoryMessenger):
-    """A messenger that falls silent with its process."""
+    """Messenger that sends nothing once its process is dead."""
 
     def __init__(self, network, me, counters, clock: ProcessClock):
         super().__init__(network, me, counters)
@@ -117,7 +126,10 @@
 
 
 class ProcessMinion:
-    """The minion beside one agent, which outlives it; counts starts by value."""
+    """Minion of one agent, which counts the starts of tasks and outlives the agent.
+
+    :ivar starts: starts of tasks by the value in the payload
+    """
 
     def __init__(self, clock: ProcessClock, world: "World"):
         self.inner = MemoryMinionClient(world.clock)
@@ -146,16 +158,17 @@
 
 
 class FaultyNetwork(MemoryNetwork):
-    """A network that also loses the first messages of a type, delays a type, or storms.
+    """Network that can also lose the next messages of a type, delay a type, or fault at random.
 
     :ivar lose_first: how many of the next messages to lose, by type name
     :ivar delay_kinds: extra delay in milliseconds, by type name
-    :ivar storm: source of draws by which any message is lost, doubled or late, or None
+    :ivar storm: random source that loses, duplicates or delays any message; None for no
+        random faults
     """
 
-    STORM_LOSS = 0.15
-    STORM_DOUBLE = 0.15
-    STORM_LATE = 0.15
+    STORM_LOSS_SHARE = 0.15
+    STORM_DUPLICATE_SHARE = 0.15
+    STORM_DELAY_SHARE = 0.15
 
     def __init__(self, clock):
         super().__init__(clock, delay_ms=1.0)
@@ -181,11 +194,11 @@
     def _carry_in_storm(self, sender, receiver, message) -> None:
         self.sent.append((sender, receiver, message))
         draw = self.storm.random()
-        if draw < self.STORM_LOSS or (sender.address, receiver.address) in self.cut:
+        if draw < self.STORM_LOSS_SHARE or (sender.address, receiver.address) in self.cut:
             return
-        copies = 2 if draw < self.STORM_LOSS + self.STORM_DOUBLE else 1
+        copies = 2 if draw < self.STORM_LOSS_SHARE + self.STORM_DUPLICATE_SHARE else 1
         for _ in range(copies):
-            is_late = self.storm.random() < self.STORM_LATE
+            is_late = self.storm.random() < self.STORM_DELAY_SHARE
             late_ms = self.storm.expovariate(1 / 1_500.0) if is_late else self.storm.random()
             self._carry_late(sender, receiver, message, late_ms)
 
@@ -194,7 +207,7 @@
         self._clock.after(self.delay_ms + late_ms, lambda: self._deliver(receiver.address, data))
 
     def clear(self) -> None:
-        """Switch every fault off."""
+        """End every fault and thaw every frozen address."""
         self.storm = None
         self.heal()
         self.lose_kinds.clear()
@@ -205,13 +218,19 @@
             self.thaw(address)
 
     def count(self, kind: type, receiver: Peer | None = None) -> int:
-        """Return how many messages of a type were sent, also lost ones."""
+        """Return how many messages of a type were sent, lost ones included.
+
+        :param receiver: count only messages to this process; None counts all
+        """
         rows = (row for row in self.sent if isinstance(row[2], kind))
         return sum(receiver is None or row[1] == receiver for row in rows)
 
 
 class Process(NamedTuple):
-    """One process of the system."""
+    """One process of the simulated deployment.
+
+    :param minion: None for an entry
+    """
 
     application: Agent | Entry
     clock: ProcessClock
@@ -221,7 +240,12 @@
 
 
 class Job(NamedTuple):
-    """What a caller wants run; its name makes its tasks' values."""
+    """Job that a caller submits.
+
+    :param name: unique name, from which the values in the tasks' payloads are made
+    :param ticket: empty for a job that is submitted by POST
+    :param runs: run time of each task in milliseconds
+    """
 
     name: str
     ticket: str
@@ -234,7 +258,12 @@
 
 
 class Call:
-    """One HTTP request in flight; without a status its connection broke."""
+    """One HTTP request and its response.
+
+    :ivar ended_ms: time of the response in milliseconds; None while the request is in flight
+    :ivar status: HTTP status; 0 while in flight or if the connection broke
+    :ivar document: decoded body of the response
+    """
 
     def __init__(self, job: Job, entry: Process, began_ms: float):
         self.job = job
@@ -252,9 +281,10 @@
 
 
 class World:
-    """Entries, agents, minions, store and network in one process.
+    """Deployment of entries, agents, minions, store and network inside the test process.
 
     :ivar starts: starts of tasks at all minions, by the value in the payload
+    :ivar calls: every request so far, in the order of submission
     """
 
     def __init__(self, domains=2, agents=1, entries=1, slots=2, seed=1, **agent_settings):
@@ -280,10 +310,10 @@
         for number in range(domains):
             for _ in range(agents):
                 self.add_agent(f"d{number}")
-        self.run(JOIN_MS)
+        self.run(STARTUP_MS)
 
     def add_entry(self, domain: str, address: str = "") -> Process:
-        clock, messenger, metrics = self._make_parts("entry", domain, address)
+        clock, messenger, metrics = self._make_infrastructure("entry", domain, address)
         settings = EntrySettings(domain, TOKEN, (TICKET_KEY,), ("http://127.0.0.1:1",))
         entry = Entry(settings, messenger, self.store, clock, metrics)
         entry.callers._homes._random = random.Random(self._random.randrange(1 << 30))
@@ -292,7 +322,7 @@
         return self._start(process)
 
     def add_agent(self, domain: str, address: str = "") -> Process:
-        clock, messenger, metrics = self._make_parts("agent", domain, address)
+        clock, messenger, metrics = self._make_infrastructure("agent", domain, address)
         minion = ProcessMinion(clock, self)
         announced = Announcement(SERVICE, "http://127.0.0.1:1", self._slots, 64)
         settings = AgentSettings(
@@ -308,7 +338,7 @@
         self.agents.append(process)
         return self._start(process)
 
-    def _make_parts(self, role: str, domain: str, address: str):
+    def _make_infrastructure(self, role: str, domain: str, address: str):
         clock = ProcessClock(self.clock)
         metrics = Metrics(role, domain)
         peer = Peer(address or f"tcp://127.0.0.1:{next(self._ports)}", self._random.getrandbits(62))
@@ -324,7 +354,7 @@
         self.clock.advance(delay_ms)
 
     def kill(self, process: Process) -> None:
-        """End a process at once; its connections break."""
+        """Kill a process as SIGKILL does: at once, and breaking its connections."""
         process.clock.die()
         for call in self.calls:
             if call.entry is process and call.ended_ms is None:
@@ -336,34 +366,39 @@
         self.clock.settle()
 
     def replace(self, process: Process) -> Process:
-        """Kill a process and start another at its address."""
+        """Kill a process, start another one at the same address and return it."""
         self.kill(process)
         add = self.add_agent if process.minion else self.add_entry
         return add(process.domain, process.peer.address)
 
     def freeze(self, process: Process) -> None:
-        """Stop a process as SIGSTOP does."""
+        """Suspend a process as SIGSTOP does."""
         process.clock.freeze()
         self.network.freeze(process.peer.address)
 
     def thaw(self, process: Process) -> None:
-        """Let a frozen process go on: overdue timers first, then its messages."""
+        """Resume a frozen process: overdue timers fire first, then its messages arrive."""
         if process.clock.frozen:
             process.clock.thaw()
             self.network.thaw(process.peer.address)
             self.clock.settle()
 
     def job(self, home: Process | None, runs=(100.0, 100.0, 100.0), deadline_ms=8_000.0) -> Job:
-        """Return a job of one task per run time, with a ticket of that home."""
+        """Return a job with one task for each run time.
+
+        :param home: agent that the job's ticket names; None for a job without a ticket
+        :param runs: run time of each task in milliseconds
+        """
         ticket = ""
         if home is not None:
             ticket = self.keyring.issue(home.peer, SERVICE, self.clock.wall())
         return Job(f"job{next(self._names)}", ticket, tuple(runs), deadline_ms)
 
     def submit(self, entry: Process, job: Job, key: str = "") -> Call:
-        """Submit a job: PUT under its ticket, or POST where it has none.
+        """Submit a job by PUT under its ticket, or by POST if it has none.
 
-        :param key: name of an idempotency key, which is made when first named
+        :param key: name under which an idempotency key is kept, created on first use;
+            empty for no key
         """
         tasks = [
             {"payload": {"run_ms": run, "value": value}, "run_ms": run}
@@ -407,45 +442,48 @@
             call.ended_ms = self.clock.now()
 
     def quiet(self) -> None:
-        """End every fault, deliver what is late, and wait until nothing can follow."""
+        """End every fault, deliver delayed messages, and run until the system is idle."""
         self.store.down = False
         self.network.clear()
         for process in list(self.processes):
             self.thaw(process)
-        self.run(QUIET_MS)
+        self.run(RECOVERY_MS)
 
     def started(self, job: Job) -> int:
-        """Return how many starts the job's tasks had in all."""
+        """Return how often tasks of the job were started in total."""
         return sum(self.starts[value] for value in job.values)
 
     def find_violations(self, end_ms: float = END_MS) -> list[str]:
-        """Return what is wrong with the answers, after :meth:`quiet`.
+        """Return descriptions of violated guarantees; call after :meth:`quiet`.
+
+        Checked are: no task was started twice, every request was answered in time, no job
+        reported as not run was started, and complete jobs have the results of their own tasks.
 
-        :param end_ms: time after its deadline by which a job must have ended
+        :param end_ms: time in milliseconds after its deadline by which a job must be answered
         """
-        wrong = [f"{value} started {n} times" for value, n in self.starts.items() if n > 1]
+        violations = [f"{value} started {n} times" for value, n in self.starts.items() if n > 1]
         for call in self.calls:
-            wrong += self._judge(call, end_ms)
-        return wrong
+            violations += self._check_call(call, end_ms)
+        return violations
 
-    def _judge(self, call: Call, end_ms: float) -> list[str]:
+    def _check_call(self, call: Call, end_ms: float) -> list[str]:
         job = call.job
         if call.ended_ms is None:
-            return [f"{job.name} never ended"]
-        wrong = []
+            return [f"{job.name} was never answered"]
+        violations = []
         paused_ms = call.entry.clock.paused_ms - call.paused_ms
         took_ms = call.ended_ms - call.began_ms - paused_ms
         if took_ms > job.deadline_ms + end_ms:
-            wrong.append(f"{job.name} ended after {took_ms:.0f} ms")
+            violations.append(f"{job.name} was answered after {took_ms:.0f} ms")
         if call.outcome == "not_run" and self.started(job):
-            wrong.append(f"{job.name} is said not to have run, with {self.started(job)} starts")
+            violations.append(f"{job.name} was answered not_run, with {self.started(job)} starts")
         if call.outcome == "complete":
             values = [row["value"] for row in call.document["results"]]
             if values != job.values:
-                wrong.append(f"{job.name} got {values}")
+                violations.append(f"{job.name} got the results of {values}")
         if call.status == 500 or (call.status == 0 and not call.entry.clock.dead):
-            wrong.append(f"{job.name} got status {call.status}: {call.document}")
-        return wrong
+            violations.append(f"{job.name} got status {call.status}: {call.document}")
+        return violations
 
     def stop(self) -> None:
         for process in self.processes:
