--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements of the dispatcher; green sockets and timers are switched on here."""
+"""Benchmarks of the dispatcher. Importing the package monkey-patches the standard library."""
 
 import warnings
 
--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -1,4 +1,4 @@
-"""Counts of a running fleet, read from its processes' metrics."""
+"""Message and task counts of a running fleet, read from the metrics of its processes."""
 
 from typing import NamedTuple
 
@@ -30,13 +30,14 @@
 
 
 class Counts(NamedTuple):
-    """What the dispatcher's processes did, added up.
-
-    :param work_messages: messages on jobs between our processes
-    :param cross_messages: those of them between failure domains
-    :param control_messages: heartbeats, digests and the like
-    :param wasted_messages: refused offers, revokes, repeated submits, dropped answers
-    :param tasks_started: starts as the runners count them
+    """Totals over the processes of a fleet.
+
+    :param work_messages: messages about jobs between entries and agents
+    :param cross_messages: work messages that crossed failure domains
+    :param control_messages: messages of the types in ``CONTROL_KINDS``
+    :param wasted_messages: refused offers, revokes and their confirmations, repeated submits,
+        inquiries, and dropped answers
+    :param tasks_started: starts as counted by the runners
     """
 
     work_messages: float
@@ -46,16 +47,19 @@
     tasks_started: float
 
     def __add__(self, other: "Counts") -> "Counts":
-        """Return both added up."""
-        return Counts(*(mine + more for mine, more in zip(self, other, strict=True)))
+        """Return the sum, field by field."""
+        return Counts(*(left + right for left, right in zip(self, other, strict=True)))
 
     def __sub__(self, other: "Counts") -> "Counts":
-        """Return what was added since ``other``."""
-        return Counts(*(mine - theirs for mine, theirs in zip(self, other, strict=True)))
+        """Return the difference, field by field."""
+        return Counts(*(left - right for left, right in zip(self, other, strict=True)))
 
 
 def read_series(fleet: Fleet, url: str) -> list[Series]:
-    """Return the counters that one process shows."""
+    """Return the samples that one process exports, without prefix and suffix in their names.
+
+    :param url: base URL of the listener that serves ``/metrics``
+    """
     text = fleet.http.request("GET", f"{url}/metrics", timeout=10).data.decode()
     return [
         Series(sample.name.removeprefix(PREFIX).removesuffix(SUFFIX), sample.labels, sample.value)
@@ -68,7 +72,10 @@
 
 
 def read_process(fleet: Fleet, url: str) -> Counts:
-    """Return the counts of one process."""
+    """Return the counts of one process.
+
+    :param url: base URL of the listener that serves ``/metrics``
+    """
     series = read_series(fleet, url)
     sent = [row for row in series if row.name == "messages_sent"]
     work = [row for row in sent if row.labels["kind"] not in CONTROL_KINDS]
@@ -83,40 +90,40 @@
 
 
 class Meter:
-    """Counts of a fleet whose processes come and go.
+    """Counts of a fleet while processes start and end.
 
-    What a killed process did after the last :meth:`look` is lost.
+    What a process did between the last :meth:`look` and its end is not counted.
     """
 
     def __init__(self, fleet: Fleet):
-        """Begin to count now."""
+        """Start counting from the present values."""
         self._fleet = fleet
         self._last: dict[int, Counts] = {}
         self.look()
-        self._first = dict(self._last)
+        self._initial = dict(self._last)
 
     def look(self) -> None:
-        """Read every process that lives."""
-        for pid, url in _living(self._fleet).items():
+        """Read the counts of every running process."""
+        for pid, url in _running_urls(self._fleet).items():
             self._last[pid] = read_process(self._fleet, url)
 
     def read(self) -> Counts:
-        """Return what all processes did since the begin."""
+        """Return what all processes did since this meter was made."""
         self.look()
         total = NO_COUNTS
         for pid, counts in self._last.items():
-            total += counts - self._first.get(pid, NO_COUNTS)
+            total += counts - self._initial.get(pid, NO_COUNTS)
         return total
 
 
-def _living(fleet: Fleet) -> dict[int, str]:
+def _running_urls(fleet: Fleet) -> dict[int, str]:
     entries = [(entry, f"http://{entry.ready['callers']}") for entry in fleet.entries]
     agents = [(agent, agent.ready["minion"]) for agent in fleet.agents]
     return {program.process.pid: url for program, url in entries + agents if is_alive(program)}
 
 
 def is_alive(program) -> bool:
-    """Return whether a program still runs."""
+    """Return whether the process of a program is running."""
     return program.process.poll() is None
 
 
--- a/benchmarks/experiment_base.py
+++ b/benchmarks/experiment_base.py
@@ -1,4 +1,4 @@
-"""What all experiments share: fleets side by side, slices of load, rows of figures."""
+"""Shared parts of the experiments: parallel fleets, slices of load, result rows."""
 
 import contextlib
 import os
@@ -30,28 +30,29 @@
 READY_LIMIT_S = 30.0
 SETTLE_S = 0.3
 SAMPLE_S = 0.25
-TRIPS = 200
+TRIP_SAMPLES = 200
 SCALE = 1_000
 MAX_RATIO = 1_000_000
 MAX_MS = 600_000
 CANCELLED_CODE = "job_cancelled"
 EXPIRED_CODE = "job_expired"
 LOST_OUTCOMES = (OUTCOME_MAY_HAVE_RUN, OUTCOME_UNANSWERED)
-QUERIES_AT_ONCE = 32
+CONCURRENT_QUERIES = 32
 JOIN_LIMIT_S = 60.0
 
 
 class Row(NamedTuple):
-    """Figures of one experiment under one policy.
-
-    :param chosen: whether the policy is the one in force
-    :param response_over_ideal_p50: None where no job was complete
-    :param tasks_started_more_than_once: starts beyond one a task, as the minions count
-    :param goodput_share: share of all slots' time spent on jobs that were answered
-        complete: where slots were sampled, while load was sent, else until the last answer
-    :param refused_ms_p99: time to the answer of jobs that were not admitted
+    """Results of one experiment under one policy.
+
+    :param chosen: whether the policy is the one in use
+    :param response_over_ideal_p50: response time divided by the ideal one; None if no job
+        completed
+    :param tasks_started_more_than_once: starts beyond one per task, as counted by the minions
+    :param goodput_share: share of the time of all slots that went to jobs answered as complete;
+        if slots were sampled, while load was sent, otherwise until the last answer
+    :param refused_ms_p99: response time of jobs that were not admitted, in milliseconds
     :param deadline_missed: admitted jobs that were not complete by their deadline
-    :param notes: figures of this experiment alone
+    :param notes: results that only this experiment has
     """
 
     experiment: str
@@ -78,13 +79,16 @@
     notes: dict[str, float | None]
 
     def as_json(self) -> dict:
-        """Return the row as one flat object."""
+        """Return the row as a flat JSON object with the notes among its fields."""
         fields = self._asdict()
         return fields | fields.pop("notes")
 
 
 class Job(NamedTuple):
-    """A job that was answered, as far as starts are checked against it."""
+    """An answered job, with what is needed to check it against the starts.
+
+    :param tasks: number of its tasks
+    """
 
     ticket: str
     outcome: str
@@ -92,12 +96,16 @@
 
 
 class Tally:
-    """Outcomes and response times of jobs, over several slices of load."""
+    """Outcomes and response times of jobs over several slices of load.
+
+    :ivar late: admitted jobs that were not complete by their deadline
+    :ivar work_ms: total run time of the tasks of all jobs in milliseconds
+    """
 
     def __init__(self, trip_ms: float):
         """Start empty.
 
-        :param trip_ms: one way between client and entries
+        :param trip_ms: one-way latency between client and entries in milliseconds
         """
         self._trip_ms = trip_ms
         self._ratios = HdrHistogram(1, MAX_RATIO, 3)
@@ -112,7 +120,7 @@
         self.jobs: list[Job] = []
 
     def note(self, outcome: JobOutcome) -> None:
-        """Take the outcome of one job."""
+        """Record the outcome of one job."""
         plan = outcome.plan
         self.work_ms += plan.work_ms
         self.outcomes[outcome.outcome] += 1
@@ -137,40 +145,40 @@
         return self._wide if plan.is_wide else self._middle
 
     def ratio(self, percentile: float) -> float | None:
-        """Return response time over ideal."""
-        return _read(self._ratios, percentile)
+        """Return a percentile of response time over ideal, None without complete jobs."""
+        return _percentile(self._ratios, percentile)
 
     def narrow_ratio(self, percentile: float) -> float | None:
-        """Return response time over ideal of narrow jobs."""
-        return _read(self._narrow, percentile)
+        """Return a percentile of response time over ideal of narrow jobs."""
+        return _percentile(self._narrow, percentile)
 
     def middle_ratio(self, percentile: float) -> float | None:
-        """Return response time over ideal of jobs neither narrow nor wide."""
-        return _read(self._middle, percentile)
+        """Return a percentile of response time over ideal of jobs neither narrow nor wide."""
+        return _percentile(self._middle, percentile)
 
     def wide_ratio(self, percentile: float) -> float | None:
-        """Return response time over ideal of wide jobs."""
-        return _read(self._wide, percentile)
+        """Return a percentile of response time over ideal of wide jobs."""
+        return _percentile(self._wide, percentile)
 
     def refused_ms(self, percentile: float) -> float | None:
-        """Return the time to the answer of refused jobs."""
-        return _read(self._refused, percentile)
+        """Return a percentile of the response time of refused jobs in milliseconds."""
+        return _percentile(self._refused, percentile)
 
 
-def _read(histogram: HdrHistogram, percentile: float) -> float | None:
+def _percentile(histogram: HdrHistogram, percentile: float) -> float | None:
     if not histogram.get_total_count():
         return None
     return round(histogram.get_value_at_percentile(percentile) / SCALE, 3)
 
 
 class Trial:
-    """One policy of an experiment, measured in slices of load on one fleet."""
+    """Measurement of one policy in an experiment, in slices of load on one fleet."""
 
     def __init__(self, fleet: Fleet, experiment: str, policy: str, chosen: bool, trip_ms: float):
-        """Start without figures.
+        """Start without results.
 
-        :param chosen: whether the policy is the one in force
-        :param trip_ms: one way between client and entries
+        :param chosen: whether the policy is the one in use
+        :param trip_ms: one-way latency between client and entries in milliseconds
         """
         self.fleet = fleet
         self._experiment = experiment
@@ -184,7 +192,7 @@
         self.starts = 0
         self.reports: list[LoadReport] = []
         self._busy: list[float] = []
-        self._useful: list[float] = []
+        self._goodput: list[float] = []
         self._loads: list[float] = []
         self._seconds = 0.0
 
@@ -196,11 +204,12 @@
         on_end: Callable[[], None] = lambda: None,
         **options,
     ) -> LoadReport:
-        """Send one slice of load and add up what it did.
+        """Send one slice of load and add its results.
 
-        :param watch: whether to sample how many slots are busy meanwhile
-        :param on_start: is given what ends the load early
-        :param on_end: is called after the last answer, before starts are counted
+        :param seconds: how long jobs are sent
+        :param watch: whether to sample the number of busy slots meanwhile
+        :param on_start: called before the load starts with a function that ends it early
+        :param on_end: called after the last answer, before starts are counted
         :param options: fields of :class:`geraniumspool.load.LoadOptions`
         """
         options = {"slots": SLOTS, "trip_ms": self._trip_ms, "team": TEAM} | options
@@ -230,11 +239,11 @@
         )
         if samples:
             self._busy.append(statistics.mean(samples) / SLOTS)
-            self._useful.append(self._busy[-1] * complete / max(1, started))
+            self._goodput.append(self._busy[-1] * complete / max(1, started))
         return report
 
     def _sample(self, samples: list[int], seconds: float) -> None:
-        """Sample the busy slots from a fifth of the time on until no more is sent."""
+        """Sample the number of busy slots while jobs are sent, except in the first fifth."""
         end = time.monotonic() + seconds
         eventlet.sleep(seconds / 5)
         while time.monotonic() < end:
@@ -242,14 +251,14 @@
             eventlet.sleep(SAMPLE_S)
 
     def row(self, **notes: float) -> Row:
-        """Return the figures so far.
+        """Return the results so far.
 
-        :param notes: figures of this experiment alone
+        :param notes: results that only this experiment has
         """
         tally = self.tally
         tasks = max(1, self.starts)
         check = check_starts(self.fleet, tally.jobs, self.starts)
-        goodput = statistics.mean(self._useful or [r.goodput_share for r in self.reports])
+        goodput = statistics.mean(self._goodput or [r.goodput_share for r in self.reports])
         if self._seconds:
             offered = tally.work_ms / 1_000 / (SLOTS * self._seconds)
             notes["offered_share"] = round(offered, 3)
@@ -283,10 +292,10 @@
 
 
 class StartsCheck(NamedTuple):
-    """What the minions' counts of starts say of the answers.
+    """Result of comparing the minions' counts of starts with the answers.
 
-    :param repeated: starts beyond one a task
-    :param false_not_run: jobs answered "not run" of which a task was started
+    :param repeated: starts beyond one per task
+    :param false_not_run: jobs answered as "not run" of which a task was started
     """
 
     repeated: int
@@ -294,33 +303,33 @@
 
 
 def check_starts(fleet: Fleet, jobs: list[Job], starts: int) -> StartsCheck:
-    """Compare the minions' starts with what the callers were told.
+    """Compare the starts at the minions with the answers.
 
-    Each task of a complete job was started at least once, so the minions are
-    asked of single tasks only where more was started than that.
+    Each task of a complete job was started at least once. Only if there were more starts than
+    that are the minions queried about the tasks of the other jobs.
 
-    :param starts: starts that these jobs caused, at all minions
+    :param starts: number of starts that these jobs caused at all minions
     """
     complete = sum(job.tasks for job in jobs if job.outcome == OUTCOME_COMPLETE)
-    beyond = starts - complete
-    if beyond <= 0:
+    surplus = starts - complete
+    if surplus <= 0:
         return StartsCheck(0, 0)
-    others = [job for job in jobs if job.outcome != OUTCOME_COMPLETE and job.ticket]
+    incomplete = [job for job in jobs if job.outcome != OUTCOME_COMPLETE and job.ticket]
     keyring = Keyring([TICKET_KEY])
-    pool = eventlet.GreenPool(QUERIES_AT_ONCE)
+    pool = eventlet.GreenPool(CONCURRENT_QUERIES)
     names = [
         (job, f"{keyring.verify(job.ticket).job:x}.{index}")
-        for job in others
+        for job in incomplete
         for index in range(job.tasks)
     ]
     counts = list(pool.imap(lambda pair: _count_starts(fleet, pair[1]), names))
-    false = {
+    false_jobs = {
         job.ticket
         for (job, _), count in zip(names, counts, strict=True)
         if count and job.outcome == OUTCOME_NOT_RUN
     }
-    known_once = sum(1 for count in counts if count)
-    return StartsCheck(beyond - known_once, len(false))
+    started_tasks = sum(1 for count in counts if count)
+    return StartsCheck(surplus - started_tasks, len(false_jobs))
 
 
 def _count_starts(fleet: Fleet, task: str) -> int:
@@ -334,9 +343,10 @@
 
 @contextlib.contextmanager
 def open_fleets(*settings: dict) -> Iterator[list[Fleet]]:
-    """Start fleets side by side, ready for work, and end them.
+    """Start fleets in parallel, yield them once they are ready, and stop them at the end.
 
-    :param settings: settings of the agents of each fleet
+    :param settings: agent settings, one dictionary per fleet
+    :raises RuntimeError: if a fleet is not ready in time
     """
     pool = eventlet.GreenPool()
     fleets = list(pool.imap(_start_fleet, settings))
@@ -350,25 +360,27 @@
 
 
 def _start_fleet(settings: dict) -> Fleet:
-    # Starting a process blocks, so each fleet is started in a thread of its own.
+    # Starting a process blocks the event loop, so a native thread starts each fleet.
     return tpool.execute(Fleet, DOMAINS, AGENTS_PER_DOMAIN, agent_settings=settings)
 
 
 def wait_ready(fleet: Fleet, agents: int = AGENTS) -> None:
-    """Wait until every entry that lives knows enough agents to be ready."""
+    """Wait until every running entry sees enough ready agents.
+
+    :raises RuntimeError: after ``READY_LIMIT_S``
+    """
     end = time.monotonic() + READY_LIMIT_S
     for entry in fleet.entries:
         while is_alive(entry) and fleet.ready_agents(entry) < agents:
             if time.monotonic() > end:
-                raise RuntimeError(f"{agents} agents were not ready in time")
+                raise RuntimeError(f"{agents} agents were not ready within {READY_LIMIT_S:g} s")
             eventlet.sleep(0.1)
 
 
 class Turn(NamedTuple):
-    """A slice of load, or whatever else keeps a fleet busy.
+    """A slice of load, or other work, on one fleet.
 
-    :param seconds: time after which the next turn begins; this one may still
-        wait for answers then
+    :param seconds: time until the next turn starts; this one may still be waiting for answers
     """
 
     fleet: Fleet
@@ -377,7 +389,7 @@
 
 
 def take_turns(turns: Iterable[Turn]) -> None:
-    """Run turns one after the other, those of one fleet never at once."""
+    """Start turns one after the other; turns on the same fleet never overlap."""
     running: dict[int, eventlet.greenthread.GreenThread] = {}
     for turn in turns:
         if id(turn.fleet) in running:
@@ -389,10 +401,10 @@
 
 
 def measure_trip(fleet: Fleet) -> float:
-    """Return the median of half a round trip to an entry, in milliseconds."""
+    """Return half the median round-trip time to an entry, in milliseconds."""
     url = f"http://{fleet.callers()[0]}/healthz"
     times = []
-    for _ in range(TRIPS):
+    for _ in range(TRIP_SAMPLES):
         begin = time.perf_counter()
         fleet.http.request("GET", url, timeout=10)
         times.append(time.perf_counter() - begin)
@@ -400,18 +412,22 @@
 
 
 def put_faults(fleet: Fleet, url: str, **faults) -> None:
-    """Switch faults of a stand-in on; those left out of a minion's go off."""
+    """Set the faults of a store or minion stand-in; a minion ends those left out.
+
+    :param url: base URL of the stand-in
+    :raises RuntimeError: if it does not answer with status 200
+    """
     reply = fleet.http.request("PUT", f"{url}/faults", json=faults, timeout=10)
     if reply.status != 200:
-        raise RuntimeError(f"{url}: {reply.status} {reply.data!r}")
+        raise RuntimeError(f"PUT {url}/faults: status {reply.status}: {reply.data!r}")
 
 
 def wait_until(
     condition: Callable[[], bool], limit_s: float, pause_s: float = 0.02
 ) -> float | None:
-    """Wait for a condition.
+    """Poll a condition until it holds.
 
-    :returns: how long it took in milliseconds, None if it did not come true
+    :returns: how long it took in milliseconds, None if it did not hold within the limit
     """
     begin = time.monotonic()
     while not condition():
@@ -422,7 +438,7 @@
 
 
 def restart_entry(fleet: Fleet, index: int) -> None:
-    """Start an entry that ended anew at its old addresses."""
+    """Start a new entry at the addresses of one that has ended."""
     old = fleet.entries[index].ready
     settings = {
         "role": "entry",
@@ -435,11 +451,11 @@
         "heartbeat_timeout_ms": 2000,
         "registration_ttl_ms": 3000,
     }
-    fleet.entries[index] = _start_again(fleet, "entry", settings)
+    fleet.entries[index] = _start_program(fleet, "entry", settings)
 
 
 def restart_agent(fleet: Fleet, index: int) -> None:
-    """Start an agent that ended anew at its old addresses; its minion finds it there."""
+    """Start a new agent at the addresses of one that has ended, where its minion finds it."""
     old = fleet.agents[index].ready
     settings = {
         "role": "agent",
@@ -447,11 +463,14 @@
         "inbox": old["inbox"],
         "minion_listen": old["minion"].removeprefix("http://"),
     }
-    fleet.agents[index] = _start_again(fleet, "agent", settings)
+    fleet.agents[index] = _start_program(fleet, "agent", settings)
 
 
 def domain_of(index: int) -> str:
-    """Return the failure domain of an agent by its place in the start order."""
+    """Return the failure domain of an agent by its index in the order of starts.
+
+    :raises IndexError: if there is no such agent
+    """
     for domain, count in zip(DOMAINS, AGENTS_PER_DOMAIN, strict=True):
         if index < count:
             return domain
@@ -459,7 +478,7 @@
     raise IndexError(index)
 
 
-def _start_again(fleet: Fleet, role: str, settings: dict) -> Program:
+def _start_program(fleet: Fleet, role: str, settings: dict) -> Program:
     common = {"store_urls": [fleet.store_url], "heartbeat_period_ms": 500}
     with tempfile.NamedTemporaryFile("w", suffix=".yaml", encoding="utf-8") as file:
         yaml.safe_dump(settings | common, file)
@@ -468,7 +487,7 @@
 
 
 def leave(program: Program) -> int:
-    """Ask a process to leave gracefully and wait without stopping the load.
+    """Shut a process down gracefully without blocking the load, and kill it after a limit.
 
     :returns: its exit code
     """
@@ -479,6 +498,6 @@
 
 
 def subtract(after: Counts, before: Counts) -> dict[str, float]:
-    """Return messages spent between two counts, as figures of a row."""
+    """Return the messages sent between two counts, as notes of a row."""
     spent = after - before
     return {"messages_spent": spent.work_messages, "wasted_spent": spent.wasted_messages}
--- a/benchmarks/experiment_faults.py
+++ b/benchmarks/experiment_faults.py
@@ -1,4 +1,4 @@
-"""Experiments with faults: minions, processes, store, planned restarts."""
+"""Experiments with faults of minions, processes and the store, and with rolling restarts."""
 
 import functools
 import signal
@@ -44,11 +44,11 @@
 FLAP_S = 1.0
 FAULT_SHARE = 0.6
 FAULT_S = 12.0
-FAULT_AT_S = 4.0
+FAULT_DELAY_S = 4.0
 FAULT_MIX = MIXES["brief"]._replace(run_times=RunTimes(50, 1_000), deadline_ms=10_000.0)
-FROZEN_S = 6.0
+FREEZE_S = 6.0
 ENTRY_DOWN_S = 1.0
-DOUBLED_SHARE = 0.3
+RESUBMIT_SHARE = 0.3
 STORE_SHARE = 0.5
 STORE_DOWN_S = 10.0
 STORE_SLOW_MS = 300.0
@@ -63,10 +63,10 @@
 
 
 class BadMinion(NamedTuple):
-    """One way in which a minion is bad.
+    """A kind of faulty minion.
 
-    :param faults: faults of the stand-in
-    :param flaps: whether they come and go
+    :param faults: faults to set at the minion stand-in
+    :param flaps: whether the faults alternate with healthy periods of ``FLAP_S``
     """
 
     name: str
@@ -82,39 +82,40 @@
     BadMinion("frozen", {"freeze": True}),
     BadMinion("flaps", {"fail_all": True, "fail_fast": True}, True),
 )
-# Each fault hits another minion, so that none has to be restored in between.
-BAD_PLACES = (0, 0, 4, 8, 1, 5)
+# Indices of the minions. Each fault affects a different one, so that no minion has to recover
+# between two cases.
+BAD_MINION_INDICES = (0, 0, 4, 8, 1, 5)
 
 
 def measure_minions() -> list[Row]:
-    """Let one minion of eleven go bad, with ejection and without."""
+    """Measure one faulty minion out of eleven, with and without ejection."""
     trials, turns = [], []
     with open_fleets({}, {}) as fleets:
         trip_ms = measure_trip(fleets[0])
         configure(fleets[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
-        for bad, place in zip(BAD_MINIONS, BAD_PLACES, strict=True):
+        for bad, minion_index in zip(BAD_MINIONS, BAD_MINION_INDICES, strict=True):
             for fleet, name in zip(fleets, ("ejection", "no ejection"), strict=True):
                 chosen = fleet is fleets[0]
                 trial = Trial(fleet, "minions", f"{bad.name}, {name}", chosen, trip_ms)
-                run = functools.partial(_run_with_bad, trial, place, bad)
+                run = functools.partial(_run_with_bad_minion, trial, minion_index, bad)
                 trials.append(trial)
                 turns.append(Turn(fleet, MINION_S, run))
         take_turns(turns)
         return [_describe_failures(trial) for trial in trials]
 
 
-def _run_with_bad(trial: Trial, place: int, bad: BadMinion) -> None:
+def _run_with_bad_minion(trial: Trial, minion_index: int, bad: BadMinion) -> None:
     fleet = trial.fleet
-    url = fleet.minions[place].ready["minion"]
+    url = fleet.minions[minion_index].ready["minion"]
     put_faults(fleet, url, **bad.faults)
     flapping = eventlet.spawn(_flap, fleet, url, bad) if bad.flaps else None
 
-    def mend() -> None:
+    def end_faults() -> None:
         if flapping:
             flapping.kill()
         put_faults(fleet, url)
 
-    trial.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=mend)
+    trial.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=end_faults)
 
 
 def _describe_failures(trial: Trial) -> Row:
@@ -132,7 +133,7 @@
 
 
 def measure_unknown() -> list[Row]:
-    """Lose processes in the middle of jobs; jobs are submitted twice now and then."""
+    """Measure jobs in flight when processes fail, while some jobs are submitted twice."""
     cases: tuple[tuple[str, Callable[[Trial], None]], ...] = (
         ("no fault", lambda trial: None),
         ("agent frozen 6 s", _freeze_agent),
@@ -145,18 +146,18 @@
         trip_ms = measure_trip(fleet)
         for name, fault in cases:
             trial = Trial(fleet, "unknown", name, True, trip_ms)
-            task = eventlet.spawn(_later, fault, trial)
+            task = eventlet.spawn(_inject_after_delay, fault, trial)
             options = {"mix": FAULT_MIX, "load_share": FAULT_SHARE}
-            trial.run(FAULT_S, resubmit_share=DOUBLED_SHARE, **options)
+            trial.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
             task.wait()
             row = _describe_failures(trial)
-            spent = {"wasted_messages": trial.counts.wasted_messages}
-            rows.append(row._replace(notes=row.notes | spent))
+            extra_notes = {"wasted_messages": trial.counts.wasted_messages}
+            rows.append(row._replace(notes=row.notes | extra_notes))
     return rows
 
 
-def _later(fault: Callable[[Trial], None], trial: Trial) -> None:
-    eventlet.sleep(FAULT_AT_S)
+def _inject_after_delay(fault: Callable[[Trial], None], trial: Trial) -> None:
+    eventlet.sleep(FAULT_DELAY_S)
     trial.meter.look()
     fault(trial)
 
@@ -164,7 +165,7 @@
 def _freeze_agent(trial: Trial) -> None:
     agent = trial.fleet.agents[0]
     agent.send(signal.SIGSTOP)
-    eventlet.sleep(FROZEN_S)
+    eventlet.sleep(FREEZE_S)
     agent.send(signal.SIGCONT)
 
 
@@ -184,7 +185,7 @@
 
 
 def measure_store() -> list[Row]:
-    """Change the configuration while the store misbehaves, under load."""
+    """Measure configuration changes under load while the store is faulty."""
     cases = (
         ("healthy", {}, 0.0, 6.0),
         ("300 ms slow", {"slow_ms": STORE_SLOW_MS}, 0.0, 8.0),
@@ -209,9 +210,14 @@
 def _change_later(
     fleet: Fleet, number: int, faults: dict, down_s: float, notes: dict[str, float]
 ) -> None:
-    """Change a document, repeat it until it is accepted, and wait until it is in force.
+    """Change a document, retrying until it is accepted, and wait until it is in force.
 
-    Times count from the first try, or from the store's return where it was down.
+    Times are measured from the first try, or from the store's recovery if it was down.
+
+    :param number: index of the case, which determines the document
+    :param faults: faults to set at the store before the change
+    :param down_s: time after which the store recovers, 0 if it is not down
+    :param notes: receives the number of retries and the times in milliseconds
     """
     eventlet.sleep(1.0)
     before = newest(fleet)
@@ -222,21 +228,21 @@
         eventlet.spawn_after(down_s, put_faults, fleet, fleet.store_url, down=False)
     change_id = uuid.uuid4().hex
     body = f"weight: {number + 2}\n"
-    tries = 0
+    retries = 0
     while change(fleet, "team/opticians", body, change_id) != 200:
-        tries += 1
+        retries += 1
         if time.monotonic() - begin > STORE_LIMIT_S:
             break
         eventlet.sleep(0.1)
     accepted = time.monotonic()
     wait_until(lambda: is_in_force(fleet, before + 1), STORE_LIMIT_S)
-    notes["repeated_changes"] = tries
+    notes["repeated_changes"] = retries
     notes["accepted_ms"] = round((accepted - begin - down_s) * 1_000, 1)
     notes["in_force_ms"] = round((time.monotonic() - begin - down_s) * 1_000, 1)
 
 
 def measure_restarts() -> list[Row]:
-    """Restart every agent and entry one after the other, under load."""
+    """Measure a rolling restart of all agents and entries under load."""
     with open_fleets({}) as (fleet,):
         trial = Trial(fleet, "restarts", "every agent and entry", True, measure_trip(fleet))
         notes: dict[str, float] = {}
@@ -249,7 +255,7 @@
             tasks.append(eventlet.spawn(_restart_all, trial, notes, stops))
 
         options = {"mix": FAULT_MIX, "load_share": RESTART_SHARE}
-        trial.run(RESTART_SECONDS, resubmit_share=DOUBLED_SHARE, on_start=start, **options)
+        trial.run(RESTART_SECONDS, resubmit_share=RESUBMIT_SHARE, on_start=start, **options)
         for task in tasks:
             task.wait()
         notes["client_jobs"] = sum(caller.jobs for caller in callers)
@@ -257,7 +263,8 @@
         for reason in sorted({reason for caller in callers for reason in caller.failures}):
             notes[f"client_{reason}"] = sum(caller.failures.count(reason) for caller in callers)
         notes["client_resubmissions"] = sum(caller.resubmissions for caller in callers)
-        # The clients' tasks were started in the same slice, so they are checked with it.
+        # The minions counted the clients' starts in this slice too, so their jobs are checked
+        # with it.
         jobs = len(trial.tally.jobs)
         trial.tally.jobs += [job for caller in callers for job in caller.done]
         row = _describe_failures(trial)
@@ -265,7 +272,12 @@
 
 
 class _Caller:
-    """A caller that uses the project's client, one job after the other."""
+    """Caller that runs one job after the other with the project's client library.
+
+    :ivar jobs: number of jobs so far
+    :ivar failures: reasons of the jobs that failed
+    :ivar done: jobs that ended, also failed ones
+    """
 
     def __init__(self, fleet: Fleet, number: int):
         self.jobs = 0
@@ -303,12 +315,12 @@
     eventlet.sleep(2.0)
     begin = time.monotonic()
     codes = []
-    longest = 0.0
+    longest_leave_s = 0.0
     for index in range(len(fleet.agents)):
         trial.meter.look()
-        left = time.monotonic()
+        leave_began = time.monotonic()
         codes.append(leave(fleet.agents[index]))
-        longest = max(longest, time.monotonic() - left)
+        longest_leave_s = max(longest_leave_s, time.monotonic() - leave_began)
         restart_agent(fleet, index)
         wait_ready(fleet)
     for index in range(len(fleet.entries)):
@@ -319,6 +331,6 @@
     notes["restarted"] = sum(is_alive(program) for program in fleet.agents + fleet.entries)
     notes["bad_exit_codes"] = sum(code != 0 for code in codes)
     notes["took_s"] = round(time.monotonic() - begin, 1)
-    notes["longest_leave_s"] = round(longest, 1)
+    notes["longest_leave_s"] = round(longest_leave_s, 1)
     for end in stop:
         end()
--- a/benchmarks/experiment_limits.py
+++ b/benchmarks/experiment_limits.py
@@ -1,4 +1,4 @@
-"""Experiments on quotas, on fairness between teams and on cancellations in waves."""
+"""Experiments on quotas, fairness between teams and mass cancellation."""
 
 import statistics
 import time
@@ -26,7 +26,7 @@
 RUNNING_TEAM = "lenses"
 RUNNING_TASKS = 24
 QUOTA_S = 10.0
-QUOTA_OFFER = 2.5
+OFFERED_TO_QUOTA = 2.5
 FAIR_S = 12.0
 FLOOD_TEAM = "flood"
 LIGHT_TEAM = "light"
@@ -38,16 +38,18 @@
 SHORT_NARROW = MIXES["narrow"]._replace(run_times=SHORT_TIMES)
 WAVE_MIX = MIXES["brief"]._replace(run_times=SHORT_TIMES, deadline_ms=30_000.0)
 WAVE_SHARE = 3.0
-WAVE_AT_S = 4.0
-FREE_LIMIT_S = 20.0
+WAVE_DELAY_S = 4.0
+SLOTS_FREE_LIMIT_S = 20.0
 
 
 def change(fleet: Fleet, key: str, body: str, change_id: str = "", entry: int = 0) -> int:
-    """Put a configuration document in place of the current one.
+    """Replace a configuration document.
 
     :param key: ``service/NAME`` or ``team/NAME``
-    :param change_id: identity of the change, a new one by default
-    :returns: status of the answer, 200 where it was accepted
+    :param body: new document as YAML
+    :param change_id: id under which retries count as the same change; empty for a new one
+    :param entry: index of the entry that gets the request
+    :returns: HTTP status, 200 if the change was accepted
     """
     program = fleet.entries[entry]
     status, document = fleet.ask(program, f"/v1/config/{key}")
@@ -62,7 +64,7 @@
 
 
 def is_in_force(fleet: Fleet, revision: int) -> bool:
-    """Return whether every entry knows a revision to be in force in every domain."""
+    """Return whether every entry reports a revision as in force in every domain."""
     for entry in fleet.entries:
         _, status = fleet.ask(entry, "/v1/config-status")
         rows = [row["revision"] for row in status["domains"]]
@@ -77,20 +79,20 @@
 
 
 def configure(fleet: Fleet, key: str, body: str) -> None:
-    """Put a configuration document in force everywhere.
+    """Replace a configuration document and wait until it is in force everywhere.
 
-    :raises RuntimeError: if it is not accepted, or not in force in time
+    :raises RuntimeError: if it is not accepted, or not in force within ``STORE_LIMIT_S``
     """
     if change(fleet, key, body) != 200:
-        raise RuntimeError(f"{key} was not accepted")
+        raise RuntimeError(f"configuration change of {key} was not accepted")
     program = fleet.entries[0]
     revision = fleet.ask(program, f"/v1/config/{key}")[1]["revision"]
     if wait_until(lambda: is_in_force(fleet, revision), STORE_LIMIT_S) is None:
-        raise RuntimeError(f"{key} was not in force in time")
+        raise RuntimeError(f"{key} was not in force within {STORE_LIMIT_S:g} s")
 
 
 def measure_quotas() -> list[Row]:
-    """Send more than a team may use: through one entry, then through all."""
+    """Exceed a team's quota through one entry, then through all entries."""
     with open_fleets({}) as (fleet,):
         trip_ms = measure_trip(fleet)
         configure(fleet, f"team/{RATE_TEAM}", f"rate_tasks_per_s: {RATE_TASKS_PER_S}\n")
@@ -98,13 +100,13 @@
         return [_measure_rate(fleet, trip_ms), _measure_running(fleet, trip_ms)]
 
 
-def _rate_for(tasks_per_s: float) -> float:
-    return QUOTA_OFFER * tasks_per_s / SHORT_NARROW.widths.mean
+def _job_rate(tasks_per_s: float) -> float:
+    return OFFERED_TO_QUOTA * tasks_per_s / SHORT_NARROW.widths.mean
 
 
 def _measure_rate(fleet: Fleet, trip_ms: float) -> Row:
     trial = Trial(fleet, "quotas", "60 tasks a second", True, trip_ms)
-    options = {"team": RATE_TEAM, "mix": SHORT_NARROW, "rate": _rate_for(RATE_TASKS_PER_S)}
+    options = {"team": RATE_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(RATE_TASKS_PER_S)}
     seconds = []
     for entries in (fleet.callers()[:1], fleet.callers()):
         counts: list[int] = []
@@ -114,10 +116,10 @@
         seconds.append([b - a for a, b in zip(counts, counts[1:], strict=False)])
     one, every = seconds
     return trial.row(
-        one_entry_over_quota=_over(statistics.mean(one), RATE_TASKS_PER_S),
-        all_entries_over_quota=_over(statistics.mean(every), RATE_TASKS_PER_S),
-        all_entries_worst_second=_over(max(every), RATE_TASKS_PER_S),
-        all_entries_after_2_s=_over(statistics.mean(every[2:]), RATE_TASKS_PER_S),
+        one_entry_over_quota=_relative_to_quota(statistics.mean(one), RATE_TASKS_PER_S),
+        all_entries_over_quota=_relative_to_quota(statistics.mean(every), RATE_TASKS_PER_S),
+        all_entries_worst_second=_relative_to_quota(max(every), RATE_TASKS_PER_S),
+        all_entries_after_2_s=_relative_to_quota(statistics.mean(every[2:]), RATE_TASKS_PER_S),
     )
 
 
@@ -128,22 +130,22 @@
         counts.append(fleet.starts()["starts"])
 
 
-def _over(value: float, quota: float) -> float:
+def _relative_to_quota(value: float, quota: float) -> float:
     return round(value / quota, 3)
 
 
 def _measure_running(fleet: Fleet, trip_ms: float) -> Row:
     trial = Trial(fleet, "quotas", "24 running tasks", True, trip_ms)
     tasks_per_s = RUNNING_TASKS * 1_000 / SHORT_TIMES.mean_ms
-    options = {"team": RUNNING_TEAM, "mix": SHORT_NARROW, "rate": _rate_for(tasks_per_s)}
+    options = {"team": RUNNING_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(tasks_per_s)}
     peaks, means = [], []
     for entries in (fleet.callers()[:1], fleet.callers()):
         samples: list[int] = []
         sampler = eventlet.spawn(_sample_running, fleet, samples)
         trial.run(QUOTA_S, entries=entries, **options)
         sampler.kill()
-        peaks.append(_over(max(samples), RUNNING_TASKS))
-        means.append(_over(statistics.mean(samples), RUNNING_TASKS))
+        peaks.append(_relative_to_quota(max(samples), RUNNING_TASKS))
+        means.append(_relative_to_quota(statistics.mean(samples), RUNNING_TASKS))
     return trial.row(
         one_entry_peak_over_quota=peaks[0],
         all_entries_peak_over_quota=peaks[1],
@@ -159,7 +161,7 @@
 
 
 def measure_fairness() -> list[Row]:
-    """Let one team flood the system while another sends little."""
+    """Measure a team with light load while another team overloads the system."""
     with open_fleets({}) as (fleet,):
         trip_ms = measure_trip(fleet)
         alone = Trial(fleet, "fairness", "light team alone", True, trip_ms)
@@ -167,7 +169,7 @@
         alone.run(FAIR_S, seed=2, **options)
         flood = Trial(fleet, "fairness", "flood beside a light team", True, trip_ms)
         light = Tally(trip_ms)
-        beside = eventlet.spawn(
+        light_load = eventlet.spawn(
             run_load,
             fleet.callers(),
             SERVICE,
@@ -179,8 +181,9 @@
             **options,
         )
         flood.run(FAIR_S, mix="brief", load_share=FLOOD_SHARE, team=FLOOD_TEAM)
-        beside.wait()
-        # The light team's tasks were started in the same slice, so they are checked with it.
+        light_load.wait()
+        # The minions counted the light team's starts in this slice too, so its jobs are checked
+        # with it.
         flood.tally.jobs += light.jobs
         row = flood.row(
             light_jobs=len(light.jobs),
@@ -193,14 +196,14 @@
 
 
 def measure_cancellation() -> list[Row]:
-    """Cancel everything in flight at once, under three times the load."""
+    """Cancel all jobs in flight at once at three times the capacity."""
     with open_fleets({}) as (fleet,):
         trip_ms = measure_trip(fleet)
         trial = Trial(fleet, "cancellation", "all jobs in flight", True, trip_ms)
         notes: dict[str, float | None] = {}
         watcher = eventlet.spawn(_watch_wave, trial, notes)
-        wave = CancelWave(WAVE_AT_S * 1_000, 1.0)
-        seconds = WAVE_AT_S - 0.1
+        wave = CancelWave(WAVE_DELAY_S * 1_000, 1.0)
+        seconds = WAVE_DELAY_S - 0.1
         report = trial.run(
             seconds, mix=WAVE_MIX, load_share=WAVE_SHARE, cancel_waves=(wave,), team="opticians"
         )
@@ -211,12 +214,12 @@
 
 
 def _watch_wave(trial: Trial, notes: dict[str, float | None]) -> None:
-    eventlet.sleep(WAVE_AT_S - 0.4)
+    eventlet.sleep(WAVE_DELAY_S - 0.4)
     before = trial.meter.read()
     running = trial.fleet.starts()["running"]
     eventlet.sleep(0.4)
     fleet = trial.fleet
-    taken = wait_until(lambda: fleet.starts()["running"] == 0, FREE_LIMIT_S, 0.01)
+    taken = wait_until(lambda: fleet.starts()["running"] == 0, SLOTS_FREE_LIMIT_S, 0.01)
     notes["running_before"] = running
     notes["slots"] = SLOTS
     notes["all_slots_free_ms"] = None if taken is None else round(taken, 1)
--- a/benchmarks/experiment_load.py
+++ b/benchmarks/experiment_load.py
@@ -1,4 +1,4 @@
-"""Experiments without faults: light load, placement, declared times, overload."""
+"""Experiments without faults: light load, placement, declared run times, overload."""
 
 import functools
 import random
@@ -15,22 +15,23 @@
     Mix,
 )
 
-FULL_SHARE = 0.8
+HIGH_LOAD_SHARE = 0.8
 LIGHT_SHARE = 0.05
-OVER_SHARE = 1.5
+OVERLOAD_SHARE = 1.5
 BURST_BASE_SHARE = 0.4
 SLICES = 2
 PLACEMENT_SLICES = 3
 SLICE_S = 10.0
 LIGHT_SLICE_S = 6.0
-OVER_S = 20.0
+OVERLOAD_S = 20.0
 BURST_S = 14.0
 
 
 class Policy(NamedTuple):
-    """A way of placing tasks, as settings of the agents.
+    """A placement policy.
 
-    :param chosen: whether it is the one in force
+    :param settings: agent settings that select it
+    :param chosen: whether it is the one in use
     """
 
     name: str
@@ -38,7 +39,7 @@
     chosen: bool = False
 
 
-# Without late binding tasks wait at the workers, so their queues must be long.
+# Without late binding tasks wait at the workers, so these need long queues.
 CHOSEN = Policy("late", {}, True)
 RANDOM = Policy("random", {"placement": "random", "queue_per_slot": 100})
 LEAST = Policy("least", {"placement": "least", "queue_per_slot": 100})
@@ -51,7 +52,7 @@
 def _compare(
     experiment: str, policies: list[Policy], seconds: float, slices: int = SLICES, **options
 ) -> list[Row]:
-    """Measure policies on fleets side by side; slices of load take turns."""
+    """Measure policies on parallel fleets, each with the same slices of load in turn."""
     with open_fleets(*(policy.settings for policy in policies)) as fleets:
         trip_ms = measure_trip(fleets[0])
         trials = [
@@ -67,26 +68,26 @@
 
 
 def measure_light() -> list[Row]:
-    """Send single short tasks at a light load."""
+    """Measure single short tasks at a light load."""
     policies = [CHOSEN, RANDOM, TWO]
     return _compare("light", policies, LIGHT_SLICE_S, mix="light", load_share=LIGHT_SHARE)
 
 
 def measure_placement() -> list[Row]:
-    """Compare ways of choosing workers at a high load."""
+    """Compare placement policies at a high load."""
     policies = [CHOSEN, RANDOM, LEAST, TWO]
-    options = {"slices": PLACEMENT_SLICES, "mix": "brief", "load_share": FULL_SHARE}
+    options = {"slices": PLACEMENT_SLICES, "mix": "brief", "load_share": HIGH_LOAD_SHARE}
     return _compare("placement", policies, SLICE_S, **options)
 
 
 def measure_ahead() -> list[Row]:
-    """Compare settings of late binding at a high load."""
+    """Compare settings of late binding and of result batching at a high load."""
     policies = [CHOSEN, HALF_AHEAD, TWO_AHEAD, SHORT_HOLD]
-    return _compare("ahead", policies, SLICE_S, mix="brief", load_share=FULL_SHARE)
+    return _compare("ahead", policies, SLICE_S, mix="brief", load_share=HIGH_LOAD_SHARE)
 
 
 def measure_declared() -> list[Row]:
-    """Compare exact declared run times, wrong ones and none."""
+    """Compare exact, wrong and no declared run times."""
     kinds = (DECLARED_EXACT, DECLARED_WRONG, DECLARED_NONE)
     with open_fleets({}, {}, {}) as fleets:
         trip_ms = measure_trip(fleets[0])
@@ -102,8 +103,11 @@
         return [trial.row() for trial in trials]
 
 
-class _Redeclared(NamedTuple):
-    """The jobs of a mix with other declared run times, so that kinds compare."""
+class _RedeclaredMix(NamedTuple):
+    """Mix that draws the same jobs as another one, but replaces their declared run times.
+
+    :param kind: one of the ``DECLARED_`` constants
+    """
 
     mix: Mix
     kind: str
@@ -122,17 +126,17 @@
 
 
 def _run_declared(trial: Trial, kind: str, seed: int) -> None:
-    mix = _Redeclared(MIXES["brief"], kind)
-    trial.run(SLICE_S, seed=seed, mix=mix, load_share=FULL_SHARE)
+    mix = _RedeclaredMix(MIXES["brief"], kind)
+    trial.run(SLICE_S, seed=seed, mix=mix, load_share=HIGH_LOAD_SHARE)
 
 
 def measure_overload() -> list[Row]:
-    """Send more work than the slots can do, lasting and in a burst."""
+    """Measure lasting overload, and a burst that exceeds the capacity."""
     policies = [CHOSEN, RANDOM]
     burst = Burst(4_000, 2_000)
-    lasting = {"watch": True, "mix": "brief", "load_share": OVER_SHARE}
-    sudden = {"mix": "brief", "load_share": BURST_BASE_SHARE, "bursts": (burst,)}
-    slices = (("overload", OVER_S, lasting), ("burst", BURST_S, sudden))
+    lasting_load = {"watch": True, "mix": "brief", "load_share": OVERLOAD_SHARE}
+    burst_load = {"mix": "brief", "load_share": BURST_BASE_SHARE, "bursts": (burst,)}
+    slices = (("overload", OVERLOAD_S, lasting_load), ("burst", BURST_S, burst_load))
     with open_fleets(*(policy.settings for policy in policies)) as fleets:
         trip_ms = measure_trip(fleets[0])
         trials, turns = [], []
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -1,4 +1,4 @@
-"""The experiments by name."""
+"""Registry of the experiments by name."""
 
 from collections.abc import Callable
 
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -1,8 +1,8 @@
-"""Look for promises broken under random faults, storm after storm.
+"""Search for violated guarantees under random faults, one seed after another.
 
-Run as ``python -m benchmarks.explore [FIRST [COUNT]]``. Prints a JSON line for
-each storm in which something did not hold, with what was done, and one for all.
-``PYTHONHASHSEED`` must be set for a storm to be the same in another run.
+Run as ``python -m benchmarks.explore [FIRST [COUNT]]``. Prints a JSON line with violations and
+acts for each seed that violated a guarantee, and a summary as the last line. A seed repeats its
+run only with a fixed ``PYTHONHASHSEED``.
 """
 
 import json
@@ -13,19 +13,19 @@
 
 from benchmarks.storm import Storm
 
-COUNT = 200
+DEFAULT_COUNT = 200
 
 
 def main(arguments: list[str]) -> int:
-    """Run storms of consecutive seeds.
+    """Run consecutive seeds.
 
-    :param arguments: the first seed, 0 by default, and how many
-    :returns: exit code, 1 if something did not hold
+    :param arguments: the first seed, 0 by default, and the number of seeds
+    :returns: exit code, 1 if a seed violated a guarantee
     """
     first = int(arguments[0]) if arguments else 0
-    count = int(arguments[1]) if len(arguments) > 1 else COUNT
+    count = int(arguments[1]) if len(arguments) > 1 else DEFAULT_COUNT
     if os.environ.get("PYTHONHASHSEED", "random") == "random":
-        print("PYTHONHASHSEED is not set: storms will not repeat", file=sys.stderr)
+        print("PYTHONHASHSEED is not set: runs are not reproducible", file=sys.stderr)
     logging.disable(logging.CRITICAL)
     begin = time.monotonic()
     broken = sum(not run_storm(seed) for seed in range(first, first + count))
@@ -35,7 +35,7 @@
 
 
 def run_storm(seed: int) -> bool:
-    """Run one storm; print what did not hold and return whether all did."""
+    """Run one seed; print its violations and return whether there were none."""
     storm = Storm(seed)
     try:
         violations = storm.run()
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -1,8 +1,8 @@
-"""What becomes of jobs, by second, queue and reason, from the logs of dispatchers.
+"""Table of jobs not served in time, by interval, queue and reason, from dispatcher logs.
 
-Run as ``python -m benchmarks.losses FILE [SECONDS]``: a table of the jobs that were refused,
-given up, unfinished, failed or late, for each stretch of so many seconds (2 without it). Lines
-may have a prefix before their JSON, such as the name of their process.
+Run as ``python -m benchmarks.losses FILE [SECONDS]``. Counts the jobs that were refused, given
+up, unfinished, failed or late in each interval of SECONDS (2 by default). Lines may have a prefix
+before their JSON, such as the name of the process.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 from tabulate import tabulate
 
-STRETCH_S = 2.0
+DEFAULT_INTERVAL_S = 2.0
 SUCCEEDED = "succeeded"
 HEADERS = ["from s", "queue", "what", "jobs", "held ms"]
 
@@ -22,9 +22,10 @@
 class Loss(NamedTuple):
     """One job that was not served in time.
 
-    :param at_s: when that was decided, in seconds after the first line
-    :param queue: empty where the job was refused on arrival
-    :param held_ms: how long its caller had waited
+    :param at_s: time of the log line, in seconds after the first line about a job
+    :param queue: empty if the job was refused on arrival
+    :param what: kind of loss and its reason
+    :param held_ms: how long the caller had waited, in milliseconds
     """
 
     at_s: float
@@ -34,52 +35,52 @@
 
 
 def read_losses(lines: Iterable[str]) -> list[Loss]:
-    """Return the jobs that were not served in time, in the order of the lines."""
+    """Return the jobs that were not served in time, in the order of the log lines."""
     queues: dict[str, str] = {}
     losses = []
-    begun_s = None
+    first_s = None
     for line in lines:
         record = _decode(line)
         if record is None:
             continue
         now_s = datetime.fromisoformat(record["time"]).timestamp()
-        begun_s = now_s if begun_s is None else begun_s
+        first_s = now_s if first_s is None else first_s
         if record["message"] == "job accepted":
             queues[record["job"]] = record["queue"]
             continue
-        what = _name_loss(record)
+        what = _classify_loss(record)
         if what:
             queue = queues.get(record["job"], "")
-            losses.append(Loss(now_s - begun_s, queue, what, record.get("took_ms", 0.0)))
+            losses.append(Loss(now_s - first_s, queue, what, record.get("took_ms", 0.0)))
     return losses
 
 
-def count_losses(losses: Iterable[Loss], stretch_s: float) -> list[list]:
-    """Return rows of stretch, queue, what happened, how often, and the mean time held."""
+def count_losses(losses: Iterable[Loss], interval_s: float) -> list[list]:
+    """Return rows of interval start, queue, kind of loss, count and mean wait in milliseconds."""
     counts: Counter = Counter()
-    held: Counter = Counter()
+    waited_ms: Counter = Counter()
     for loss in losses:
-        key = (loss.at_s // stretch_s * stretch_s, loss.queue, loss.what)
+        key = (loss.at_s // interval_s * interval_s, loss.queue, loss.what)
         counts[key] += 1
-        held[key] += loss.held_ms
-    return [[*key, count, held[key] / count] for key, count in sorted(counts.items())]
+        waited_ms[key] += loss.held_ms
+    return [[*key, count, waited_ms[key] / count] for key, count in sorted(counts.items())]
 
 
 def main(arguments: list[str]) -> int:
-    """Read and print; return the exit code."""
+    """Read a log file, print the table and return the exit code."""
     if not arguments:
         print(__doc__, file=sys.stderr)
         return 2
-    stretch_s = float(arguments[1]) if len(arguments) > 1 else STRETCH_S
+    interval_s = float(arguments[1]) if len(arguments) > 1 else DEFAULT_INTERVAL_S
     with open(arguments[0], encoding="utf-8", errors="replace") as lines:
         losses = read_losses(lines)
-    rows = count_losses(losses, stretch_s)
+    rows = count_losses(losses, interval_s)
     print(tabulate(rows, HEADERS, tablefmt="github", floatfmt=".0f"))
     return 0
 
 
 def _decode(line: str) -> dict | None:
-    """Return a line's record if it is about a job, None otherwise."""
+    """Return the JSON record of a line if it is about a job, None otherwise."""
     start = line.find('{"time"')
     if start < 0 or '"job' not in line:
         return None
@@ -90,8 +91,8 @@
     return record if "job" in record and "message" in record else None
 
 
-def _name_loss(record: dict) -> str:
-    """Return what was lost by what a record says, empty for nothing."""
+def _classify_loss(record: dict) -> str:
+    """Return the kind of loss that a record reports, empty for none."""
     if record["message"] == "job refused":
         return f"refused: {record['reason']}"
     if record["message"] != "job ended":
