--- a/benchmarks/pattern_loads.py
+++ b/benchmarks/pattern_loads.py
@@ -1,7 +1,7 @@
-"""Load patterns at their worst: what arrives, and what goes wrong meanwhile.
+"""Worst-case load patterns: the jobs that arrive and the faults that occur meanwhile.
 
-Three queues in the proportions of a try-on service: short jobs of many tasks,
-long jobs, and many small ones in between. All figures are drawn by seed.
+Three queues have the proportions of a virtual try-on service: short jobs with many tasks, long
+jobs, and many small ones of medium length. A seed determines everything that is drawn.
 """
 
 import enum
@@ -13,48 +13,49 @@
 
 SHORT, LONG, SMALL = "short", "long", "small"
 CPU = Spread(5_800, 0.2, 9_000)
-# Declared run times are off by tens of per cent.
-DECLARED_OFF = 0.4
+# Declared run times differ from the real ones by tens of per cent.
+DECLARED_ERROR = 0.4
 MIXES = (
-    QueueMix(SHORT, 0, 0.25, Spread(8, 0.4, 32), Spread(60, 0.4, 240), CPU, DECLARED_OFF),
-    QueueMix(LONG, 2, 0.05, Spread(4, 0.4, 16), Spread(900, 0.4, 3_600), CPU, DECLARED_OFF),
-    QueueMix(SMALL, 1, 0.70, Spread(2, 0.4, 8), Spread(200, 0.4, 800), CPU, DECLARED_OFF),
+    QueueMix(SHORT, 0, 0.25, Spread(8, 0.4, 32), Spread(60, 0.4, 240), CPU, DECLARED_ERROR),
+    QueueMix(LONG, 2, 0.05, Spread(4, 0.4, 16), Spread(900, 0.4, 3_600), CPU, DECLARED_ERROR),
+    QueueMix(SMALL, 1, 0.70, Spread(2, 0.4, 8), Spread(200, 0.4, 800), CPU, DECLARED_ERROR),
 )
-# A register of licences: its long jobs last for twice as long, and are the least urgent.
+# A licence register: its jobs run twice as long as above, and the long ones are the least urgent.
 REGISTER_CPU = Spread(6_400, 0.2, 9_200)
 REGISTER = (
     QueueMix(SHORT, 0, 0.245, Spread(8, 0.4, 32), Spread(120, 0.4, 480), REGISTER_CPU, 0.4),
     QueueMix(LONG, 2, 0.045, Spread(4, 0.4, 16), Spread(1_800, 0.4, 7_200), REGISTER_CPU, 0.4),
     QueueMix(SMALL, 1, 0.71, Spread(2, 0.4, 8), Spread(400, 0.4, 1_600), REGISTER_CPU, 0.4),
 )
-# The try-on service some months on: fewer short jobs and more long ones.
+# The try-on service some months later, with fewer short jobs and more long ones.
 SHIFTED = tuple(
     mix._replace(share=share) for mix, share in zip(MIXES, (0.23, 0.09, 0.68), strict=True)
 )
 LENGTH_MS = 6_000.0
-# Faults come once the load has settled, and last about as long as a burst.
+# Faults start once the load is steady, and last about as long as a burst.
 FAULT_AT_MS = 1_500.0
 FAULT_MS = 2_000.0
 BURST = Burst(FAULT_AT_MS, FAULT_MS, 2.5)
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong with a worker's minion, or with a dispatcher."""
+    """Kind of fault of a worker's minion, of a dispatcher, or of a failure domain."""
 
     SLOW = "its runs take four times as long"
-    HANG = "its runs stand still"
+    HANG = "its runs make no progress"
     FAIL = "its runs fail"
-    CRASH = "it crashes and is up again"
-    SHRINK = "half of its room is gone for a while"
-    LEAVE = "it takes nothing new"
-    FREEZE = "a dispatcher is stopped for a while"
+    CRASH = "it crashes and restarts after a while"
+    SHRINK = "it has half of its room for a while"
+    LEAVE = "it drains: it takes no new runs"
+    FREEZE = "a dispatcher is suspended for a while"
     EVACUATE = "operators evacuate its failure domain for a while"
 
 
 class Fault(NamedTuple):
-    """A fault between two points in time.
+    """A fault that starts and ends.
 
-    :param share: share of the workers, or of the dispatchers
+    :param share: share of the workers that are affected; of the dispatchers for ``FREEZE``
+    :param start_ms: time from the start of the pattern
     """
 
     kind: FaultKind
@@ -64,17 +65,16 @@
 
 
 class Pattern(NamedTuple):
-    """One load.
-
-    :param load: offered work by all room
-    :param faults: what goes wrong
-    :param only: the queue that a burst is of, empty for all
-    :param returns: whether refused callers come back when they are told to
-    :param patience: how long callers wait, in objectives
-    :param leaving_share: share of the callers who leave before the objective
-    :param crashing_share: share of the jobs that have a task which crashes minions
-    :param mixes: what kinds of job arrive
+    """One load pattern.
+
+    :param load: offered work divided by the room of all workers, bursts not included
+    :param only: queue whose jobs make up the bursts, empty for all queues
+    :param returns: whether refused callers retry after the time that they are told
+    :param patience: how long callers wait, as a multiple of the objective of their job
+    :param leaving_share: share of the callers that disconnect before the objective
+    :param mixes: kinds of jobs that arrive
     :param length_ms: how long jobs arrive
+    :param crashing_share: share of the jobs whose first task crashes the minion that runs it
     """
 
     name: str
@@ -122,7 +122,7 @@
     Pattern("register: 1.5 times full", 1.35, mixes=REGISTER, length_ms=12_000.0),
     Pattern("a dispatcher frozen in a burst", 0.7, (BURST,), (Fault(FaultKind.FREEZE, 0.33),)),
     Pattern("rooms shrink in a burst", 0.6, (BURST,), (Fault(FaultKind.SHRINK, 0.5),)),
-    # What is left of the workers is as full then as in the first pattern.
+    # The remaining two thirds of the workers then have the load of the first pattern.
     Pattern(
         "a domain evacuated",
         0.6,
@@ -136,16 +136,17 @@
         (Fault(FaultKind.EVACUATE, 1 / 3, 2_000.0),),
         mixes=SHIFTED,
     ),
-    # A task in five hundred, as jobs have four on the mean.
+    # That is one task in five hundred, as jobs have four tasks on average.
     Pattern("tasks that crash minions", 0.6, crashing_share=0.008),
 )
 
 
 class Arrival(NamedTuple):
-    """One job that arrives.
+    """Arrival of one job.
 
-    :param leaves: whether its caller goes away before the objective
-    :param crashes: whether its first task crashes the minions that start it
+    :param at_ms: time from the start of the pattern
+    :param leaves: whether the caller disconnects before the objective
+    :param crashes: whether the first task crashes every minion that starts it
     """
 
     at_ms: float
@@ -155,9 +156,10 @@
 
 
 def draw_load(pattern: Pattern, room_cpu: float, seed: int) -> list[Arrival]:
-    """Return what arrives in a pattern, in order.
+    """Return the arrivals of a pattern, ordered by time.
 
-    :param room_cpu: room of all workers in thousandths of a core
+    :param room_cpu: total room of all workers in thousandths of a core
+    :param seed: determines all arrivals
     """
     source = random.Random(seed)
     work = _measure_mean_work(pattern.mixes)
--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -1,4 +1,4 @@
-"""Plays a load pattern against dispatchers, executors and minions in memory."""
+"""Simulation of a load pattern with dispatchers, executors and minions in memory."""
 
 import math
 import random
@@ -29,7 +29,7 @@
 WORKERS = 12
 DISPATCHERS = 3
 DOMAINS = ("north", "south", "east")
-ROOMS_CPU = (64_000, 64_000, 96_000)
+WORKER_CPUS = (64_000, 64_000, 96_000)
 SPEEDS = (0.8, 1.0, 1.25)
 OBJECTIVE_FACTOR, OBJECTIVE_MS = 1.6, 60.0
 ATTEMPTS = 3
@@ -46,36 +46,39 @@
     )
     for mix in MIXES
 }
-STEP_MS = 5.0
-# All jobs have ended this long after the last arrival.
-REST_MS = 9_000.0
-# A caller that gives up does so after this share of the objective.
-LEAVE_AT = 0.6
-LATE_REFUSAL = 0.25
-MOST_RETURNS = 3
-# Minions that are back are heard of within this.
-BEAT_MS = 300.0
+POLL_MS = 5.0
+# Simulated time after the last arrival, long enough for all jobs to end.
+RUN_OUT_MS = 9_000.0
+# Share of the objective after which a leaving caller disconnects.
+LEAVE_AFTER_SHARE = 0.6
+# Share of the objective after which a refusal counts as late.
+LATE_REFUSAL_SHARE = 0.25
+MAX_RETRIES = 3
+# Restarted minions report to their executors within this time.
+REPORT_PERIOD_MS = 300.0
 
 
 class Row(NamedTuple):
-    """What became of the jobs of one play.
-
-    :param in_time: share of the jobs that ended within their objective
-    :param late: share that succeeded later
-    :param served: share that succeeded while it was of use, within three objectives
-    :param refused: share that was refused at last
-    :param lost: share of all others: failed, unfinished, their callers gone
-    :param worst: share in time of the queue that is served worst
-    :param wide: share in time of the largest tenth, by the share of all
-    :param goodput: core-seconds of the jobs in time, by those of all room
-    :param used: core-seconds that minions were at work, by those of all room
-    :param wasted: core-seconds that jobs without success had, by those of all room
-    :param late_refusals: share refused later than a quarter of the objective
-    :param turned_back: orders refused for want of room, for each started task
-    :param messages: messages to workers and between dispatchers, for each started task
-    :param reports: messages of workers, for each started task
-    :param crashes: minions crashed by each job with a task that crashes them; such jobs
-        count in no other figure
+    """Results of one simulation. Shares are of all jobs unless stated otherwise.
+
+    :param in_time: share of the jobs that succeeded within their objective
+    :param late: share that succeeded after their objective
+    :param served: share that succeeded while the result was still useful, within three
+        objectives
+    :param refused: share whose last try was refused
+    :param lost: share of all other jobs: failed, unfinished, or left by their callers
+    :param worst: share in time of the queue with the smallest such share
+    :param wide: share in time of the tenth of each queue with the most work, divided by
+        ``in_time``
+    :param goodput: core-seconds of the jobs in time, divided by those of all room
+    :param used: core-seconds that minions spent on tasks, divided by those of all room
+    :param wasted: core-seconds spent on jobs that did not succeed, divided by those of all room
+    :param late_refusals: share refused later than a quarter of their objective
+    :param turned_back: orders that workers refused for lack of room, per started task
+    :param messages: messages to workers and between dispatchers, per started task
+    :param reports: messages from workers, per started task
+    :param crashes: minion crashes per job with a crashing task; such jobs count in no other
+        field
     """
 
     in_time: float
@@ -95,8 +98,12 @@
     crashes: float
 
 
-class _Sent:
-    """One job of a caller, over all its tries."""
+class _SentJob:
+    """One job of a caller with all its tries.
+
+    :ivar sent_ms: time of the last try
+    :ivar refused_ms: response time of the last refusal in milliseconds
+    """
 
     def __init__(self, name: str, arrival: Arrival, now: float):
         self.name = name
@@ -126,7 +133,7 @@
 
 
 class Play:
-    """One pattern against one policy."""
+    """Simulation of one load pattern under one policy."""
 
     def __init__(
         self,
@@ -136,9 +143,11 @@
         workers: int = WORKERS,
         dispatchers: int = DISPATCHERS,
     ):
-        """Start workers and dispatchers, all idle.
+        """Start idle workers and dispatchers.
 
-        :param seed: decides what arrives and when
+        :param seed: determines arrivals and random choices
+        :param workers: number of workers
+        :param dispatchers: number of dispatchers
         """
         rooms = _list_rooms(workers)
         random.seed(seed)
@@ -155,87 +164,89 @@
             worker.minion.slow_factor = SPEEDS[number % len(SPEEDS)]
         self._room_cpu = sum(room.cpu for room in rooms)
         self._load = draw_load(pattern, self._room_cpu, seed)
-        self._sent: list[_Sent] = []
+        self._sent: list[_SentJob] = []
         self._frozen: set[str] = set()
-        self._held: dict[str, list[_Sent]] = {}
-        self._draw = random.Random(seed)
+        self._held_jobs: dict[str, list[_SentJob]] = {}
+        self._random = random.Random(seed)
 
     def run(self) -> Row:
-        """Play it and return what became of the jobs."""
+        """Run the simulation and return the results."""
         clock = self.world.clock
         begin = clock.now()
-        beats = eventlet.spawn(self._beat if self._pattern.crashing_share else _rest)
+        reports_thread = eventlet.spawn(
+            self._report_restarts if self._pattern.crashing_share else _do_nothing
+        )
         for fault in self._pattern.faults:
-            clock.after(fault.start_ms, lambda fault=fault: self._strike(fault))
+            clock.after(fault.start_ms, lambda fault=fault: self._inject(fault))
         for number, arrival in enumerate(self._load):
             clock.advance(max(0.0, begin + arrival.at_ms - clock.now()))
-            sent = _Sent(f"j{number}", arrival, clock.now())
+            sent = _SentJob(f"j{number}", arrival, clock.now())
             self._sent.append(sent)
             self._send(sent)
-        clock.advance(begin + self._pattern.length_ms + REST_MS - clock.now())
-        beats.kill()
+        clock.advance(begin + self._pattern.length_ms + RUN_OUT_MS - clock.now())
+        reports_thread.kill()
         self.world.close()
-        return self._count()
+        return self._make_row()
 
-    def _send(self, sent: _Sent) -> None:
-        home = self._draw.choice(self.world.homes)
+    def _send(self, sent: _SentJob) -> None:
+        home = self._random.choice(self.world.homes)
         if home.address in self._frozen:
-            self._held[home.address].append(sent)
+            self._held_jobs[home.address].append(sent)
             return
-        self._hand_in(sent, home)
+        self._submit(sent, home)
 
-    def _hand_in(self, sent: _Sent, home) -> None:
+    def _submit(self, sent: _SentJob, home) -> None:
         job = sent.arrival.job
         left_ms = self._pattern.patience * sent.objective_ms
-        how = "crash" if sent.arrival.crashes else ""
+        behavior = "crash" if sent.arrival.crashes else ""
         spec = make_spec(
-            sent.name, job.count, job.cpu, job.run_ms, how, declared_ms=job.declared_ms
+            sent.name, job.count, job.cpu, job.run_ms, behavior, declared_ms=job.declared_ms
         )
         sent.tries += 1
         sent.caller = home.submit(spec, QUEUES[job.queue], left_ms)
         clock = self.world.clock
         if sent.arrival.leaves and sent.caller.job is not None:
-            after = LEAVE_AT * sent.objective_ms
+            after = LEAVE_AFTER_SHARE * sent.objective_ms
             clock.after(after, lambda: home.router.leave_job(sent.caller.job))
-        eventlet.spawn_n(self._watch, sent)
+        eventlet.spawn_n(self._await_answer, sent)
 
-    def _watch(self, sent: _Sent) -> None:
-        """Note when a job is refused, and let its caller come back."""
+    def _await_answer(self, sent: _SentJob) -> None:
+        """Wait for the answer; after a refusal record its time and retry if callers do so."""
         caller = sent.caller
         while caller.result is None:
-            self.world.clock.sleep(STEP_MS)
+            self.world.clock.sleep(POLL_MS)
         if caller.outcome is not JobOutcome.REFUSED:
             return
         sent.refused_ms = caller.at_ms - sent.sent_ms
-        if self._pattern.returns and sent.tries <= MOST_RETURNS:
+        if self._pattern.returns and sent.tries <= MAX_RETRIES:
             self.world.clock.sleep(caller.result.retry_after_ms)
-            # The caller asks anew: its wait for this answer begins now.
+            # The retry counts as a new request, so response times are measured from here.
             sent.sent_ms = self.world.clock.now()
             self._send(sent)
 
-    def _strike(self, fault: Fault) -> None:
-        struck = self._choose(fault)
-        for part in struck:
-            self._change(part, fault.kind, True)
+    def _inject(self, fault: Fault) -> None:
+        victims = self._choose_victims(fault)
+        for victim in victims:
+            self._set_fault(victim, fault.kind, True)
         after = fault.length_ms
         self.world.clock.after(
-            after, lambda: [self._change(part, fault.kind, False) for part in struck]
+            after, lambda: [self._set_fault(victim, fault.kind, False) for victim in victims]
         )
 
-    def _choose(self, fault: Fault) -> list:
+    def _choose_victims(self, fault: Fault) -> list:
         if fault.kind is FaultKind.EVACUATE:
             return [worker for worker in self.world.workers if worker.domain == DOMAINS[-1]][:1]
         parts = self.world.homes if fault.kind is FaultKind.FREEZE else self.world.workers
         return parts[: max(1, round(fault.share * len(parts)))]
 
-    def _change(self, part, kind: FaultKind, begins: bool) -> None:
+    def _set_fault(self, victim, kind: FaultKind, begins: bool) -> None:
         if kind is FaultKind.FREEZE:
-            self._freeze(part, begins)
+            self._freeze(victim, begins)
             return
         if kind is FaultKind.EVACUATE:
             self.world.evacuate(*([DOMAINS[-1]] if begins else []))
             return
-        minion = part.minion
+        minion = victim.minion
         if kind is FaultKind.SLOW:
             minion.slow_factor *= 4.0 if begins else 0.25
         elif kind is FaultKind.HANG:
@@ -243,45 +254,47 @@
         elif kind is FaultKind.FAIL:
             minion.fails_all = begins
         elif kind is FaultKind.LEAVE:
-            told = minion.life
-            minion.life = told._replace(draining=begins, sequence=told.sequence + 1)
-            eventlet.spawn_n(part.executor.take_life, minion.life)
+            life = minion.life
+            minion.life = life._replace(draining=begins, sequence=life.sequence + 1)
+            eventlet.spawn_n(victim.executor.take_life, minion.life)
         elif kind is FaultKind.CRASH:
-            self._crash(part, begins)
+            self._crash(victim, begins)
         elif kind is FaultKind.SHRINK:
             room = minion.life.room
             minion.resize(room._replace(cpu=room.cpu // 2 if begins else room.cpu * 2))
-            eventlet.spawn_n(part.executor.take_life, minion.life)
+            eventlet.spawn_n(victim.executor.take_life, minion.life)
 
-    def _crash(self, part, begins: bool) -> None:
-        minion = part.minion
+    def _crash(self, victim, begins: bool) -> None:
+        minion = victim.minion
         if begins:
             minion.crash(math.inf)
             return
         minion.reborn(f"{minion.life.instance}+")
-        eventlet.spawn_n(part.executor.take_life, minion.life)
+        eventlet.spawn_n(victim.executor.take_life, minion.life)
 
     def _freeze(self, home, begins: bool) -> None:
         address = home.address
         if begins:
             self._frozen.add(address)
-            self._held[address] = []
+            self._held_jobs[address] = []
             self.world.network.freeze(address)
             home.freeze()
             return
         self._frozen.discard(address)
         home.thaw()
         self.world.network.thaw(address)
-        for sent in self._held.pop(address):
-            self._hand_in(sent, home)
+        for sent in self._held_jobs.pop(address):
+            self._submit(sent, home)
 
-    def _count(self) -> Row:
+    def _make_row(self) -> Row:
         jobs = [sent for sent in self._sent if not sent.arrival.crashes]
         total = max(1, len(jobs))
         in_time = [sent for sent in jobs if sent.is_in_time]
         done = sum(sent.outcome is JobOutcome.SUCCEEDED for sent in jobs)
         refused = [sent for sent in jobs if sent.outcome is JobOutcome.REFUSED]
-        late_refusals = sum(sent.refused_ms > LATE_REFUSAL * sent.objective_ms for sent in refused)
+        late_refusals = sum(
+            sent.refused_ms > LATE_REFUSAL_SHARE * sent.objective_ms for sent in refused
+        )
         room = self._room_cpu * self._pattern.length_ms / MS_PER_SECOND**2
         share = len(in_time) / total
         return Row(
@@ -290,11 +303,11 @@
             sum(sent.is_served for sent in jobs) / total,
             len(refused) / total,
             (total - done - len(refused)) / total,
-            min(_share_in_time(self._of_queue(queue)) for queue in QUEUES),
+            min(_share_in_time(self._jobs_of_queue(queue)) for queue in QUEUES),
             _share_of_widest(jobs) / share if share else 0.0,
             sum(sent.arrival.job.work for sent in in_time) / room,
-            self._measure_spent(lambda _job: True) / room,
-            self._measure_waste() / room,
+            self._measure_core_seconds(lambda _job: True) / room,
+            self._measure_wasted_core_seconds() / room,
             late_refusals / total,
             *self._count_messages(),
             self._count_crashes() / max(1, len(self._sent) - len(jobs)),
@@ -303,11 +316,11 @@
     def _count_crashes(self) -> int:
         return sum(len(worker.minion.crashed_by) for worker in self.world.workers)
 
-    def _beat(self) -> None:
-        """Have minions that are back after a crash tell of themselves."""
+    def _report_restarts(self) -> None:
+        """Let minions that restarted after a crash report to their executors."""
         lives = {}
         while True:
-            self.world.clock.sleep(BEAT_MS)
+            self.world.clock.sleep(REPORT_PERIOD_MS)
             for worker in self.world.workers:
                 minion = worker.minion
                 if not minion.is_down and lives.get(worker.name) != minion.life.started_unix_ms:
@@ -315,48 +328,51 @@
                     eventlet.spawn_n(worker.executor.take_life, minion.life)
 
     def _count_messages(self) -> tuple[float, float, float]:
-        """Return the last three figures of a row."""
+        """Return the row's refused orders, messages and reports per started task."""
         parts = [*self.world.workers, *self.world.homes]
-        started = max(1.0, sum(part.counters.get("runs_started") for part in parts))
-        refused = sum(part.counters.get("orders_refused", reason="no_room") for part in parts)
+        started = max(1.0, sum(victim.counters.get("runs_started") for victim in parts))
+        refused = sum(victim.counters.get("orders_refused", reason="no_room") for victim in parts)
         kinds = Counter(type(message) for _, _, message in self.world.network.sent)
         reports = kinds[WorkerReport]
         return refused / started, (kinds.total() - reports) / started, reports / started
 
-    def _of_queue(self, queue: str) -> list[_Sent]:
+    def _jobs_of_queue(self, queue: str) -> list[_SentJob]:
         return [sent for sent in self._sent if sent.arrival.job.queue == queue]
 
-    def _measure_waste(self) -> float:
+    def _measure_wasted_core_seconds(self) -> float:
         succeeded = {sent.name for sent in self._sent if sent.outcome is JobOutcome.SUCCEEDED}
-        return self._measure_spent(lambda job: job not in succeeded)
+        return self._measure_core_seconds(lambda job: job not in succeeded)
+
+    def _measure_core_seconds(self, is_counted: Callable[[str], bool]) -> float:
+        """Return the core-seconds that minions spent on tasks.
 
-    def _measure_spent(self, counts: Callable[[str], bool]) -> float:
-        """Return the core-seconds that the tasks of some jobs have had."""
+        :param is_counted: whether a job, given its name, is counted
+        """
         spent = 0.0
         for worker in self.world.workers:
             for task, core_ms in worker.minion.spent.items():
-                if counts(task.partition(".")[0]):
+                if is_counted(task.partition(".")[0]):
                     spent += core_ms
         return spent / MS_PER_SECOND**2
 
 
-def _rest() -> None:
+def _do_nothing() -> None:
     pass
 
 
-def _share_in_time(jobs: list[_Sent]) -> float:
+def _share_in_time(jobs: list[_SentJob]) -> float:
     return statistics.fmean(sent.is_in_time for sent in jobs) if jobs else 1.0
 
 
-def _share_of_widest(jobs: list[_Sent]) -> float:
-    """Return the share in time of the tenth of each queue's jobs with the most work."""
+def _share_of_widest(jobs: list[_SentJob]) -> float:
+    """Return the share in time among the tenth of each queue's jobs with the most work."""
     widest = []
     for queue in QUEUES:
-        own = [sent for sent in jobs if sent.arrival.job.queue == queue]
-        own.sort(key=lambda sent: -sent.arrival.job.work)
-        widest += own[: max(1, len(own) // 10)]
+        jobs_of_queue = [sent for sent in jobs if sent.arrival.job.queue == queue]
+        jobs_of_queue.sort(key=lambda sent: -sent.arrival.job.work)
+        widest += jobs_of_queue[: max(1, len(jobs_of_queue) // 10)]
     return _share_in_time(widest)
 
 
 def _list_rooms(workers: int) -> list[Room]:
-    return [Room(ROOMS_CPU[number % len(ROOMS_CPU)], 10**6) for number in range(workers)]
+    return [Room(WORKER_CPUS[number % len(WORKER_CPUS)], 10**6) for number in range(workers)]
--- a/benchmarks/pattern_policies.py
+++ b/benchmarks/pattern_policies.py
@@ -1,4 +1,4 @@
-"""Policies of a dispatcher to hold against the one in use."""
+"""Alternative dispatch policies, to compare with the one in use."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -10,62 +10,62 @@
 from geraniumspool.packing import Candidate, Place, PlaceRequest
 from geraniumspool.urgency import Outlook, Rank
 
-# Jobs that one dispatcher lets wait where queue length decides.
-LONGEST_QUEUE = 10
-# Share of a worker's room that may wait for it, about one task.
-AHEAD_SHARE = 0.1
-# Jobs that are late more likely than not are refused where only those in time are taken.
-EVEN_CHANCE = 0.5
-# Share of its objective that a job has to have to spare where refusals are strict.
-STRICT_SHARE = 0.25
+# Number of waiting jobs at one dispatcher above which :class:`QueueLength` refuses jobs.
+MAX_WAITING_JOBS = 10
+# Share of a worker's room by which it may be overbooked with waiting tasks, about one task.
+OVERBOOKED_SHARE = 0.1
+# Chance to be in time below which :class:`OnlyInTime` refuses a job.
+MIN_CHANCE_IN_TIME = 0.5
+# Share of its objective that a job must have as slack under :class:`OwnEndStrict`.
+MIN_SLACK_SHARE = 0.25
 
 
 class NewByLatestStart(ExpectedUse):
-    """As in use, but begun jobs are not served before others."""
+    """Policy in use, but without preference for jobs that have already begun."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
-        """Return a job's place by priority and latest start alone."""
+        """Return a job's rank by priority and latest start alone."""
         return super().rank(job, now)._replace(is_new=True)
 
 
 class OwnEnd(NewByLatestStart):
-    """Jobs are refused only where they would be late themselves."""
+    """Refuses a job only if it would be late itself, whatever it costs other jobs."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
-        """Return whether a job would be late for certain."""
-        return _predict_spare(job, outlook, now) < 0
+        """Return whether a job is predicted to be late."""
+        return _predict_slack(job, outlook, now) < 0
 
 
 class OwnEndStrict(NewByLatestStart):
-    """Jobs are refused unless a quarter of their objective is to spare."""
+    """Refuses a job unless its slack is at least a quarter of its objective."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
-        """Return whether a job has less than that to spare."""
-        return _predict_spare(job, outlook, now) < STRICT_SHARE * job.timing.objective_ms
+        """Return whether a job has less slack than that."""
+        return _predict_slack(job, outlook, now) < MIN_SLACK_SHARE * job.timing.objective_ms
 
 
 class ArrivalOrder(ExpectedUse):
-    """Jobs in the order in which they came."""
+    """Serves jobs in the order of arrival."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
-        """Return a job's place by its arrival."""
-        return _by(super().rank(job, now), job.timing.arrived_ms)
+        """Return a job's rank by its arrival time."""
+        return _rank_by(super().rank(job, now), job.timing.arrived_ms)
 
 
 class ShortestFirst(OwnEnd):
-    """Jobs in the order of what is left of them; late ones are refused."""
+    """Serves the jobs with the least remaining time first, and refuses those that would be late."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
-        """Return a job's place by the time it still takes."""
-        return _by(super().rank(job, now), job.left_ms())
+        """Return a job's rank by its remaining time."""
+        return _rank_by(super().rank(job, now), job.left_ms())
 
 
 class NoRefusals(NewByLatestStart):
-    """Every job is taken."""
+    """Accepts every job."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
@@ -75,97 +75,97 @@
 
 
 class QueueLength(NewByLatestStart):
-    """Jobs are refused where about ten wait."""
+    """Refuses jobs while more than ``MAX_WAITING_JOBS`` others wait."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
-        """Return whether the queue is long."""
-        return len(others) > LONGEST_QUEUE
+        """Return whether the queue is too long."""
+        return len(others) > MAX_WAITING_JOBS
 
 
 class LatestStartFirst(ExpectedUse):
-    """As in use, but without the operators' priorities."""
+    """Policy in use, but without the operators' priorities."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
-        """Return a job's place by latest start, late ones last."""
+        """Return a job's rank by latest start, with late jobs last."""
         return super().rank(job, now)._replace(level=0)
 
 
 class OnlyInTime(ExpectedUse):
-    """As in use, but what is not going to be in time is refused."""
+    """Policy in use, but refuses jobs that are more likely late than in time."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
-        """Return whether a job is late more likely than not."""
+        """Return whether a job is unlikely to be in time, or is refused by the policy in use."""
         chances = urgency.predict_chances(job.timing, job.left_ms(), outlook, now)
-        return chances.in_time < EVEN_CHANCE or super().is_refused(job, outlook, others, now)
+        return chances.in_time < MIN_CHANCE_IN_TIME or super().is_refused(job, outlook, others, now)
 
     def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
-        """Return True: it is late already."""
+        """Return True, so that late jobs are given up."""
         return True
 
 
 class LeastLoaded(ExpectedUse):
-    """Tasks go where most room is free."""
+    """Places tasks on the worker with the largest free share of its room."""
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-        """Return the emptiest worker with room."""
-        fit = _find_fit(workers, request.step)
-        if not fit:
+        """Return the least loaded worker that has room for the task, None without one."""
+        with_room = _find_workers_with_room(workers, request.step)
+        if not with_room:
             return None
-        best = max(fit, key=lambda worker: worker.free.cpu / worker.room.cpu)
+        best = max(with_room, key=lambda worker: worker.free.cpu / worker.room.cpu)
         return Place(best, packing.predict_run(best, request.step, request.expected_ms))
 
 
 class AnyWorker(ExpectedUse):
-    """Tasks go to any worker with room."""
+    """Places tasks on a random worker with room."""
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-        """Return a worker with room by chance."""
-        fit = _find_fit(workers, request.step)
-        if not fit:
+        """Return a random worker that has room for the task, None without one."""
+        with_room = _find_workers_with_room(workers, request.step)
+        if not with_room:
             return None
-        chosen = random.choice(fit)
+        chosen = random.choice(with_room)
         return Place(chosen, packing.predict_run(chosen, request.step, request.expected_ms))
 
 
 class Ahead(ExpectedUse):
-    """As in use, but where all are full one task a worker is sent to wait there."""
+    """Policy in use, but if all workers are full, about one task may wait at each of them."""
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-        """Return a worker with room, or the one with the least room short."""
+        """Return a worker with room, otherwise the least loaded one that may be overbooked."""
         workers = list(workers)
         place = super().choose(workers, request)
         if place is not None:
             return place
-        near = [
+        overbookable = [
             worker
             for worker in workers
-            if worker.is_usable and _is_nearly_free(worker, request.step)
+            if worker.is_usable and _may_be_overbooked(worker, request.step)
         ]
-        if not near:
+        if not overbookable:
             return None
-        best = max(near, key=lambda worker: worker.free.cpu / worker.room.cpu)
+        best = max(overbookable, key=lambda worker: worker.free.cpu / worker.room.cpu)
         return Place(best, packing.predict_run(best, request.step, request.expected_ms))
 
 
-def _by(rank: Rank, figure: float) -> Rank:
-    """Return a place by one figure, among all that are as late."""
-    return Rank(rank.is_past_use, True, 0, rank.lateness, figure)
+def _rank_by(rank: Rank, value: float) -> Rank:
+    """Return a rank that orders jobs of equal lateness by one value, smallest first."""
+    return Rank(rank.is_past_use, True, 0, rank.lateness, value)
 
 
-def _predict_spare(job: DispatchJob, outlook: Outlook, now: float) -> float:
-    """Return what a job has to spare of its objective, in ms."""
+def _predict_slack(job: DispatchJob, outlook: Outlook, now: float) -> float:
+    """Return the predicted slack of a job within its objective, in milliseconds."""
     return job.timing.latest_start(job.left_ms()) - now - outlook.wait_ms
 
 
-def _is_nearly_free(worker: Candidate, step: StepSpec) -> bool:
-    return worker.free.cpu - step.need.cpu > -AHEAD_SHARE * worker.room.cpu
+def _may_be_overbooked(worker: Candidate, step: StepSpec) -> bool:
+    return worker.free.cpu - step.need.cpu > -OVERBOOKED_SHARE * worker.room.cpu
 
 
-def _find_fit(workers: Iterable[Candidate], step: StepSpec) -> list[Candidate]:
+def _find_workers_with_room(workers: Iterable[Candidate], step: StepSpec) -> list[Candidate]:
     usable = (worker for worker in workers if worker.is_usable)
     return [worker for worker in usable if worker.free.fits(step.need)]
 
--- a/benchmarks/patterns.py
+++ b/benchmarks/patterns.py
@@ -1,8 +1,8 @@
-"""Play load patterns against policies of the dispatcher, side by side.
+"""Simulate load patterns under several dispatch policies and compare the results.
 
-Run as ``python -m benchmarks.patterns [PATTERN[,...] [POLICY[,...] [SEEDS]]]``; all
-patterns, all policies and one seed without arguments. Prints a table for each
-pattern and, last, one JSON object with all rows.
+Run as ``python -m benchmarks.patterns [PATTERN[,...] [POLICY[,...] [SEEDS]]]``. The defaults are
+all patterns, all policies and one seed. Prints a table for each pattern and, as the last line,
+one JSON object with all rows. Rows are means over the seeds.
 """
 
 import json
@@ -17,14 +17,14 @@
 from benchmarks.pattern_play import Play, Row
 from benchmarks.pattern_policies import POLICIES
 
-PROCESSES = 2
+MAX_PROCESSES = 2
 HEADERS = ["policy", *Row._fields]
 
 
 def main(arguments: list[str]) -> int:
-    """Play and print; return the exit code."""
-    patterns = _pick(arguments, 0, [pattern.name for pattern in PATTERNS])
-    policies = _pick(arguments, 1, list(POLICIES))
+    """Run the simulations, print the results and return the exit code."""
+    patterns = _read_names(arguments, 0, [pattern.name for pattern in PATTERNS])
+    policies = _read_names(arguments, 1, list(POLICIES))
     seeds = int(arguments[2]) if len(arguments) > 2 else 1
     unknown = (set(patterns) - {pattern.name for pattern in PATTERNS}) | (
         set(policies) - set(POLICIES)
@@ -32,14 +32,14 @@
     if unknown:
         print(f"unknown: {', '.join(sorted(unknown))}", file=sys.stderr)
         return 2
-    plays = [
+    runs = [
         (pattern, policy, seed)
         for pattern in patterns
         for policy in policies
         for seed in range(1, seeds + 1)
     ]
-    with ProcessPoolExecutor(PROCESSES) as pool:
-        rows = dict(zip(plays, pool.map(play, plays), strict=True))
+    with ProcessPoolExecutor(MAX_PROCESSES) as pool:
+        rows = dict(zip(runs, pool.map(play, runs), strict=True))
     means = {
         pattern: {
             policy: _average([rows[pattern, policy, seed] for seed in range(1, seeds + 1)])
@@ -49,29 +49,29 @@
     }
     for pattern, table in means.items():
         print(f"\n{pattern}\n")
-        lines = [[policy, *row] for policy, row in table.items()]
-        print(tabulate(lines, HEADERS, tablefmt="github", floatfmt=".3f"))
+        table_rows = [[policy, *row] for policy, row in table.items()]
+        print(tabulate(table_rows, HEADERS, tablefmt="github", floatfmt=".3f"))
     print(
         json.dumps({name: {p: row._asdict() for p, row in t.items()} for name, t in means.items()})
     )
     return 0
 
 
-def play(chosen: tuple[str, str, int]) -> Row:
-    """Play one pattern against one policy.
+def play(run: tuple[str, str, int]) -> Row:
+    """Simulate one pattern under one policy.
 
-    :param chosen: names of the pattern and the policy, and the seed
+    :param run: names of the pattern and the policy, and the seed
     """
-    name, policy, seed = chosen
+    name, policy, seed = run
     logging.disable(logging.CRITICAL)
     pattern = next(pattern for pattern in PATTERNS if pattern.name == name)
     return Play(pattern, POLICIES[policy], seed).run()
 
 
-def _pick(arguments: list[str], place: int, known: list[str]) -> list[str]:
-    if len(arguments) <= place or not arguments[place]:
+def _read_names(arguments: list[str], index: int, known: list[str]) -> list[str]:
+    if len(arguments) <= index or not arguments[index]:
         return known
-    return arguments[place].split(",")
+    return arguments[index].split(",")
 
 
 def _average(rows: list[Row]) -> Row:
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Table and plot of measured rows."""
+"""Tables and a plot of the measured rows, written into docs/."""
 
 import json
 import re
@@ -17,10 +17,12 @@
 PLOT = DOCS / "measurements.png"
 PAGE = DOCS / "MEASUREMENTS.md"
 NOTES = DOCS / "decisions"
-PART = re.compile(r"(<!-- table of ([a-z, ]+) begins -->\n).*?(<!-- table ends -->)", re.DOTALL)
+EXPERIMENT_TABLE = re.compile(
+    r"(<!-- table of ([a-z, ]+) begins -->\n).*?(<!-- table ends -->)", re.DOTALL
+)
 BEGIN = "<!-- table begins -->"
 END = "<!-- table ends -->"
-NONE = "–"
+NO_VALUE = "–"
 
 COLUMNS = {
     "experiment": "experiment",
@@ -49,10 +51,11 @@
 
 
 class Aim(NamedTuple):
-    """A limit on one figure of the policy in force.
+    """Limit that one field of the rows of the policy in use should meet.
 
-    :param experiment: whose rows it is about, or empty for every row
-    :param limit: what the figure may at most be, or at least
+    :param experiment: experiment whose rows it applies to, empty for all
+    :param field: name of the field in a row
+    :param limit: largest acceptable value; the smallest one if ``is_floor``
     """
 
     text: str
@@ -82,17 +85,17 @@
 
 
 def load_rows(path: Path = LINES) -> Lines:
-    """Return the rows that were written last."""
+    """Return the rows in a file of JSON lines; none if it does not exist."""
     if not path.exists():
         return []
     return [json.loads(line) for line in path.read_text(encoding="utf-8").splitlines()]
 
 
 def merge_rows(old: Lines, new: Lines) -> Lines:
-    """Return rows in which new ones stand in place of all of their experiments."""
+    """Return the old rows with those of re-run experiments replaced by the new ones."""
     replaced = {row["experiment"] for row in new}
-    places = [place for place, row in enumerate(old) if row["experiment"] in replaced]
-    first = places[0] if places else len(old)
+    positions = [place for place, row in enumerate(old) if row["experiment"] in replaced]
+    first = positions[0] if positions else len(old)
     after = [row for row in old[first:] if row["experiment"] not in replaced]
     return old[:first] + new + after
 
@@ -100,16 +103,16 @@
 def make_table(rows: Lines, is_short: bool = False) -> str:
     """Return the rows as a Markdown table.
 
-    :param is_short: whether to leave out columns without any figure but 0
+    :param is_short: whether to omit columns whose values are all 0 or missing
     """
     names = [name for name in COLUMNS if not is_short or any(row.get(name) for row in rows)]
-    cells = [[_show(row.get(name)) for name in names] for row in rows]
+    cells = [[_format_value(row.get(name)) for name in names] for row in rows]
     headers = [COLUMNS[name] for name in names]
     return tabulate(cells, headers=headers, tablefmt="github", disable_numparse=True)
 
 
 def fill_parts(page: str, rows: Lines) -> str:
-    """Return a page with the tables of single experiments replaced."""
+    """Return a page with the tables between its experiment markers replaced."""
 
     def fill(match: re.Match) -> str:
         names = match[2].split(", ")
@@ -117,27 +120,29 @@
         text = f"{make_table(chosen, True)}\n\n{make_notes(chosen)}" if chosen else "Not run yet."
         return f"{match[1]}\n{text}\n\n{match[3]}"
 
-    return PART.sub(fill, page)
+    return EXPERIMENT_TABLE.sub(fill, page)
 
 
 def make_aims(rows: Lines) -> str:
-    """Return a Markdown table of the aims, of the worst figures and whether they are met."""
+    """Return a Markdown table of the aims with the worst measured values."""
     cells = []
     for aim in AIMS:
-        found = _find_figures(aim, rows)
+        found = _find_values(aim, rows)
         worst = (min if aim.is_floor else max)(found, default=None)
         sign = ">=" if aim.is_floor else "<="
-        cells.append([aim.text, f"{sign} {aim.limit:g}", _show(worst), _judge(aim, worst)])
+        cells.append(
+            [aim.text, f"{sign} {aim.limit:g}", _format_value(worst), _describe_result(aim, worst)]
+        )
     headers = ["aim", "limit", "measured", "met"]
     return tabulate(cells, headers=headers, tablefmt="github", disable_numparse=True)
 
 
-def _find_figures(aim: Aim, rows: Lines) -> list[float]:
+def _find_values(aim: Aim, rows: Lines) -> list[float]:
     chosen = [row for row in rows if row["chosen"] and aim.experiment in ("", row["experiment"])]
     return [row[aim.field] for row in chosen if row.get(aim.field) is not None]
 
 
-def _judge(aim: Aim, worst: float | None) -> str:
+def _describe_result(aim: Aim, worst: float | None) -> str:
     if worst is None:
         return "nothing measured"
     is_met = worst >= aim.limit if aim.is_floor else worst <= aim.limit
@@ -145,20 +150,20 @@
 
 
 def make_notes(rows: Lines) -> str:
-    """Return the figures that single experiments have, as a Markdown list."""
+    """Return the fields that are not in the table, as a Markdown list."""
     lines = []
     for row in rows:
         notes = {name: row[name] for name in row if name not in COLUMNS and name != "wrong_answers"}
         if notes:
-            text = ", ".join(f"{name} {_show(value)}" for name, value in notes.items())
+            text = ", ".join(f"{name} {_format_value(value)}" for name, value in notes.items())
             lines.append(f"- {row['experiment']}, {row['policy']}: {text}")
     return "\n".join(lines)
 
 
 def place_table(page: str, text: str) -> str:
-    """Return a page with its table replaced.
+    """Return a page with the text between ``BEGIN`` and ``END`` replaced.
 
-    :raises ValueError: if the page has no place for it
+    :raises ValueError: if one of these markers is missing
     """
     head, begin, rest = page.partition(BEGIN)
     _, end, tail = rest.partition(END)
@@ -168,7 +173,7 @@
 
 
 def write_report(rows: Lines) -> None:
-    """Write lines, table and plot into the documents."""
+    """Write the rows, the plot and the tables of all pages into docs/."""
     LINES.write_text("".join(json.dumps(row) + "\n" for row in rows), encoding="utf-8")
     draw_plot(rows)
     if PAGE.exists():
@@ -181,20 +186,20 @@
 
 
 def draw_plot(rows: Lines, path: Path = PLOT) -> None:
-    """Draw response times and messages of every experiment and policy."""
+    """Draw response times and messages per task of every experiment and policy."""
     figure, axes = pyplot.subplots(1, 3, figsize=(15, 2 + 0.28 * len(rows)), sharey=True)
     names = [f"{row['experiment']}: {row['policy']}" for row in rows]
-    places = range(len(rows))
+    positions = range(len(rows))
     colours = ["#b3402a" if row["chosen"] else "#8a94a0" for row in rows]
-    _draw_bars(axes[0], places, rows, "response_over_ideal_p99", colours)
+    _draw_bars(axes[0], positions, rows, "response_over_ideal_p99", colours)
     if any(row["response_over_ideal_p99"] for row in rows):
         axes[0].set_xscale("log")
     axes[0].set_xlabel("p99 of response time over ideal")
-    _draw_bars(axes[1], places, rows, "messages_per_task", colours)
+    _draw_bars(axes[1], positions, rows, "messages_per_task", colours)
     axes[1].set_xlabel("messages a task between processes")
-    _draw_bars(axes[2], places, rows, "wasted_messages_per_task", colours)
+    _draw_bars(axes[2], positions, rows, "wasted_messages_per_task", colours)
     axes[2].set_xlabel("wasted messages a task")
-    axes[0].set_yticks(list(places), names)
+    axes[0].set_yticks(list(positions), names)
     axes[0].invert_yaxis()
     figure.suptitle("Red: the policy in force")
     figure.tight_layout()
@@ -202,14 +207,14 @@
     pyplot.close(figure)
 
 
-def _draw_bars(axis, places, rows: Lines, name: str, colours: list[str]) -> None:
-    axis.barh(list(places), [row[name] or 0.0 for row in rows], color=colours)
+def _draw_bars(axis, positions, rows: Lines, name: str, colours: list[str]) -> None:
+    axis.barh(list(positions), [row[name] or 0.0 for row in rows], color=colours)
     axis.grid(axis="x", alpha=0.3)
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if value is None:
-        return NONE
+        return NO_VALUE
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, float):
