--- a/benchmarks/slope_configuration.py
+++ b/benchmarks/slope_configuration.py
@@ -1,4 +1,4 @@
-"""Slopes of the configuration and of quotas: generated teams and services."""
+"""Costs of configuration and quotas by number of teams, measured with generated documents."""
 
 import random
 
@@ -18,39 +18,39 @@
 REPORT_COUNTS = (1, 7, 15, 29)
 SERVICES_PER_TEAM = 0.1
 CHANGES = 20
-FULL_TEAMS = 670
+MAX_TEAMS = 670
 ENTRIES = 30
 JOB_TASKS = 8
-JOBS_PER_S = 180_000 / ENTRIES / FULL_TEAMS / JOB_TASKS
+JOBS_PER_S = 180_000 / ENTRIES / MAX_TEAMS / JOB_TASKS
 DEMAND_ROUNDS = 32
-WARM_ROUNDS = 10
+WARMUP_ROUNDS = 10
 DRAWS = 10
 
 
 def make_documents(teams: int) -> list[Document]:
-    """Return documents of teams, and of a tenth as many services."""
+    """Return documents of some teams and of a tenth as many services."""
     documents = []
     for number in range(teams):
         body = {"weight": 1 + number % 5, "rate_tasks_per_s": 270, "running_tasks": 400}
-        documents.append(_make(f"team/team-{number:03}", number + 1, body))
+        documents.append(_make_document(f"team/team-{number:03}", number + 1, body))
     for number in range(int(teams * SERVICES_PER_TEAM)):
         body = {"run_limit_ms": 10_000, "deadline_ms": 20_000, "narrow_tasks": 4}
-        documents.append(_make(f"service/service-{number:03}", teams + number + 1, body))
+        documents.append(_make_document(f"service/service-{number:03}", teams + number + 1, body))
     return documents
 
 
-def _make(key: str, revision: int, body: dict) -> Document:
+def _make_document(key: str, revision: int, body: dict) -> Document:
     return Document(key, revision, msgspec.json.encode(body))
 
 
-def _fill(documents: list[Document]) -> Configuration:
+def _make_configuration(documents: list[Document]) -> Configuration:
     configuration = Configuration(ManualClock(), MemoryCounters())
     configuration.apply(documents)
     return configuration
 
 
 def measure_configuration() -> list[Slope]:
-    """Return the slopes of documents, changes and quotas."""
+    """Measure documents, changes and quotas, and return the slopes."""
     return [
         *_measure_documents(),
         *_measure_push(),
@@ -61,28 +61,32 @@
 
 
 def _measure_documents() -> list[Slope]:
-    memory, loads, changes, sizes = [], [], [], []
+    memory, apply_us, changes, sizes = [], [], [], []
     for teams in TEAM_COUNTS:
         documents = make_documents(teams)
-        memory.append(Point(len(documents), memory_bytes(lambda d=documents: _fill(d))))
-        loads.append(Point(len(documents), median_us(lambda d=documents: _fill(d), 1)))
+        memory.append(
+            Point(len(documents), memory_bytes(lambda d=documents: _make_configuration(d)))
+        )
+        apply_us.append(
+            Point(len(documents), median_us(lambda d=documents: _make_configuration(d), 1))
+        )
         changes.append(Point(len(documents), _time_change(documents)))
         sizes.append(Point(len(documents), sum(len(encode_one(d)) for d in documents)))
     return [
         fit("configuration memory / documents", "bytes", memory),
-        fit("configuration: all taken at a start / documents", "us of processor", loads),
+        fit("configuration: all taken at a start / documents", "us of processor", apply_us),
         fit("configuration: one change taken / documents", "us of processor", changes),
         fit("configuration: all on the wire / documents", "bytes", sizes),
     ]
 
 
 def encode_one(document: Document) -> bytes:
-    """Return a document as it stands in a message."""
+    """Return a document encoded as in a message."""
     return msgspec.msgpack.encode(document)
 
 
 def _time_change(documents: list[Document]) -> float:
-    configuration = _fill(documents)
+    configuration = _make_configuration(documents)
     next_revision = len(documents) + 1
 
     def change() -> None:
@@ -96,26 +100,26 @@
 
 
 def _measure_push() -> list[Slope]:
-    """Messages, bytes and time with which one change reaches a domain's agents."""
-    taken, sizes, waits = [], [], []
+    """Measure the processor time, bytes and pauses of pushing one change to a domain's agents."""
+    push_us, sizes, pauses = [], [], []
     for members in (1000, 3500, 7300):
         side = EntrySide(members)
         side.registry.run_round()
         side.configuration.apply(make_documents(1))
         side.outbox.reset()
         before = side.clock.now()
-        taken.append(Point(len(side.near), median_us(lambda s=side: _push(s), 1, 1)))
+        push_us.append(Point(len(side.near), median_us(lambda s=side: _push(s), 1, 1)))
         sizes.append(Point(len(side.near), side.outbox.bytes))
-        waits.append(Point(len(side.near), side.clock.now() - before))
+        pauses.append(Point(len(side.near), side.clock.now() - before))
     return [
-        fit("entry: one change pushed / agents of its domain", "us of processor", taken),
+        fit("entry: one change pushed / agents of its domain", "us of processor", push_us),
         fit("entry: one change pushed / agents of its domain", "bytes", sizes),
-        fit("entry: pauses of a push / agents of its domain", "ms", waits),
+        fit("entry: pauses of a push / agents of its domain", "ms", pauses),
     ]
 
 
 def _push(side: EntrySide) -> None:
-    """Push the newest change until a pause passes without a message."""
+    """Push the newest change and wait until no more messages are sent."""
     side.registry.push_configuration()
     sent = 0
     while sent != side.outbox.messages:
@@ -125,7 +129,7 @@
 
 def _make_quotas(teams: int, reports: int) -> Quotas:
     clock = ManualClock()
-    configuration = _fill(make_documents(teams))
+    configuration = _make_configuration(make_documents(teams))
     rows = tuple((f"team-{number:03}", 20.0, 3.0) for number in range(teams))
     demand = [PeerDemand(Peer(f"tcp://10.0.0.{n}:7400", n), rows) for n in range(reports)]
     quotas = Quotas(clock, configuration, lambda: demand, lambda: reports + 1)
@@ -139,7 +143,7 @@
     for teams in TEAM_COUNTS:
         quotas = _make_quotas(teams, 14)
         demands.append(Point(teams, median_us(quotas.demand, 1)))
-        takes.append(Point(teams, median_us(lambda q=quotas: _take(q), 40)))
+        takes.append(Point(teams, median_us(lambda q=quotas: _take_quotas(q), 40)))
         sizes.append(Point(teams, len(msgspec.msgpack.encode(quotas.demand()))))
     return [
         fit("quotas: demand told once, 14 reports / teams", "us of processor", demands),
@@ -148,7 +152,7 @@
     ]
 
 
-def _take(quotas: Quotas) -> None:
+def _take_quotas(quotas: Quotas) -> None:
     for number in range(40):
         quotas.take(f"team-{number:03}", 1)
 
@@ -156,9 +160,9 @@
 def _measure_reports() -> list[Slope]:
     demands, takes = [], []
     for reports in REPORT_COUNTS:
-        quotas = _make_quotas(FULL_TEAMS, reports)
+        quotas = _make_quotas(MAX_TEAMS, reports)
         demands.append(Point(reports, median_us(quotas.demand, 1, 1)))
-        takes.append(Point(reports, median_us(lambda q=quotas: _take(q), 40)))
+        takes.append(Point(reports, median_us(lambda q=quotas: _take_quotas(q), 40)))
     return [
         fit("quotas: demand told once, 670 teams / reports", "us of processor", demands),
         fit("quotas: one job counted in, 670 teams / reports", "us of processor", takes),
@@ -166,7 +170,7 @@
 
 
 def _measure_demand() -> list[Slope]:
-    """Bytes of the digests of a speaker whose teams submit at random at the peak's mean."""
+    """Measure the bytes of digests while teams submit at random at the mean rate of the peak."""
     slopes = []
     for name, document in (("with a quota", {"rate_tasks_per_s": 270}), ("without", {})):
         points = [Point(teams, _count_demand(teams, document)) for teams in (0, *TEAM_COUNTS)]
@@ -178,12 +182,12 @@
 def _count_demand(teams: int, document: dict) -> float:
     clock = ManualClock()
     names = [f"team-{number:03}" for number in range(teams)]
-    documents = [_make(f"team/{name}", n + 1, document) for n, name in enumerate(names)]
-    quotas = Quotas(clock, _fill(documents), list, lambda: ENTRIES)
+    documents = [_make_document(f"team/{name}", n + 1, document) for n, name in enumerate(names)]
+    quotas = Quotas(clock, _make_configuration(documents), list, lambda: ENTRIES)
     side = EntrySide(DOMAINS, True, quotas.demand, clock)
     draw = random.Random(1)
-    for number in range(WARM_ROUNDS + DEMAND_ROUNDS):
-        if number == WARM_ROUNDS:
+    for number in range(WARMUP_ROUNDS + DEMAND_ROUNDS):
+        if number == WARMUP_ROUNDS:
             side.outbox.reset()
         for name in names * DRAWS:
             if draw.random() < JOBS_PER_S * PERIOD_MS / 1000.0 / DRAWS:
--- a/benchmarks/slope_fit.py
+++ b/benchmarks/slope_fit.py
@@ -1,4 +1,4 @@
-"""Lines through measured points, and the means to take the points."""
+"""Least-squares lines through measured points, and functions that measure time and memory."""
 
 import gc
 import statistics
@@ -16,7 +16,7 @@
 class Point(NamedTuple):
     """One measured value.
 
-    :param size: what the value should grow with
+    :param size: quantity that the value depends on, such as a number of members
     """
 
     size: float
@@ -24,14 +24,14 @@
 
 
 class Slope(NamedTuple):
-    """A line through points.
+    """A line fitted to measured points.
 
-    :param name: what was measured, and what it was measured against
-    :param unit: unit of the values, such as ``us per heartbeat``
-    :param slope: growth of the value with each unit of size
+    :param name: measured quantity, and after ``/`` the quantity that it depends on
+    :param unit: unit of the values, such as ``us of processor``
+    :param slope: increase of the value per unit of size
     :param intercept: value of the line at size 0
-    :param spread: largest distance of a point from the line, as a share of
-        the largest value; a line that does not fit shows here
+    :param spread: largest distance of a point from the line, as a share of the largest absolute
+        value; large if the values don't grow linearly
     """
 
     name: str
@@ -42,15 +42,17 @@
     spread: float
 
     def at(self, size: float) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
 
 def fit(name: str, unit: str, points: Iterable[Point]) -> Slope:
-    """Return the line of least squares through points.
+    """Return the least-squares line through points.
 
-    With a single size it is level, at the mean of the values.
+    If all points have the same size, the slope is 0 and the intercept the mean of the values.
 
+    :param name: see :class:`Slope`
+    :param unit: see :class:`Slope`
     :raises ValueError: if there is no point
     """
     kept = tuple(points)
@@ -67,41 +69,41 @@
 
 
 def encode_lines(slopes: list[Slope]) -> list[str]:
-    """Return slopes as JSON objects, one text each."""
-    return [msgspec.json.encode(_round(slope)).decode() for slope in slopes]
+    """Return each slope as a JSON object, with values rounded to four significant digits."""
+    return [msgspec.json.encode(_encode_slope(slope)).decode() for slope in slopes]
 
 
 def encode_slopes(slopes: list[Slope]) -> bytes:
-    """Return slopes as a JSON array with one object a line."""
+    """Return slopes as a JSON array with one object per line."""
     return ("[\n" + ",\n".join(encode_lines(slopes)) + "\n]\n").encode()
 
 
 def decode_slopes(data: bytes) -> list[Slope]:
-    """Return the slopes in what :func:`encode_slopes` returned."""
+    """Decode the result of :func:`encode_slopes`."""
     rows = msgspec.json.decode(data)
     return [Slope(**{**row, "points": tuple(Point(**p) for p in row["points"])}) for row in rows]
 
 
-def _round(slope: Slope) -> dict[str, Any]:
-    points = [{"size": point.size, "value": _cut(point.value)} for point in slope.points]
+def _encode_slope(slope: Slope) -> dict[str, Any]:
+    points = [{"size": point.size, "value": _round_value(point.value)} for point in slope.points]
     return {
         "name": slope.name,
         "unit": slope.unit,
         "points": points,
-        "slope": _cut(slope.slope),
-        "intercept": _cut(slope.intercept),
-        "spread": _cut(slope.spread),
+        "slope": _round_value(slope.slope),
+        "intercept": _round_value(slope.intercept),
+        "spread": _round_value(slope.spread),
     }
 
 
-def _cut(value: float) -> float:
+def _round_value(value: float) -> float:
     return float(f"{value:.4g}")
 
 
 def processor_us(action: Callable[[], Any]) -> float:
-    """Return the processor time that an action takes, in microseconds.
+    """Return the processor time that an action takes in this process, in microseconds.
 
-    It is this process's time, so other processes hardly change it.
+    Unlike wall-clock time it hardly depends on the load of other processes.
     """
     gc.collect()
     start = time.process_time()
@@ -110,16 +112,17 @@
 
 
 def median_us(action: Callable[[], Any], count: int, repeats: int = REPEATS) -> float:
-    """Return the median processor time of one of ``count`` steps, in microseconds.
+    """Return the median processor time per step of an action, in microseconds.
 
-    :param action: does ``count`` steps
+    :param action: performs ``count`` steps
+    :param repeats: how often the action is measured
     """
     taken = sorted(processor_us(action) / count for _ in range(repeats))
     return taken[len(taken) // 2]
 
 
 def memory_bytes(build: Callable[[], Any]) -> float:
-    """Return the memory that what ``build`` returns keeps allocated, in bytes."""
+    """Return the memory that the object returned by ``build`` occupies, in bytes."""
     gc.collect()
     tracemalloc.start()
     try:
--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -1,4 +1,4 @@
-"""Slopes of jobs: a home and a runner, each alone, fed by hand in one process."""
+"""Costs of jobs at one home and at one runner, each measured alone with simulated peers."""
 
 import logging
 import time
@@ -42,55 +42,61 @@
 from geraniumspool.ticket import Keyring, read_ticket
 
 JOB_SIZES = (1, 8, 40, 340)
-CANDIDATES = (11, 100, 551)
-TASKS_TIMED = 680
+WORKER_COUNTS = (11, 100, 551)
+TIMED_TASKS = 680
 SLOTS = 8
 DEADLINE_MS = 86_400_000.0
 RUN_MS = 50.0
 PAYLOAD = b'{"value":12345678,"run_ms":50}'
 RESULT = b'{"value":12345678,"minion":"10.0.0.1:9000","task":"1f.1"}'
-RECORDS = 1000
-WIDE = 340
-DECISIONS = 5000
-TICKETS = 2000
+RECORD_COUNT = 1000
+WIDE_JOB_TASKS = 340
+DECISION_COUNT = 5000
+TICKET_COUNT = 2000
 KEY = "ticket-key-for-slopes-001"
 LOG = logging.getLogger("benchmarks.quiet")
 
 
 class InstantMinion:
-    """A minion that answers at once."""
+    """Minion client whose tasks complete at once."""
 
     def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
-        """Return a result of usual length."""
+        """Return a result of typical length; see :data:`RESULT`."""
         eventlet.sleep(0)
         return RESULT
 
     def stop(self, minion: Announcement, task_id: str) -> bool:
-        """Say that the task was stopped."""
+        """Return True, as for a task that was stopped."""
         return True
 
 
 class Wire(Outbox):
-    """An outbox that keeps what was sent, in order."""
+    """Outbox that also keeps the sent messages in order.
+
+    :ivar sent: receivers and messages since the last :meth:`take_all`
+    """
 
     def __init__(self, me: Peer):
-        """Take the own address."""
+        """Start empty.
+
+        :param me: sender of all messages
+        """
         super().__init__(me)
         self.sent: list[tuple[Peer, Message]] = []
 
     def send(self, peer: Peer, message: Message) -> bool:
-        """Code, count and keep a message."""
+        """Encode, count and keep a message."""
         self.sent.append((peer, message))
         return super().send(peer, message)
 
     def take_all(self) -> list[tuple[Peer, Message]]:
-        """Return what was sent since the last call."""
+        """Return the messages sent since the last call, with their receivers."""
         sent, self.sent = self.sent, []
         return sent
 
 
 def make_agent(wire: Wire, domain: str) -> Agent:
-    """Return an agent in memory that is not started."""
+    """Return an agent with an in-memory store and minion; it is not started."""
     clock = SystemClock()
     counters = MemoryCounters()
     settings = AgentSettings(domain, ("http://127.0.0.1:9",))
@@ -99,13 +105,17 @@
 
 
 class HomeSide:
-    """A home without a minion of its own, among generated workers.
+    """A home without a minion, among generated workers that run no tasks.
 
-    :ivar home_us: processor time spent in the home, coding included
+    :ivar home_us: processor time spent in the home in microseconds, encoding included
+    :ivar offers: number of offers answered so far
     """
 
     def __init__(self, workers: int):
-        """Build the home; one in two workers is of another failure domain."""
+        """Make the home; every other worker is in another failure domain.
+
+        :param workers: number of workers in its roster
+        """
         me = make_member(0, 9999, ROLE_AGENT)
         self.wire = Wire(peer_of(me))
         self.entry = peer_of(make_member(0, 0, ROLE_ENTRY))
@@ -120,15 +130,15 @@
         self.offers = 0
 
     def submit(self, tasks: int) -> None:
-        """Let the home take one job."""
+        """Submit one job of so many tasks."""
         ticket = self.keyring.issue(self.wire.me, SERVICE, 1_790_000_000_000)
         submit = Submit(
             1, ticket, SERVICE, "team", DEADLINE_MS, b"d" * 16, (Task(PAYLOAD),) * tasks
         )
-        self._feed(self.entry, submit)
+        self._deliver(self.entry, submit)
 
     def run_job(self, tasks: int) -> None:
-        """Take one job through, answering each offer at once."""
+        """Submit one job and answer its offers at once until it is complete."""
         self.submit(tasks)
         while True:
             sent = self.wire.take_all()
@@ -137,9 +147,9 @@
             for peer, message in sent:
                 if isinstance(message, Offer):
                     self.offers += 1
-                    self._feed(peer, _answer(message))
+                    self._deliver(peer, _make_results(message))
 
-    def _feed(self, sender: Peer, message: Message) -> None:
+    def _deliver(self, sender: Peer, message: Message) -> None:
         data = encode(sender, self.wire.me.incarnation, message)
 
         def take() -> None:
@@ -151,37 +161,37 @@
             eventlet.sleep(0)
             eventlet.sleep(0)
 
-        self.home_us += _plain_us(take)
+        self.home_us += _time_us(take)
 
 
-def _plain_us(action) -> float:
+def _time_us(action) -> float:
     start = time.process_time()
     action()
     return (time.process_time() - start) * US_PER_S
 
 
-def _answer(offer: Offer) -> Results:
+def _make_results(offer: Offer) -> Results:
     done = tuple(TaskResult(task.offer, True, RESULT, "", RUN_MS) for task in offer.tasks)
     return Results(done, (), Load(SLOTS, SLOTS, 0, 0.0))
 
 
 def measure_jobs() -> list[Slope]:
-    """Return the slopes of homes, runners, records, decisions and tickets."""
+    """Measure homes, runners, records, decisions and tickets, and return the slopes."""
     return [
         *_measure_home(),
         *_measure_candidates(),
         *_measure_runner(),
-        *_measure_kept(),
+        *_measure_memory(),
         *_measure_tickets(),
     ]
 
 
 def _measure_home() -> list[Slope]:
-    taken, messages, sizes = [], [], []
+    job_us, messages, sizes = [], [], []
     for tasks in JOB_SIZES:
         side = HomeSide(11)
         side.run_job(tasks)
-        count = max(3, TASKS_TIMED // tasks)
+        count = max(3, TIMED_TASKS // tasks)
         costs = []
         for _ in range(3):
             side.home_us = 0.0
@@ -189,11 +199,11 @@
             for _ in range(count):
                 side.run_job(tasks)
             costs.append(side.home_us / count)
-        taken.append(Point(tasks, sorted(costs)[1]))
+        job_us.append(Point(tasks, sorted(costs)[1]))
         messages.append(Point(tasks, side.wire.messages / count))
         sizes.append(Point(tasks, side.wire.bytes / count))
     return [
-        fit("home: one job, 11 workers / tasks", "us of processor", taken),
+        fit("home: one job, 11 workers / tasks", "us of processor", job_us),
         fit("home: messages sent for one job, 11 workers / tasks", "messages", messages),
         fit("home: bytes sent for one job, 11 workers / tasks", "bytes", sizes),
     ]
@@ -201,7 +211,7 @@
 
 def _measure_candidates() -> list[Slope]:
     usable, jobs, wide = [], [], []
-    for workers in CANDIDATES:
+    for workers in WORKER_COUNTS:
         side = HomeSide(workers)
         usable.append(Point(workers, median_us(lambda s=side: _list_usable(s), 50)))
         for tasks, points in ((1, jobs), (40, wide)):
@@ -242,7 +252,7 @@
     runner.announce(Announcement(SERVICE, "http://127.0.0.1:9", SLOTS, 64))
     home = peer_of(make_member(0, 2, ROLE_AGENT))
     numbers = iter(range(1, 1 << 30))
-    offers = [_offer(numbers, batch, job) for job in range(count)]
+    offers = [_make_offer(numbers, batch, job) for job in range(count)]
     data = [encode(home, me.incarnation, offer) for offer in offers]
 
     def run() -> None:
@@ -252,11 +262,11 @@
             while not runner.is_idle:
                 eventlet.sleep(0)
 
-    taken = processor_us(run) / count
-    return taken, wire.bytes / count
+    job_us = processor_us(run) / count
+    return job_us, wire.bytes / count
 
 
-def _offer(numbers, batch: int, job: int) -> Offer:
+def _make_offer(numbers, batch: int, job: int) -> Offer:
     tasks = [
         OfferedTask(next(numbers), job, index, SERVICE, PAYLOAD, RUN_MS, 1.0, 30_000.0)
         for index in range(batch)
@@ -264,20 +274,21 @@
     return Offer(tasks[0].offer, tuple(tasks))
 
 
-def _measure_kept() -> list[Slope]:
+def _measure_memory() -> list[Slope]:
     records = [
-        Point(tasks, memory_bytes(lambda n=tasks: _keep_records(n)) / RECORDS)
+        Point(tasks, memory_bytes(lambda n=tasks: _keep_records(n)) / RECORD_COUNT)
         for tasks in JOB_SIZES
     ]
     decisions = [
         Point(count, memory_bytes(lambda n=count: _keep_decisions(n)))
-        for count in (DECISIONS, 2 * DECISIONS, 4 * DECISIONS)
+        for count in (DECISION_COUNT, 2 * DECISION_COUNT, 4 * DECISION_COUNT)
     ]
     waiting = [
-        Point(WIDE * jobs, memory_bytes(lambda n=jobs: _hold_jobs(n))) for jobs in (2, 6, 10)
+        Point(WIDE_JOB_TASKS * jobs, memory_bytes(lambda n=jobs: _hold_jobs(n)))
+        for jobs in (2, 6, 10)
     ]
     log = DecisionLog(1, SystemClock(), LOG)
-    cost = median_us(lambda: _record(log, DECISIONS), DECISIONS)
+    cost = median_us(lambda: _record_decisions(log, DECISION_COUNT), DECISION_COUNT)
     return [
         fit("home: memory of one kept record / tasks", "bytes", records),
         fit("home: memory of jobs that run / tasks", "bytes", waiting),
@@ -287,10 +298,10 @@
 
 
 def _hold_jobs(jobs: int) -> HomeSide:
-    """Return a home with jobs of which no task has been answered."""
+    """Return a home with running jobs of which no task has ended."""
     side = HomeSide(11)
     for _ in range(jobs):
-        side.submit(WIDE)
+        side.submit(WIDE_JOB_TASKS)
     side.wire.take_all()
     return side
 
@@ -299,7 +310,7 @@
     records = Records(SystemClock(), 1 << 40, 600_000.0)
     keyring = Keyring([KEY])
     home = peer_of(make_member(0, 1, ROLE_AGENT))
-    for _ in range(RECORDS):
+    for _ in range(RECORD_COUNT):
         text = keyring.issue(home, SERVICE, 1_790_000_000_000)
         results = tuple(bytes(bytearray(RESULT)) for _ in range(tasks))
         answer = Answer(1, text, "complete", results=results)
@@ -307,7 +318,7 @@
     return records
 
 
-def _record(log: DecisionLog, count: int) -> DecisionLog:
+def _record_decisions(log: DecisionLog, count: int) -> DecisionLog:
     for number in range(count):
         log.record(
             "task_placed",
@@ -321,7 +332,7 @@
 
 
 def _keep_decisions(count: int) -> DecisionLog:
-    return _record(DecisionLog(1, SystemClock(), LOG), count)
+    return _record_decisions(DecisionLog(1, SystemClock(), LOG), count)
 
 
 def _measure_tickets() -> list[Slope]:
@@ -330,14 +341,14 @@
     text = keyring.issue(home, SERVICE, 1_790_000_000_000)
 
     def issue() -> None:
-        for _ in range(TICKETS):
+        for _ in range(TICKET_COUNT):
             keyring.issue(home, SERVICE, 1_790_000_000_000)
 
     def verify() -> None:
-        for _ in range(TICKETS):
+        for _ in range(TICKET_COUNT):
             keyring.verify(text)
 
     return [
-        fit("ticket issued", "us of processor", [Point(1, median_us(issue, TICKETS))]),
-        fit("ticket verified", "us of processor", [Point(1, median_us(verify, TICKETS))]),
+        fit("ticket issued", "us of processor", [Point(1, median_us(issue, TICKET_COUNT))]),
+        fit("ticket verified", "us of processor", [Point(1, median_us(verify, TICKET_COUNT))]),
     ]
--- a/benchmarks/slope_links.py
+++ b/benchmarks/slope_links.py
@@ -1,4 +1,4 @@
-"""Slopes of real links: what one more peer and one more message cost."""
+"""Costs of real connections between messengers, by number of peers and rate of messages."""
 
 import time
 
@@ -14,19 +14,19 @@
 from geraniumspool.members import ROLE_AGENT
 from geraniumspool.messages import Heartbeat
 
-PEERS = (25, 75, 150)
+PEER_COUNTS = (25, 75, 150)
 SETTLE_S = 0.5
-RATES = (50, 200, 800)
-RATE_SECONDS = 3.0
+HEARTBEATS_PER_S = (50, 200, 800)
+RATE_DURATION_S = 3.0
 LISTEN = "tcp://127.0.0.1:0"
 
 
 def measure_links() -> list[Slope]:
-    """Return the slopes of links between messengers in one process."""
+    """Measure links between messengers in this process, and return the slopes."""
     return [*_measure_peers(), _measure_messages()]
 
 
-def _start() -> NngMessenger:
+def _start_messenger() -> NngMessenger:
     messenger = NngMessenger(LISTEN, draw_incarnation(), SystemClock(), MemoryCounters())
     messenger.start(lambda delivery: None)
     return messenger
@@ -34,44 +34,44 @@
 
 def _measure_peers() -> list[Slope]:
     process = psutil.Process()
-    sender = _start()
+    sender = _start_messenger()
     peers: list[NngMessenger] = []
-    memory, files = [], []
-    resident = process.memory_info().rss
-    linked_files = 0
-    beat = Heartbeat(make_member(0, 1, ROLE_AGENT), 0, 0, 0)
-    for count in PEERS:
-        fresh = [_start() for _ in range(count - len(peers))]
-        peers += fresh
+    memory, descriptor_points = [], []
+    initial_rss = process.memory_info().rss
+    descriptors = 0
+    heartbeat = Heartbeat(make_member(0, 1, ROLE_AGENT), 0, 0, 0)
+    for count in PEER_COUNTS:
+        new_peers = [_start_messenger() for _ in range(count - len(peers))]
+        peers += new_peers
         eventlet.sleep(SETTLE_S)
         before = process.num_fds()
-        for peer in fresh:
-            sender.send(peer.me, beat)
+        for peer in new_peers:
+            sender.send(peer.me, heartbeat)
         eventlet.sleep(SETTLE_S)
-        linked_files += process.num_fds() - before
-        memory.append(Point(count, (process.memory_info().rss - resident) / 1024.0))
-        files.append(Point(count, linked_files))
+        descriptors += process.num_fds() - before
+        memory.append(Point(count, (process.memory_info().rss - initial_rss) / 1024.0))
+        descriptor_points.append(Point(count, descriptors))
     for messenger in (sender, *peers):
         eventlet.spawn(messenger.stop)
     eventlet.sleep(2 * SETTLE_S)
     return [
         fit("link with both ends, and the peer's inbox / peers", "KiB resident", memory),
-        fit("link with both ends / peers", "descriptors", files),
+        fit("link with both ends / peers", "descriptors", descriptor_points),
     ]
 
 
 def _measure_messages() -> Slope:
-    """Processor time of a steady rate of heartbeats, sent and received here."""
-    sender, receiver = _start(), _start()
-    beat = Heartbeat(make_member(0, 1, ROLE_AGENT), 0, 0, 0)
+    """Measure the processor time of sending and receiving heartbeats at a steady rate."""
+    sender, receiver = _start_messenger(), _start_messenger()
+    heartbeat = Heartbeat(make_member(0, 1, ROLE_AGENT), 0, 0, 0)
     points = []
-    for rate in RATES:
+    for rate in HEARTBEATS_PER_S:
         start = time.process_time()
-        for _ in range(int(rate * RATE_SECONDS)):
-            sender.send(receiver.me, beat)
+        for _ in range(int(rate * RATE_DURATION_S)):
+            sender.send(receiver.me, heartbeat)
             eventlet.sleep(1.0 / rate)
-        taken = (time.process_time() - start) * US_PER_S / RATE_SECONDS
-        points.append(Point(rate, taken))
+        used_us_per_s = (time.process_time() - start) * US_PER_S / RATE_DURATION_S
+        points.append(Point(rate, used_us_per_s))
     sender.stop()
     receiver.stop()
     return fit("heartbeat over a link, sent and received / a second", "us of processor/s", points)
--- a/benchmarks/slope_membership.py
+++ b/benchmarks/slope_membership.py
@@ -1,4 +1,4 @@
-"""Slopes of the membership: generated members at one agent and at one entry."""
+"""Costs of membership at one entry and at one agent, by number of generated members."""
 
 from collections.abc import Callable
 
@@ -26,7 +26,7 @@
 from geraniumspool.registry import Registry
 from geraniumspool.roster import Roster
 
-SIZES = (100, 487, 1000, 7300)
+MEMBER_COUNTS = (100, 487, 1000, 7300)
 DOMAINS = 15
 SERVICE = "fitting"
 ENTRIES_PER_DOMAIN = 2
@@ -34,51 +34,58 @@
 TIMEOUT_MS = 4_000.0
 TIMED_HEARTBEATS = 300
 TIMED_ROUNDS = 6
-BITS = 62
+INCARNATION_BIT = 62
 
 
 class Outbox:
-    """A messenger that codes what is sent and counts it.
+    """Messenger that encodes and counts messages instead of sending them.
 
-    :ivar messages: number of messages sent
-    :ivar bytes: their size in all
+    :ivar messages: number of messages since the last :meth:`reset`
+    :ivar bytes: their total encoded size
     :ivar last: newest message by receiver's address
     """
 
     def __init__(self, me: Peer):
-        """Take the own address."""
+        """Start empty.
+
+        :param me: sender of all messages
+        """
         self.me = me
         self.messages = 0
         self.bytes = 0
         self.last: dict[str, Message] = {}
 
     def send(self, peer: Peer, message: Message) -> bool:
-        """Code and count a message."""
+        """Encode and count a message."""
         self.bytes += len(encode(self.me, peer.incarnation, message))
         self.messages += 1
         self.last[peer.address] = message
         return True
 
     def reset(self) -> None:
-        """Count from zero again."""
+        """Set the counts to zero."""
         self.messages = 0
         self.bytes = 0
 
 
 def make_member(domain: int, number: int, role: str, state: str = MEMBER_READY) -> Member:
-    """Return a generated member with an address as long as real ones."""
+    """Return a generated member whose address has a realistic length.
+
+    :param domain: number of its failure domain
+    :param number: number of the member among those of its role in the domain
+    """
     kind = 1 if role == ROLE_ENTRY else 0
     address = f"tcp://10.{100 + domain}.{kind * 100 + number // 250}.{number % 250}:7400"
-    incarnation = (1 << BITS) + (domain << 32) + (kind << 30) + number
+    incarnation = (1 << INCARNATION_BIT) + (domain << 32) + (kind << 30) + number
     load = Load(8, number % 9, 0, 13) if role == ROLE_AGENT else Load()
     service = SERVICE if role == ROLE_AGENT else ""
     return Member(address, incarnation, f"domain-{domain:02}", role, state, service, 0.0, load)
 
 
 class EntrySide:
-    """One entry's registry among generated entries and agents.
+    """Registry of one entry among generated entries and agents.
 
-    :ivar near: agents of its failure domain, all beating at it
+    :ivar near: agents of its own failure domain, all of which send it heartbeats
     """
 
     def __init__(
@@ -88,10 +95,10 @@
         demand: Callable[[], tuple] = tuple,
         clock: ManualClock | None = None,
     ):
-        """Build the registry.
+        """Make the registry; it knows the agents of all other domains.
 
-        :param members: agents in the whole system
-        :param join: whether the agents of the own domain are known already
+        :param members: number of agents in the whole system
+        :param join: whether it also knows the agents of its own domain
         :param demand: returns the teams' demand at this entry
         """
         self.clock = clock or ManualClock()
@@ -123,9 +130,10 @@
                 self.beat(member, 0, 0)
 
     def digest(self, entry: Member, whole: bool) -> Digest:
-        """Return a digest of another entry.
+        """Return a digest from another entry.
 
-        The first entry of each other domain tells of its domain's agents.
+        Only the first entry of each other domain, its speaker, includes agents: all of its domain
+        in a whole digest, otherwise 16.
         """
         domain = int(entry.domain[-2:])
         is_speaker = entry.address == make_member(domain, 0, ROLE_ENTRY).address
@@ -136,15 +144,17 @@
         return Digest(entry, whole, tuple(agents), (), ((entry.domain, 0),), 0, ())
 
     def beat(self, member: Member, entry: int, version: int) -> int:
-        """Take one heartbeat from the wire and return its size in bytes."""
+        """Deliver one encoded heartbeat and return its size in bytes."""
         data = encode(
-            peer_of(member), self.outbox.me.incarnation, self._heartbeat(member, entry, version)
+            peer_of(member),
+            self.outbox.me.incarnation,
+            self._make_heartbeat(member, entry, version),
         )
         self.take(data)
         return len(data)
 
     def take(self, data: bytes) -> None:
-        """Take a message as it came from the wire."""
+        """Decode and deliver a message."""
         delivery: Delivery = decode(data)
         if isinstance(delivery.message, Digest):
             self.registry.take_digest(delivery.sender, delivery.message)
@@ -154,7 +164,7 @@
             self.registry.take_heartbeat(delivery.sender, delivery.message)
 
     def let_pass(self) -> None:
-        """Let a period pass in which every process was heard."""
+        """Advance the clock by a period in which every process sends its message."""
         self.clock.advance(PERIOD_MS)
         for entry in self.entries:
             self.registry.take_digest(peer_of(entry), self.digest(entry, False))
@@ -162,25 +172,25 @@
             self.take(data)
 
     def heartbeats(self, count: int) -> list[bytes]:
-        """Return coded heartbeats of agents that know the present roster."""
+        """Return encoded heartbeats from agents of the domain that have the current roster."""
         members = [self.near[number % len(self.near)] for number in range(count)]
         me, version = self.outbox.me.incarnation, self.roster.version
         beats = ((peer_of(m), ShortHeartbeat(m.version, version, 0, m.load)) for m in members)
         return [encode(peer, me, beat) for peer, beat in beats]
 
     @staticmethod
-    def _heartbeat(member: Member, entry: int, version: int) -> Heartbeat:
+    def _make_heartbeat(member: Member, entry: int, version: int) -> Heartbeat:
         return Heartbeat(member, entry, version, 0)
 
 
 def measure_membership() -> list[Slope]:
-    """Return the slopes of rosters, heartbeats and digests."""
+    """Measure rosters, heartbeats and digests, and return the slopes."""
     return [
         *_measure_roster(),
         *_measure_heartbeats(),
-        *_measure_change(),
+        *_measure_roster_change(),
         *_measure_digests(),
-        *_measure_reunion(),
+        *_measure_whole_digests(),
         *_measure_domain_start(),
         *_measure_agent(),
     ]
@@ -194,7 +204,7 @@
 
 
 def _measure_roster() -> list[Slope]:
-    points = [Point(n, memory_bytes(lambda n=n: _fill_roster(n))) for n in SIZES]
+    points = [Point(n, memory_bytes(lambda n=n: _fill_roster(n))) for n in MEMBER_COUNTS]
     return [fit("roster memory / members", "bytes", points)]
 
 
@@ -202,9 +212,9 @@
     return [*_time_heartbeats("", 0.0), *_time_heartbeats(" where tasks wait", 100.0)]
 
 
-def _time_heartbeats(which: str, backlog_ms: float) -> list[Slope]:
+def _time_heartbeats(suffix: str, backlog_ms: float) -> list[Slope]:
     taken, sizes, lengths = [], [], []
-    for members in SIZES:
+    for members in MEMBER_COUNTS:
         side = EntrySide(members)
         loaded = [m._replace(load=m.load._replace(backlog_ms=backlog_ms)) for m in side.near]
         side.near = loaded
@@ -212,25 +222,27 @@
         for data in beats[: len(side.near)]:
             side.take(data)
         side.outbox.reset()
-        taken.append(Point(members, median_us(lambda s=side, b=beats: _take_all(s, b), len(beats))))
+        taken.append(
+            Point(members, median_us(lambda s=side, b=beats: _deliver_all(s, b), len(beats)))
+        )
         sizes.append(Point(members, side.outbox.bytes / side.outbox.messages))
         lengths.append(Point(members, sum(map(len, beats)) / len(beats)))
     return [
-        fit(f"entry: heartbeat{which} taken and replied / members", "us of processor", taken),
-        fit(f"entry: reply to a heartbeat{which} / members", "bytes", sizes),
-        fit(f"agent: heartbeat{which} / members", "bytes", lengths),
+        fit(f"entry: heartbeat{suffix} taken and replied / members", "us of processor", taken),
+        fit(f"entry: reply to a heartbeat{suffix} / members", "bytes", sizes),
+        fit(f"agent: heartbeat{suffix} / members", "bytes", lengths),
     ]
 
 
-def _take_all(side: EntrySide, messages: list[bytes]) -> None:
+def _deliver_all(side: EntrySide, messages: list[bytes]) -> None:
     for data in messages:
         side.take(data)
 
 
-def _measure_change() -> list[Slope]:
-    """Cost of the first reply after a foreign agent was replaced."""
+def _measure_roster_change() -> list[Slope]:
+    """Measure the first reply to a heartbeat after an agent of another domain was replaced."""
     points = []
-    for members in SIZES:
+    for members in MEMBER_COUNTS:
         side = EntrySide(members)
         source = peer_of(side.entries[1])
         steps = []
@@ -248,7 +260,7 @@
 
 def _measure_digests() -> list[Slope]:
     rounds, sizes, messages, takes, received = [], [], [], [], []
-    for members in SIZES:
+    for members in MEMBER_COUNTS:
         side = EntrySide(members)
         for _ in range(2):
             side.let_pass()
@@ -265,7 +277,9 @@
         messages.append(Point(members, count / TIMED_ROUNDS))
         speaker = next(e for e in side.entries if e.domain != side.me.domain)
         data = encode(peer_of(speaker), side.outbox.me.incarnation, side.digest(speaker, False))
-        takes.append(Point(members, median_us(lambda s=side, d=data: _take_all(s, [d] * 50), 50)))
+        takes.append(
+            Point(members, median_us(lambda s=side, d=data: _deliver_all(s, [d] * 50), 50))
+        )
         received.append(Point(members, len(data)))
     return [
         fit("entry: digest round, speaker of a domain / members", "us of processor", rounds),
@@ -276,10 +290,10 @@
     ]
 
 
-def _measure_reunion() -> list[Slope]:
-    """Cost of whole digests, as after a start or a parting of regions."""
+def _measure_whole_digests() -> list[Slope]:
+    """Measure whole digests, as they are sent after a start or a partition between regions."""
     sent, sizes, taken, lengths = [], [], [], []
-    for members in SIZES:
+    for members in MEMBER_COUNTS:
         side = EntrySide(members)
         side.outbox.reset()
         sent.append(Point(members, processor_us(side.registry.run_round) / 1000.0))
@@ -300,14 +314,14 @@
 
 
 def _measure_domain_start() -> list[Slope]:
-    """Cost at one entry when every agent of its failure domain starts at once."""
+    """Measure an entry while all agents of its failure domain start at once."""
     taken, sizes = [], []
-    for members in SIZES:
+    for members in MEMBER_COUNTS:
         side = EntrySide(members, join=False)
         me = side.outbox.me.incarnation
-        first = [_starting(side, member, 0, 0) for member in side.near]
+        first = [_encode_first_heartbeat(side, member, 0, 0) for member in side.near]
         side.outbox.reset()
-        start_us = processor_us(lambda s=side, f=first: _take_all(s, f))
+        start_us = processor_us(lambda s=side, f=first: _deliver_all(s, f))
         versions = {
             address: reply.roster_version
             for address, reply in side.outbox.last.items()
@@ -316,7 +330,7 @@
         second = [
             encode(peer_of(m), me, Heartbeat(m, me, versions[m.address], 0)) for m in side.near
         ]
-        start_us += processor_us(lambda s=side, b=second: _take_all(s, b))
+        start_us += processor_us(lambda s=side, b=second: _deliver_all(s, b))
         taken.append(Point(len(side.near), start_us / 1000.0))
         sizes.append(Point(len(side.near), side.outbox.bytes))
     return [
@@ -325,16 +339,20 @@
     ]
 
 
-def _starting(side: EntrySide, member: Member, entry: int, version: int) -> bytes:
+def _encode_first_heartbeat(side: EntrySide, member: Member, entry: int, version: int) -> bytes:
     beat = Heartbeat(member._replace(state=MEMBER_STARTING), entry, version, 0)
     return encode(peer_of(member), side.outbox.me.incarnation, beat)
 
 
 class AgentSide:
-    """One agent's roster and heartbeater, filled by an entry's whole reply."""
+    """Roster and heartbeater of one agent, filled from an entry's complete reply.
+
+    :ivar whole: reply to the agent's first heartbeat, with the complete roster
+    :ivar reply: encoded reply to a later heartbeat
+    """
 
     def __init__(self, entry: EntrySide):
-        """Take the reply to a first heartbeat of the first near agent."""
+        """Make the first agent of the entry's domain and deliver the entry's replies to it."""
         self.me = entry.near[0]
         self.clock = ManualClock()
         self.outbox = Outbox(peer_of(self.me))
@@ -354,12 +372,12 @@
         self.reply = encode(self.sender, self.outbox.me.incarnation, later)
 
     def take(self, data: bytes) -> None:
-        """Take an entry's reply as it came from the wire."""
+        """Decode and deliver an entry's reply."""
         delivery = decode(data)
         self.beater.take_reply(delivery.sender, delivery.message)
 
     def work(self, count: int) -> None:
-        """Beat and take the reply, ``count`` times."""
+        """Send a heartbeat and deliver the reply, ``count`` times."""
         for _ in range(count):
             self.beater.beat()
             self.take(self.reply)
@@ -367,7 +385,7 @@
 
 def _measure_agent() -> list[Slope]:
     taken, known, whole = [], [], []
-    for members in SIZES:
+    for members in MEMBER_COUNTS:
         side = AgentSide(EntrySide(members))
         taken.append(Point(members, median_us(lambda s=side: s.work(200), 200)))
         known.append(Point(members, len(side.roster.members())))
--- a/benchmarks/slope_processes.py
+++ b/benchmarks/slope_processes.py
@@ -1,4 +1,4 @@
-"""Slopes of real processes: an idle fleet as it grows, and one entry under load."""
+"""Costs of real processes: an idle fleet by number of agents, and one entry under load."""
 
 import os
 import re
@@ -15,12 +15,12 @@
 DOMAINS = ("north", "middle", "south")
 FLEET_SIZES = (11, 44, 110)
 SETTLE_S = 6.0
-WINDOW_S = 10.0
+MEASUREMENT_S = 10.0
 LOAD_S = 5.0
 CONNECTIONS = 6
 RUN_MS = 20
 JOB_SIZES = (1, 8, 40)
-FIXED_MINION = {
+UNREACHABLE_MINION = {
     "minion": {"service": SERVICE, "url": "http://127.0.0.1:9", "slots": 8, "connections": 64}
 }
 MIB = 1024 * 1024
@@ -28,10 +28,13 @@
 
 
 class Usage(NamedTuple):
-    """What one process used up to now.
+    """Resources that one process has used since its start.
 
     :param cpu_s: processor time in seconds
-    :param resident: resident memory in bytes
+    :param resident: current resident memory in bytes
+    :param sent: number of messages sent
+    :param sent_bytes: total size of these messages
+    :param received: number of messages received
     """
 
     cpu_s: float
@@ -42,13 +45,13 @@
 
 
 def measure_fleet() -> list[Slope]:
-    """Return the slopes of an idle fleet as it grows."""
+    """Measure an idle fleet while agents are added, and return the slopes."""
     rows: dict[str, list[Point]] = {}
     fleet = Fleet(
         list(DOMAINS),
         [0, 0, 0],
         1,
-        agent_settings=FIXED_MINION,
+        agent_settings=UNREACHABLE_MINION,
         log_folder=os.environ.get("SLOPE_LOGS"),
     )
     try:
@@ -66,7 +69,7 @@
     end = time.monotonic() + 60
     while any(fleet.ready_agents(entry) < size for entry in fleet.entries):
         if time.monotonic() > end:
-            raise RuntimeError(f"{size} agents were not ready in time")
+            raise RuntimeError(f"{size} agents were not ready within 60 s")
         eventlet.sleep(0.2)
     eventlet.sleep(SETTLE_S)
 
@@ -74,21 +77,21 @@
 def _measure_window(fleet: Fleet, size: int, rows: dict[str, list[Point]]) -> None:
     sampled = fleet.agents[:: max(1, size // 11)]
     calls = _store_calls(fleet)
-    agents = [_read(fleet, agent) for agent in sampled]
-    entries = [_read(fleet, entry) for entry in fleet.entries]
-    store = _cpu(fleet.store)
+    agents = [_read_usage(fleet, agent) for agent in sampled]
+    entries = [_read_usage(fleet, entry) for entry in fleet.entries]
+    store = _cpu_seconds(fleet.store)
     start = time.monotonic()
-    eventlet.sleep(WINDOW_S)
-    passed = time.monotonic() - start
-    later_agents = [_read(fleet, agent) for agent in sampled]
-    later_entries = [_read(fleet, entry) for entry in fleet.entries]
+    eventlet.sleep(MEASUREMENT_S)
+    elapsed_s = time.monotonic() - start
+    later_agents = [_read_usage(fleet, agent) for agent in sampled]
+    later_entries = [_read_usage(fleet, entry) for entry in fleet.entries]
     later_calls = _store_calls(fleet)
-    _add_usage(rows, "agent idle", size, passed, agents, later_agents)
-    _add_usage(rows, "entry idle", size, passed, entries, later_entries)
-    cpu = 100 * (_cpu(fleet.store) - store) / passed
+    _add_usage(rows, "agent idle", size, elapsed_s, agents, later_agents)
+    _add_usage(rows, "entry idle", size, elapsed_s, entries, later_entries)
+    cpu = 100 * (_cpu_seconds(fleet.store) - store) / elapsed_s
     rows.setdefault("store stand-in, % of a core / agents", []).append(Point(size, cpu))
     for kind in sorted(later_calls):
-        rate = (later_calls[kind] - calls.get(kind, 0)) / passed
+        rate = (later_calls[kind] - calls.get(kind, 0)) / elapsed_s
         rows.setdefault(f"store calls {kind}, calls/s / agents", []).append(Point(size, rate))
 
 
@@ -96,24 +99,24 @@
     rows: dict[str, list[Point]],
     role: str,
     size: int,
-    passed: float,
+    elapsed_s: float,
     before: list[Usage],
     after: list[Usage],
 ) -> None:
     pairs = list(zip(before, after, strict=True))
     values = {
-        "% of a core": [100 * (b.cpu_s - a.cpu_s) / passed for a, b in pairs],
+        "% of a core": [100 * (b.cpu_s - a.cpu_s) / elapsed_s for a, b in pairs],
         "MiB resident": [b.resident / MIB for _, b in pairs],
-        "messages sent/s": [(b.sent - a.sent) / passed for a, b in pairs],
-        "messages received/s": [(b.received - a.received) / passed for a, b in pairs],
-        "bytes sent/s": [(b.sent_bytes - a.sent_bytes) / passed for a, b in pairs],
+        "messages sent/s": [(b.sent - a.sent) / elapsed_s for a, b in pairs],
+        "messages received/s": [(b.received - a.received) / elapsed_s for a, b in pairs],
+        "bytes sent/s": [(b.sent_bytes - a.sent_bytes) / elapsed_s for a, b in pairs],
     }
     for unit, numbers in values.items():
         mean = sum(numbers) / len(numbers)
         rows.setdefault(f"{role}, {unit} / agents", []).append(Point(size, mean))
 
 
-def _read(fleet: Fleet, program: Program) -> Usage:
+def _read_usage(fleet: Fleet, program: Program) -> Usage:
     address = program.ready.get("callers")
     base = f"http://{address}" if address else program.ready["minion"]
     text = fleet.http.request("GET", f"{base}/metrics", timeout=10).data
@@ -122,19 +125,19 @@
         key = name.decode()
         totals[key] = totals.get(key, 0.0) + float(value)
     return Usage(
-        _cpu(program),
+        _cpu_seconds(program),
         psutil.Process(program.process.pid).memory_info().rss,
-        _find(totals, "messages_sent"),
-        _find(totals, "message_bytes_sent"),
-        _find(totals, "messages_received"),
+        _sum_of_suffix(totals, "messages_sent"),
+        _sum_of_suffix(totals, "message_bytes_sent"),
+        _sum_of_suffix(totals, "messages_received"),
     )
 
 
-def _find(totals: dict[str, float], name: str) -> float:
+def _sum_of_suffix(totals: dict[str, float], name: str) -> float:
     return sum(value for key, value in totals.items() if key.endswith(name))
 
 
-def _cpu(program: Program) -> float:
+def _cpu_seconds(program: Program) -> float:
     times = psutil.Process(program.process.pid).cpu_times()
     return times.user + times.system
 
@@ -144,9 +147,9 @@
 
 
 def measure_load() -> list[Slope]:
-    """Return the processor time per job at one entry, one agent and its minion.
+    """Measure one entry, one agent and its minion under load, and return the slopes.
 
-    What they take when idle is subtracted.
+    Processor times are per job, without what the processes use when idle.
     """
     points: dict[str, list[Point]] = {"entry": [], "agent: home and runner": [], "minion": []}
     rates: list[Point] = []
@@ -156,11 +159,11 @@
         programs = [fleet.entries[0], fleet.agents[0], fleet.minions[0]]
         idle = _idle_shares(programs)
         for tasks in JOB_SIZES:
-            _load(fleet, tasks, 1.0)
-            before = [_cpu(program) for program in programs]
-            jobs = _load(fleet, tasks, LOAD_S)
+            _send_load(fleet, tasks, 1.0)
+            before = [_cpu_seconds(program) for program in programs]
+            jobs = _send_load(fleet, tasks, LOAD_S)
             for name, program, start, share in zip(points, programs, before, idle, strict=True):
-                used = _cpu(program) - start - share * LOAD_S
+                used = _cpu_seconds(program) - start - share * LOAD_S
                 points[name].append(Point(tasks, used * US_PER_S / jobs))
             rates.append(Point(tasks, jobs / LOAD_S))
         resident = [psutil.Process(p.process.pid).memory_info().rss / MIB for p in programs]
@@ -181,13 +184,13 @@
 
 
 def _idle_shares(programs: list[Program]) -> list[float]:
-    """Return the share of a core that each program takes without a job."""
-    before = [_cpu(program) for program in programs]
+    """Return the share of a core that each program uses when idle."""
+    before = [_cpu_seconds(program) for program in programs]
     eventlet.sleep(LOAD_S)
-    return [(_cpu(p) - start) / LOAD_S for p, start in zip(programs, before, strict=True)]
+    return [(_cpu_seconds(p) - start) / LOAD_S for p, start in zip(programs, before, strict=True)]
 
 
-def _load(fleet: Fleet, tasks: int, seconds: float) -> int:
+def _send_load(fleet: Fleet, tasks: int, seconds: float) -> int:
     end = time.monotonic() + seconds
     pool = urllib3.PoolManager(retries=False, maxsize=CONNECTIONS)
     url = f"http://{fleet.callers()[0]}/v1/jobs"
@@ -199,7 +202,7 @@
         while time.monotonic() < end:
             reply = pool.request("POST", url, json=body, timeout=30)
             if reply.status != 200:
-                raise RuntimeError(f"{reply.status}: {reply.data[:300]!r}")
+                raise RuntimeError(f"POST {url}: status {reply.status}: {reply.data[:300]!r}")
             done += 1
         return done
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,8 +1,7 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure how costs grow with size; docs/CAPACITY.md is calculated from the results.
 
-Run as ``python -m benchmarks.slopes [PART ...]``. Prints one JSON line per
-slope and writes them to docs/slopes.json; a run of some parts replaces only
-its own lines there.
+Run as ``python -m benchmarks.slopes [PART ...]``. Prints one JSON line per slope and writes all
+of them to docs/slopes.json. A run of selected parts replaces only their slopes there.
 """
 
 import os
@@ -30,24 +29,24 @@
 
 
 def main(names: list[str]) -> None:
-    """Measure some parts, or all.
+    """Measure the named parts, or all.
 
-    :param names: names in ``PARTS``; none for all
+    :param names: keys of ``PARTS``; empty for all
     """
     slopes: list[Slope] = []
     for name in names or PARTS:
         start = time.monotonic()
-        found = PARTS[name]()
-        print(*encode_lines(found), sep="\n", flush=True)
+        measured = PARTS[name]()
+        print(*encode_lines(measured), sep="\n", flush=True)
         load = os.getloadavg()[0]
-        taken = time.monotonic() - start
-        print(f"{name}: {taken:.0f} s, load average {load:.1f}", file=sys.stderr)
-        slopes += found
-    _write(slopes, keep=bool(names))
+        elapsed_s = time.monotonic() - start
+        print(f"{name}: {elapsed_s:.0f} s, load average {load:.1f}", file=sys.stderr)
+        slopes += measured
+    _write(slopes, keep_others=bool(names))
 
 
-def _write(slopes: list[Slope], keep: bool) -> None:
-    old = decode_slopes(OUTPUT.read_bytes()) if keep and OUTPUT.exists() else []
+def _write(slopes: list[Slope], keep_others: bool) -> None:
+    old = decode_slopes(OUTPUT.read_bytes()) if keep_others and OUTPUT.exists() else []
     merged = {(slope.name, slope.unit): slope for slope in [*old, *slopes]}
     OUTPUT.write_bytes(encode_slopes(list(merged.values())))
 
