--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,21 +1,21 @@
-"""A soak: real programs as processes, with faults from outside, drawn from a seed.
+"""Soak test: real processes under load, with external faults drawn from a seed.
 
-Dispatchers and executors run as processes; the store, the minions and the callers
-are here, and so are proxies on the way to the store and to the minions. Promises
-are checked while it runs, from what minions and callers see:
+Dispatchers and executors run as processes. The store, the minions, the callers, and proxies in
+front of the store and the minions run in this process. Guarantees are checked from what minions
+and callers see:
 
-* no task has two runs at a time, and no minion is given more than its room; what is
-  being stopped still runs;
+* no task has two runs at a time, and no minion gets more work than its room; a run that is being
+  stopped still counts;
 * a job whose every try was refused has no start;
-* a job that succeeded had each of its tasks done;
-* a caller that stays is answered by a dispatcher that nothing is done to;
-* processes end only when they are asked to, and then in time;
-* nothing starts in an evacuated failure domain once that must be in force.
-
-``python -m benchmarks.soak FIRST COUNT [FOLDER]`` plays seeds one by one, and keeps the
-logs of those that failed in a folder. The last line is a JSON object with ``seeds``,
-``failed``, ``twice`` (each with the seconds until the first task that ran twice at a
-time), ``jobs``, ``served`` and ``starts``.
+* every task of a job that succeeded was done;
+* a caller that keeps waiting gets an answer from a dispatcher that no fault affects;
+* processes end only when asked to, and then in time;
+* nothing starts in an evacuated failure domain once the evacuation must be in force.
+
+``python -m benchmarks.soak FIRST COUNT [FOLDER]`` runs seeds one after the other and keeps the
+logs of failed seeds in FOLDER. The last line is a JSON object with ``seeds``, ``failed``,
+``twice`` (seeds in which a task had two runs at a time, each with the seconds until the first
+one), ``jobs``, ``served`` and ``starts``.
 """
 
 import contextlib
@@ -56,18 +56,18 @@
 from tests.platform_standin import MinionStandin, StoreStandin
 
 EXECUTORS = 4
-# Long enough for every kind of fault to come and go twice.
+# Long enough for every kind of fault to start and end twice.
 LOAD_S = 8.0
 JOBS_PER_S = 25.0
-# Callers that each use one connection for one job after another.
-KEEPERS = 4
+# Number of callers that use one connection for one job after another.
+CONNECTION_REUSERS = 4
 HEARTBEAT_S = 0.3
-# How long a system may take to come up.
+# Limit for the start of all processes.
 READY_S = 20.0
-# The longest between the beginnings of two faults.
-PAUSE_S = 1.2
-PAUSES_S = (0.4, 0.8, 1.2)
-# The longest that a minion may take.
+# Longest times between the starts of two faults; ``MAX_PAUSES_S`` with early callers.
+MAX_PAUSE_S = 1.2
+MAX_PAUSES_S = (0.4, 0.8, 1.2)
+# Longest time that a minion takes to stop a run.
 STOP_LIMIT_MS = 50.0
 QUEUE = {
     "name": "scan",
@@ -79,10 +79,10 @@
     "target_duration_ms": 100,
 }
 DOMAINS = ("north", "south")
-# Seeds from these on draw more kinds of faults; those below stay what they were.
-EARLY_CALLERS_FROM = 4_000
-FAULTS_FROM = (
-    (EARLY_CALLERS_FROM, EARLY_CALLERS),
+# Later seeds draw more kinds of faults; earlier ones draw the same as before, so that they repeat.
+EARLY_CALLERS_FIRST_SEED = 4_000
+FAULTS_BY_FIRST_SEED = (
+    (EARLY_CALLERS_FIRST_SEED, EARLY_CALLERS),
     (3_000, EVACUATIONS),
     (2_000, CRASHES),
     (1_000, MORE_FAULTS),
@@ -91,17 +91,22 @@
 
 
 class Soak:
-    """One seed: a system, its load, its faults."""
+    """One run of the soak test: a deployment, its load and its faults.
+
+    :ivar outcomes: what the callers of each job were told
+    """
 
     def __init__(self, seed: int, folder: str, load_s: float = LOAD_S):
-        """Draw everything from a seed.
+        """Prepare the run; processes start with :meth:`run`.
 
+        :param seed: determines load, callers and faults
+        :param folder: folder for the settings and logs of the processes
         :param load_s: how long jobs arrive, in seconds
         """
         self._seed = seed
         self._random = random.Random(seed)
-        self._has_early_callers = seed >= EARLY_CALLERS_FROM
-        self._kinds = next(kinds for first, kinds in FAULTS_FROM if seed >= first)
+        self._has_early_callers = seed >= EARLY_CALLERS_FIRST_SEED
+        self._kinds = next(kinds for first, kinds in FAULTS_BY_FIRST_SEED if seed >= first)
         self._domains = DOMAINS if "evacuate" in self._kinds else DOMAINS[:1]
         self._load_s = load_s
         self._folder = folder
@@ -110,27 +115,27 @@
         self._log = EventLog(Path(folder, "soak.log"))
         self.witness = Witness(self._log)
         self.outcomes: list[Outcome] = []
-        # It goes on past a closing that fails, so that no process is left behind.
-        self._closing = contextlib.ExitStack()
-        self._closing.callback(self._log.close)
+        # An exit stack runs all callbacks even if one raises, so that no process is left behind.
+        self._exit_stack = contextlib.ExitStack()
+        self._exit_stack.callback(self._log.close)
         self._executors: list[Process] = []
         self._dispatchers: list[Process] = []
         self._minion_proxies: list[Proxy] = []
 
     def run(self) -> None:
-        """Play the seed."""
-        with self._closing:
-            self._build()
+        """Start the deployment, apply load and faults, shut down, and check the guarantees."""
+        with self._exit_stack:
+            self._start_deployment()
             if not self._await_ready():
                 self.witness.note_broken("the system did not become ready")
-                self._leave()
+                self._shut_down()
                 return
             self.witness.begin()
             callers = eventlet.GreenPool(2_000)
-            pause_s = self._random.choice(PAUSES_S) if self._has_early_callers else PAUSE_S
-            faults = eventlet.spawn(self._build_faults().run, self._load_s - 2.0, pause_s)
+            pause_s = self._random.choice(MAX_PAUSES_S) if self._has_early_callers else MAX_PAUSE_S
+            faults = eventlet.spawn(self._make_faults().run, self._load_s - 2.0, pause_s)
             end = time.monotonic() + self._load_s
-            self._keep_calling(callers, end)
+            self._start_connection_reusers(callers, end)
             number = 0
             while time.monotonic() < end:
                 callers.spawn_n(self._call, f"{self._random.getrandbits(64):016x}", number)
@@ -138,79 +143,81 @@
                 eventlet.sleep(self._random.expovariate(JOBS_PER_S))
             faults.wait()
             callers.waitall()
-            self._leave()
-            self._judge()
+            self._shut_down()
+            self._check_outcomes()
 
     def _serve(self, application) -> str:
         listener = eventlet.listen(("127.0.0.1", 0))
         task = eventlet.spawn(wsgi.server, listener, application, log_output=False, debug=False)
-        self._closing.callback(listener.close)
-        self._closing.callback(task.kill)
+        self._exit_stack.callback(listener.close)
+        self._exit_stack.callback(task.kill)
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
-    def _build(self) -> None:
-        store = self._standin = StoreStandin(self._clock, 1_000)
+    def _start_deployment(self) -> None:
+        store = self._store_standin = StoreStandin(self._clock, 1_000)
         document = {"version": 1, "routes": [QUEUE], "limits": {}}
         store.store.swap("op/config", 0, json.dumps(document).encode())
-        self._store = Proxy(self._serve(store))
-        self._closing.callback(self._store.close)
+        self._store_proxy = Proxy(self._serve(store))
+        self._exit_stack.callback(self._store_proxy.close)
         for number in range(EXECUTORS):
-            self._build_worker(number)
+            self._start_worker(number)
         dispatchers = 3 if self._has_early_callers else 2
-        entries = [self._build_dispatcher(number) for number in range(dispatchers)]
+        entries = [self._start_dispatcher(number) for number in range(dispatchers)]
         self._entries = entries
         self._patient = PatientCallers(entries)
         self._eager = EagerCallers(entries, self.witness, self._seed)
         self._callers: Callers = self._eager if self._has_early_callers else self._patient
 
-    def _build_faults(self) -> Faults:
-        around = Surroundings(
+    def _make_faults(self) -> Faults:
+        surroundings = Surroundings(
             self._dispatchers,
             self._executors,
             self._minion_proxies,
-            self._standin,
-            self._store,
+            self._store_standin,
+            self._store_proxy,
             self.witness,
             self._domains,
         )
-        return Faults(self._random, self._kinds, around)
+        return Faults(self._random, self._kinds, surroundings)
 
-    def _build_worker(self, number: int) -> None:
+    def _start_worker(self, number: int) -> None:
         domain = self._domains[number % len(self._domains)]
-        # Seeds without early callers draw the same losses at all minions.
+        # Seeds without early callers lose the same calls at all minions.
         seed = self._seed + number if self._has_early_callers else 1
         minion = WatchedMinion(self._clock, f"i-{number}", self.witness, domain, seed)
         if self._has_early_callers:
             minion.stop_limit_ms = STOP_LIMIT_MS
         proxy = Proxy(self._serve(MinionStandin(minion)))
         self._minion_proxies.append(proxy)
-        self._closing.callback(proxy.close)
+        self._exit_stack.callback(proxy.close)
         listen = self._addresses.take()
-        settings = self._common(f"executor-{number}", domain) | {"minion_listen": listen}
+        settings = self._common_settings(f"executor-{number}", domain) | {"minion_listen": listen}
         settings["evacuation_ms"] = EVACUATION_S * 1_000
-        self._executors.append(self._start("executor", settings))
-        task = eventlet.spawn(self._beat, minion, proxy.address, listen)
-        self._closing.callback(task.kill)
+        self._executors.append(self._start_process("executor", settings))
+        task = eventlet.spawn(self._send_heartbeats, minion, proxy.address, listen)
+        self._exit_stack.callback(task.kill)
 
-    def _build_dispatcher(self, number: int) -> Entry:
+    def _start_dispatcher(self, number: int) -> Entry:
         callers, ready = self._addresses.take(), self._addresses.take()
-        settings = self._common(f"dispatcher-{number}", self._domains[number % len(self._domains)])
+        settings = self._common_settings(
+            f"dispatcher-{number}", self._domains[number % len(self._domains)]
+        )
         settings |= {"callers_listen": callers, "ready_listen": ready}
-        process = self._start("dispatcher", settings)
+        process = self._start_process("dispatcher", settings)
         self._dispatchers.append(process)
         return Entry(callers, process)
 
-    def _common(self, name: str, domain: str) -> dict:
+    def _common_settings(self, name: str, domain: str) -> dict:
         inbox = f"tcp://{self._addresses.take()}"
-        store = self._store.address
+        store = self._store_proxy.address
         return {"name": name, "domain": domain, "inbox": inbox, "store": store, "grace_s": GRACE_S}
 
-    def _start(self, role: str, settings: dict) -> Process:
+    def _start_process(self, role: str, settings: dict) -> Process:
         process = Process(role, settings, self._folder)
-        self._closing.callback(process.close)
+        self._exit_stack.callback(process.close)
         return process
 
-    def _beat(self, minion: WatchedMinion, address: str, listen: str) -> None:
+    def _send_heartbeats(self, minion: WatchedMinion, address: str, listen: str) -> None:
         http = urllib3.PoolManager(retries=False)
         while True:
             life = minion.life = minion.life._replace(sequence=minion.life.sequence + 1)
@@ -224,13 +231,13 @@
                 "born": life.started_unix_ms,
             }
             url = f"http://{listen}/instances/{minion.life.instance}/heartbeat"
-            # Where the executor is away, the next report finds it.
+            # If the executor is down, a later heartbeat reaches it.
             with contextlib.suppress(urllib3.exceptions.HTTPError):
                 http.request("POST", url, body=json.dumps(body), timeout=1.0)
             eventlet.sleep(HEARTBEAT_S)
 
     def _await_ready(self) -> bool:
-        """Return whether all dispatchers serve a job in time."""
+        """Return whether all dispatchers complete a job within ``READY_S``."""
         end = time.monotonic() + READY_S
         job = make_job("0" * 16, 0)
         while time.monotonic() < end:
@@ -244,29 +251,29 @@
     def _call(self, job: str, number: int) -> None:
         self.outcomes.append(self._callers.call(job, number))
 
-    def _keep_calling(self, pool: eventlet.GreenPool, until_s: float) -> None:
+    def _start_connection_reusers(self, pool: eventlet.GreenPool, until_s: float) -> None:
         if not self._has_early_callers:
             return
-        for number in range(KEEPERS):
+        for number in range(CONNECTION_REUSERS):
             pool.spawn_n(
                 lambda n: self.outcomes.extend(self._eager.keep_calling(n, until_s)), number
             )
 
-    def _leave(self) -> None:
+    def _shut_down(self) -> None:
         processes = [*self._executors, *self._dispatchers]
         for process in processes:
             if process.has_ended_by_itself:
-                self.witness.note_broken(f"{process.name} has ended by itself")
+                self.witness.note_broken(f"{process.name} ended unexpectedly")
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
         for process in processes:
             if not process.await_end(GRACE_S + 3.0):
-                self.witness.note_broken("a process did not leave in time")
+                self.witness.note_broken(f"{process.name} did not exit in time")
 
-    def _judge(self) -> None:
+    def _check_outcomes(self) -> None:
         for outcome in self.outcomes:
-            told = (outcome.succeeded, outcome.refused)
-            self.witness.judge_job(outcome.job, outcome.tasks, *told)
+            answers = (outcome.succeeded, outcome.refused)
+            self.witness.judge_job(outcome.job, outcome.tasks, *answers)
 
 
 def _keep_logs(folder: str, kept: Path) -> None:
@@ -275,8 +282,8 @@
         (kept / log.name).write_bytes(log.read_bytes())
 
 
-def _report(seed: int, soak: Soak) -> None:
-    """Print how one seed went."""
+def _print_result(seed: int, soak: Soak) -> None:
+    """Print the results of one seed."""
     outcomes, broken = soak.outcomes, soak.witness.broken
     served = sum(outcome.succeeded for outcome in outcomes)
     refused = sum(outcome.refused for outcome in outcomes)
@@ -290,18 +297,21 @@
 
 
 def main(first: int, count: int, kept: str = "") -> int:
-    """Play seeds; return 1 if one of them failed.
+    """Run seeds and print their results.
 
-    :param kept: folder for the logs of seeds that failed, a temporary one if empty
+    :param first: first seed
+    :param count: number of consecutive seeds
+    :param kept: folder for the logs of failed seeds; empty for a temporary one each
+    :returns: exit code, 1 if a seed violated a guarantee
     """
-    # An interrupted soak ends its processes as well.
+    # Exit through an exception, so that the processes are ended as well.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     failed, twice, jobs, served, starts = [], [], 0, 0, 0
     for seed in range(first, first + count):
         with tempfile.TemporaryDirectory() as folder:
             soak = Soak(seed, folder)
             soak.run()
-            _report(seed, soak)
+            _print_result(seed, soak)
             jobs += len(soak.outcomes)
             served += sum(outcome.succeeded for outcome in soak.outcomes)
             starts += sum(soak.witness.starts.values())
--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: patient ones, and ones that hang up, repeat and return at any time."""
+"""Callers in the soak test: patient ones, and ones that disconnect, repeat and retry early."""
 
 import http.client
 import json
@@ -17,32 +17,36 @@
 
 HOST = "soak.example"
 PREFIX = "/scan/"
-# What callers ask for, and how long they stay.
+# Deadline that callers request, and how long patient callers wait for a response.
 DEADLINE_MS = 3_000
-TRY_S = 3.5
+PATIENT_TIMEOUT_S = 3.5
 RESEND_S = 1.3
 TRIES = 3
-# An eager caller stays for longer: an answer that a busy host holds up is late, not missing.
-STAY_S = 8.0
-# An eager caller begins no try later than this after its first one.
-PATIENCE_S = 6.0
-AT_ONCE_S = 0.05
-HANG_UP_S = 0.25
-BACK_S = 0.3
-REPEAT_S = 4.0
-# One that calls again and again pauses after a refusal.
-REFUSED_S = 0.3
-# Statuses of tries without one.
+# Eager callers wait longer: a response delayed by a busy machine is late, not missing.
+EAGER_TIMEOUT_S = 8.0
+# An eager caller starts no try later than this after its first one.
+RETRY_LIMIT_S = 6.0
+MAX_RETRY_PAUSE_S = 0.05
+MAX_WAIT_BEFORE_DISCONNECT_S = 0.25
+RECONNECT_S = 0.3
+MAX_DUPLICATE_DELAY_S = 4.0
+# Pause after a refusal of a caller that keeps its connection.
+REFUSAL_PAUSE_S = 0.3
+# Statuses of tries without an HTTP status: no response, and closed by the caller.
 UNANSWERED = 0
-HUNG_UP = -1
+DISCONNECTED = -1
 REFUSED = (429, 503)
-REPEATED = (UNANSWERED, 502, 504)
-# Closing a socket with it resets the connection.
+RETRIED = (UNANSWERED, 502, 504)
+# Value of SO_LINGER with which closing a socket resets the connection.
 RESET = struct.pack("ii", 1, 0)
 
 
 class Job(NamedTuple):
-    """What a caller hands in."""
+    """A job that a caller submits.
+
+    :param tasks: number of its tasks
+    :param body: body of the request
+    """
 
     job_id: str
     tasks: int
@@ -50,7 +54,12 @@
 
 
 class Outcome(NamedTuple):
-    """What the callers of one job were told; ``refused`` where every try was."""
+    """Result of all tries for one job.
+
+    :param succeeded: whether a response reported success
+    :param refused: whether every try was refused
+    :param answered: whether a try got a response
+    """
 
     job: str
     tasks: int
@@ -60,21 +69,27 @@
 
 
 class Entry(NamedTuple):
-    """A dispatcher as callers know it."""
+    """A dispatcher.
+
+    :param address: host and port of its callers' listener
+    """
 
     address: str
     process: Process
 
 
 class Callers(Protocol):
-    """Those who hand jobs in."""
+    """A way of submitting jobs."""
 
     def call(self, job_id: str, number: int) -> Outcome:
-        """Hand one job in, and stay until it is over."""
+        """Submit one job, retry as needed and return the result.
+
+        :param number: number of the job, which determines its size
+        """
 
 
 def make_job(job_id: str, number: int) -> Job:
-    """Return the job that has a number; its size follows from that."""
+    """Return a job whose size is determined by its number."""
     tasks = 1 + number % 5
     return Job(job_id, tasks, _make_body(number, tasks))
 
@@ -87,10 +102,10 @@
 
 
 class PatientCallers:
-    """Callers that stay for the answer, and return well after a lost one."""
+    """Callers that wait for the response, and retry after ``RESEND_S`` if there was none."""
 
     def __init__(self, entries: list[Entry]):
-        """Connect to all dispatchers."""
+        """Take the dispatchers to call."""
         self._addresses = [entry.address for entry in entries]
         self._http = urllib3.PoolManager(maxsize=200, retries=False)
 
@@ -109,22 +124,24 @@
         return Outcome(job_id, job.tasks, succeeded, refused, status != UNANSWERED)
 
     def post(self, address: str, job: Job) -> tuple[int, str]:
-        """Return the status of one try and the state that it tells."""
+        """Send one try and return its status and the job's state in the response."""
         headers = {"Host": HOST, "Deadline-Ms": str(DEADLINE_MS)}
         url = f"http://{address}{PREFIX}{job.job_id}"
         try:
-            reply = self._http.request("POST", url, body=job.body, headers=headers, timeout=TRY_S)
+            reply = self._http.request(
+                "POST", url, body=job.body, headers=headers, timeout=PATIENT_TIMEOUT_S
+            )
         except (urllib3.exceptions.HTTPError, OSError):
             return UNANSWERED, ""
         return reply.status, json.loads(reply.data).get("state", "")
 
 
-class _Line:
+class _Connection:
     """A caller's connection to one dispatcher."""
 
     def __init__(self, entry: Entry):
         self.entry = entry
-        self._http = http.client.HTTPConnection(entry.address, timeout=STAY_S)
+        self._http = http.client.HTTPConnection(entry.address, timeout=EAGER_TIMEOUT_S)
         self._opened_s = 0.0
 
     def connect(self) -> None:
@@ -133,12 +150,18 @@
             self._opened_s = time.monotonic()
 
     def owes_answer(self, sent_s: float) -> bool:
-        """Return whether nothing was done to the process since, and it is the one connected to."""
+        """Return whether no fault affected the process since, and it was not replaced.
+
+        :param sent_s: time at which the request was sent
+        """
         process = self.entry.process
         return process.calm_since_s < sent_s and process.started_s < self._opened_s
 
     def send(self, job: Job, share: float = 1.0) -> None:
-        """Send a request, or the first part of its body."""
+        """Send a request.
+
+        :param share: share of the body to send
+        """
         self._http.putrequest("POST", PREFIX + job.job_id, skip_host=True)
         self._http.putheader("Host", HOST)
         self._http.putheader("Deadline-Ms", str(DEADLINE_MS))
@@ -156,110 +179,119 @@
 
 
 class EagerCallers:
-    """Callers that do all that the platform lets them, each in a way drawn for its job.
+    """Callers that do everything the platform permits, each with a behavior drawn for its job.
 
-    A caller that stays must be answered by a dispatcher that nothing is done to.
+    A missing response is reported as a violation if no fault affected the dispatcher.
     """
 
     def __init__(self, entries: list[Entry], witness: Witness, seed: int):
-        """Take whom to call, and what decides how."""
+        """Take the dispatchers to call.
+
+        :param seed: determines the behavior of the callers
+        """
         self._entries = entries
         self._witness = witness
         self._seed = seed
-        self._told: dict[str, list[tuple[int, str]]] = {}
-        self._ways: tuple[tuple[Callable[[Job, random.Random], None], int], ...] = (
-            (self._stay, 25),
-            (self._return_later, 15),
-            (self._hang_up, 30),
-            (self._call_two, 15),
-            (self._repeat, 15),
+        self._answers: dict[str, list[tuple[int, str]]] = {}
+        self._behaviors: tuple[tuple[Callable[[Job, random.Random], None], int], ...] = (
+            (self._wait_for_answer, 25),
+            (self._retry_later, 15),
+            (self._disconnect_repeatedly, 30),
+            (self._call_two_dispatchers, 15),
+            (self._send_duplicates, 15),
         )
 
     def call(self, job_id: str, number: int) -> Outcome:
         """Hand one job in; see :class:`Callers`."""
-        drawn = random.Random(f"{self._seed}/{number}")
-        ways, weights = zip(*self._ways, strict=True)
+        rng = random.Random(f"{self._seed}/{number}")
+        behaviors, weights = zip(*self._behaviors, strict=True)
         job = make_job(job_id, number)
-        drawn.choices(ways, weights)[0](job, drawn)
-        return self._conclude(job)
+        rng.choices(behaviors, weights)[0](job, rng)
+        return self._make_outcome(job)
 
     def keep_calling(self, number: int, until_s: float) -> list[Outcome]:
-        """Hand jobs in one by one, each over the connection of the one before while it lasts."""
-        drawn = random.Random(f"{self._seed}/kept {number}")
-        line = _Line(drawn.choice(self._entries))
+        """Submit one job after the other over one connection, replacing it when it fails.
+
+        :param number: number of the caller, which determines its jobs
+        :param until_s: monotonic time after which no new job is submitted
+        """
+        rng = random.Random(f"{self._seed}/kept {number}")
+        connection = _Connection(rng.choice(self._entries))
         outcomes = []
         while time.monotonic() < until_s:
-            job = make_job(f"{drawn.getrandbits(64):016x}", drawn.randrange(1_000))
-            give_up_s = time.monotonic() + PATIENCE_S
-            while self._try(line, job) in REPEATED and time.monotonic() < give_up_s:
-                if self._told[job.job_id][-1][0] == UNANSWERED:
-                    line = _Line(drawn.choice(self._entries))
-                eventlet.sleep(drawn.uniform(0.0, AT_ONCE_S))
-            outcome = self._conclude(job)
+            job = make_job(f"{rng.getrandbits(64):016x}", rng.randrange(1_000))
+            retry_until_s = time.monotonic() + RETRY_LIMIT_S
+            while self._try(connection, job) in RETRIED and time.monotonic() < retry_until_s:
+                if self._answers[job.job_id][-1][0] == UNANSWERED:
+                    connection = _Connection(rng.choice(self._entries))
+                eventlet.sleep(rng.uniform(0.0, MAX_RETRY_PAUSE_S))
+            outcome = self._make_outcome(job)
             outcomes.append(outcome)
             if outcome.refused:
-                eventlet.sleep(REFUSED_S)
-        line.close()
+                eventlet.sleep(REFUSAL_PAUSE_S)
+        connection.close()
         return outcomes
 
-    def _conclude(self, job: Job) -> Outcome:
-        told = self._told.pop(job.job_id)
-        stayed = [answer for answer in told if answer[0] != HUNG_UP]
+    def _make_outcome(self, job: Job) -> Outcome:
+        answers = self._answers.pop(job.job_id)
+        awaited = [answer for answer in answers if answer[0] != DISCONNECTED]
         return Outcome(
             job.job_id,
             job.tasks,
-            (200, "succeeded") in told,
-            all(status in REFUSED for status, _ in told),
-            any(status != UNANSWERED for status, _ in stayed),
+            (200, "succeeded") in answers,
+            all(status in REFUSED for status, _ in answers),
+            any(status != UNANSWERED for status, _ in awaited),
         )
 
-    def _draw(self, drawn: random.Random) -> Entry:
-        return drawn.choice(self._entries)
+    def _draw_entry(self, rng: random.Random) -> Entry:
+        return rng.choice(self._entries)
 
-    def _stay(self, job: Job, drawn: random.Random, entry: Entry | None = None) -> None:
-        """Repeat at once what has no answer that counts."""
-        entry = entry or self._draw(drawn)
-        give_up_s = time.monotonic() + PATIENCE_S
-        while self._try_once(entry, job) in REPEATED and time.monotonic() < give_up_s:
-            entry = self._draw(drawn)
-            eventlet.sleep(drawn.uniform(0.0, AT_ONCE_S))
+    def _wait_for_answer(self, job: Job, rng: random.Random, entry: Entry | None = None) -> None:
+        """Wait for the response, and retry at once if there is none or it is not final."""
+        entry = entry or self._draw_entry(rng)
+        retry_until_s = time.monotonic() + RETRY_LIMIT_S
+        while self._try_once(entry, job) in RETRIED and time.monotonic() < retry_until_s:
+            entry = self._draw_entry(rng)
+            eventlet.sleep(rng.uniform(0.0, MAX_RETRY_PAUSE_S))
 
-    def _return_later(self, job: Job, drawn: random.Random) -> None:
+    def _retry_later(self, job: Job, rng: random.Random) -> None:
         for _ in range(TRIES):
-            if self._try_once(self._draw(drawn), job) not in REPEATED:
+            if self._try_once(self._draw_entry(rng), job) not in RETRIED:
                 return
             eventlet.sleep(RESEND_S)
 
-    def _hang_up(self, job: Job, drawn: random.Random) -> None:
-        """Hang up a few times in the middle of a request, and stay at last."""
-        entry = self._draw(drawn)
-        for _ in range(drawn.randint(1, 3)):
-            stay_s = drawn.choice((0.0, drawn.uniform(0.0, HANG_UP_S), HANG_UP_S))
-            share = drawn.choice((1.0, 1.0, 1.0, 1.0, 1.0, 0.5))
-            line = _Line(entry)
-            status = self._try(line, job, stay_s, share)
-            line.close(resets=drawn.random() < 0.5)
-            if status not in (HUNG_UP, *REPEATED):
+    def _disconnect_repeatedly(self, job: Job, rng: random.Random) -> None:
+        """Disconnect a few times in the middle of a request, then wait for the response."""
+        entry = self._draw_entry(rng)
+        for _ in range(rng.randint(1, 3)):
+            disconnect_after_s = rng.choice(
+                (0.0, rng.uniform(0.0, MAX_WAIT_BEFORE_DISCONNECT_S), MAX_WAIT_BEFORE_DISCONNECT_S)
+            )
+            share = rng.choice((1.0, 1.0, 1.0, 1.0, 1.0, 0.5))
+            connection = _Connection(entry)
+            status = self._try(connection, job, disconnect_after_s, share)
+            connection.close(resets=rng.random() < 0.5)
+            if status not in (DISCONNECTED, *RETRIED):
                 return
-            eventlet.sleep(drawn.choice((0.0, drawn.uniform(0.0, BACK_S))))
-            entry = drawn.choice((entry, self._draw(drawn)))
-        self._stay(job, drawn, entry)
+            eventlet.sleep(rng.choice((0.0, rng.uniform(0.0, RECONNECT_S))))
+            entry = rng.choice((entry, self._draw_entry(rng)))
+        self._wait_for_answer(job, rng, entry)
 
-    def _call_two(self, job: Job, drawn: random.Random) -> None:
-        """Call two dispatchers at the same time, and stay with both."""
+    def _call_two_dispatchers(self, job: Job, rng: random.Random) -> None:
+        """Submit the job to two dispatchers at the same time and wait for both."""
         pool = eventlet.GreenPool()
-        for place, entry in enumerate(drawn.sample(self._entries, 2)):
-            own = random.Random(f"{self._seed}/{job.job_id}/{place}")
-            pool.spawn_n(self._stay, job, own, entry)
+        for place, entry in enumerate(rng.sample(self._entries, 2)):
+            own_random = random.Random(f"{self._seed}/{job.job_id}/{place}")
+            pool.spawn_n(self._wait_for_answer, job, own_random, entry)
         pool.waitall()
 
-    def _repeat(self, job: Job, drawn: random.Random) -> None:
-        """Send the same again at any time, before and after the answer."""
+    def _send_duplicates(self, job: Job, rng: random.Random) -> None:
+        """Send duplicates of the request at random times, before and after the response."""
         pool = eventlet.GreenPool()
-        for _ in range(drawn.randint(1, 3)):
-            after_s, entry = drawn.uniform(0.0, REPEAT_S), self._draw(drawn)
+        for _ in range(rng.randint(1, 3)):
+            after_s, entry = rng.uniform(0.0, MAX_DUPLICATE_DELAY_S), self._draw_entry(rng)
             pool.spawn_n(self._try_after, after_s, entry, job)
-        self._stay(job, drawn)
+        self._wait_for_answer(job, rng)
         pool.waitall()
 
     def _try_after(self, after_s: float, entry: Entry, job: Job) -> None:
@@ -267,42 +299,50 @@
         self._try_once(entry, job)
 
     def _try_once(self, entry: Entry, job: Job) -> int:
-        line = _Line(entry)
-        status = self._try(line, job)
-        line.close()
+        connection = _Connection(entry)
+        status = self._try(connection, job)
+        connection.close()
         return status
 
-    def _try(self, line: _Line, job: Job, stay_s: float | None = None, share: float = 1.0) -> int:
-        """Return the status of one try.
-
-        :param stay_s: hangs up after this, if it is not answered before
-        :param share: how much of the body is sent
+    def _try(
+        self,
+        connection: _Connection,
+        job: Job,
+        disconnect_after_s: float | None = None,
+        share: float = 1.0,
+    ) -> int:
+        """Send one try, record its result and return its status.
+
+        :param disconnect_after_s: time until the caller disconnects; None to wait for the response
+        :param share: share of the body to send
         """
-        log, name = self._witness.log, line.entry.process.name
+        log, name = self._witness.log, connection.entry.process.name
         log.write("job sent", job=job.job_id, dispatcher=name, share=share)
-        answer = self._ask(line, job, stay_s, share)
+        answer = self._exchange(connection, job, disconnect_after_s, share)
         status, state = answer
-        self._told.setdefault(job.job_id, []).append(answer)
+        self._answers.setdefault(job.job_id, []).append(answer)
         log.write("try ended", job=job.job_id, dispatcher=name, status=status, state=state)
         return status
 
-    def _ask(self, line: _Line, job: Job, stay_s: float | None, share: float) -> tuple[int, str]:
+    def _exchange(
+        self, connection: _Connection, job: Job, disconnect_after_s: float | None, share: float
+    ) -> tuple[int, str]:
         try:
-            line.connect()
+            connection.connect()
         except OSError:
             return UNANSWERED, ""
         began_s = time.monotonic()
         try:
-            line.send(job, share)
-            if stay_s is None:
-                return line.read()
-            with eventlet.Timeout(stay_s, False):
-                return line.read()
-            return HUNG_UP, ""
+            connection.send(job, share)
+            if disconnect_after_s is None:
+                return connection.read()
+            with eventlet.Timeout(disconnect_after_s, False):
+                return connection.read()
+            return DISCONNECTED, ""
         except (OSError, http.client.HTTPException) as error:
-            line.close()
-            if line.owes_answer(began_s):
-                name, waited_s = line.entry.process.name, time.monotonic() - began_s
+            connection.close()
+            if connection.owes_answer(began_s):
+                name, waited_s = connection.entry.process.name, time.monotonic() - began_s
                 text = f"{job.job_id} was not answered by {name} after {waited_s:.2f} s: {error!r}"
                 self._witness.note_broken(text)
             return UNANSWERED, ""
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak: what happens to its processes, minions and store, in series that overlap."""
+"""Faults of the soak test: random, overlapping faults of processes, minions and the store."""
 
 import random
 import signal
@@ -29,14 +29,15 @@
     "late_call",
     "late_call",
 )
-SHORTEST_PAUSE_S = 0.2
-# Processes are killed in the order of their list, within this.
-KILL_ALL_S = 0.02
-PAUSES = (3, 12)
+MIN_PAUSE_S = 0.2
+# Longest time between two kills if several processes are killed, in the order of their list.
+MAX_KILL_INTERVAL_S = 0.02
+# Least and greatest number of pauses of a process that is paused repeatedly.
+PAUSE_COUNTS = (3, 12)
 
 
 class Surroundings(NamedTuple):
-    """What faults are done to."""
+    """The parts of a deployment that faults can affect."""
 
     dispatchers: list[Process]
     executors: list[Process]
@@ -48,52 +49,56 @@
 
 
 class Faults:
-    """Draws faults and does them."""
+    """Draws faults and injects them."""
 
     def __init__(self, drawn: random.Random, kinds: tuple[str, ...], around: Surroundings):
-        """Take what faults are drawn from.
+        """Prepare; faults start with :meth:`run`.
 
-        :param kinds: names of the faults, some more than once
+        :param drawn: random source of all draws
+        :param kinds: names of faults, each the suffix of a ``_do_`` method; repeated names are
+            more likely
+        :param around: what the faults affect
         """
         self._random = drawn
         self._kinds = kinds
-        self._around = around
+        self._surroundings = around
         self._processes = [*around.executors, *around.dispatchers]
 
     def run(self, total_s: float, longest_pause_s: float) -> None:
-        """Begin faults for some time, and wait until all are over.
+        """Start faults at random intervals, and wait until all have ended.
 
-        :param longest_pause_s: between the beginnings of two faults
+        :param total_s: time during which faults start
+        :param longest_pause_s: longest time between the starts of two faults
         """
         pool = eventlet.GreenPool()
         end = time.monotonic() + total_s
         while time.monotonic() < end:
             kind = self._random.choice(self._kinds)
-            self._around.witness.log.write("fault begins", kind=kind)
+            self._surroundings.witness.log.write("fault begins", kind=kind)
             pool.spawn_n(getattr(self, "_do_" + kind))
-            eventlet.sleep(self._random.uniform(SHORTEST_PAUSE_S, longest_pause_s))
+            eventlet.sleep(self._random.uniform(MIN_PAUSE_S, longest_pause_s))
         pool.waitall()
 
     def _signal(self, process: Process, number: int) -> None:
         name = signal.Signals(number).name
-        self._around.witness.log.write("signal sent", process=process.name, signal=name)
+        self._surroundings.witness.log.write("signal sent", process=process.name, signal=name)
         process.signal(number)
 
     def _replace(self, processes: list[Process], longest_s: float) -> None:
-        """Kill processes, and start them again after a drawn time."""
+        """Kill processes, and start them again after a random time."""
         for process in processes:
             self._signal(process, signal.SIGKILL)
             if len(processes) > 1:
-                eventlet.sleep(self._random.uniform(0.0, KILL_ALL_S))
+                eventlet.sleep(self._random.uniform(0.0, MAX_KILL_INTERVAL_S))
         for process in processes:
             process.await_end(2.0)
         eventlet.sleep(self._random.uniform(0.0, longest_s))
         for process in processes:
-            self._start(process)
+            self._start_if_ended(process)
 
-    def _start(self, process: Process) -> None:
+    def _start_if_ended(self, process: Process) -> None:
         if process.has_ended:
-            self._around.witness.log.write("process started", process=process.name)
+            self._surroundings.witness.log.write("process started", process=process.name)
             process.start()
 
     def _do_stop(self) -> None:
@@ -103,9 +108,9 @@
         self._signal(process, signal.SIGCONT)
 
     def _do_pause_often(self) -> None:
-        """Stop a process again and again, mostly for less than any lease."""
+        """Suspend a process repeatedly, mostly for less than the duration of any lease."""
         process = self._random.choice(self._processes)
-        for _ in range(self._random.randint(*PAUSES)):
+        for _ in range(self._random.randint(*PAUSE_COUNTS)):
             self._signal(process, signal.SIGSTOP)
             eventlet.sleep(min(1.5, self._random.expovariate(1 / 0.15)))
             self._signal(process, signal.SIGCONT)
@@ -116,82 +121,82 @@
         self._signal(process, signal.SIGKILL)
         process.await_end(2.0)
         eventlet.sleep(self._random.uniform(0.05, 0.5))
-        self._start(process)
+        self._start_if_ended(process)
 
     def _do_kill_dispatcher(self) -> None:
-        self._replace([self._random.choice(self._around.dispatchers)], 1.0)
+        self._replace([self._random.choice(self._surroundings.dispatchers)], 1.0)
 
     def _do_kill_all_dispatchers(self) -> None:
-        self._replace(self._around.dispatchers, 0.5)
+        self._replace(self._surroundings.dispatchers, 0.5)
 
     def _do_kill_executor(self) -> None:
-        """Kill an executor whose minion goes on."""
-        self._replace([self._random.choice(self._around.executors)], 2.0)
+        """Kill an executor while its minion keeps running."""
+        self._replace([self._random.choice(self._surroundings.executors)], 2.0)
 
     def _do_term(self) -> None:
         process = self._random.choice(self._processes)
         self._signal(process, signal.SIGTERM)
         process.await_end(GRACE_S + 3.0)
-        self._start(process)
+        self._start_if_ended(process)
 
     def _do_silence_minion(self) -> None:
-        proxy = self._random.choice(self._around.minion_proxies)
+        proxy = self._random.choice(self._surroundings.minion_proxies)
         proxy.silent = True
         eventlet.sleep(self._random.uniform(0.1, 1.5))
         proxy.silent = False
 
     def _do_mute_minion(self) -> None:
-        minion = self._random.choice(self._around.witness.minions)
+        minion = self._random.choice(self._surroundings.witness.minions)
         minion.mute = True
         eventlet.sleep(self._random.uniform(0.1, 1.5))
         minion.mute = False
 
     def _do_lose_calls(self) -> None:
-        minion = self._random.choice(self._around.witness.minions)
+        minion = self._random.choice(self._surroundings.witness.minions)
         minion.loss = self._random.uniform(0.05, 0.4)
         eventlet.sleep(self._random.uniform(0.5, 3.0))
         minion.loss = 0.0
 
     def _do_reset_minion(self) -> None:
-        self._random.choice(self._around.minion_proxies).reset()
+        self._random.choice(self._surroundings.minion_proxies).reset()
 
     def _do_restart_minion(self) -> None:
-        """Have a minion crash and come back under its name."""
-        proxies = self._around.minion_proxies
-        place = self._random.randrange(len(proxies))
-        proxies[place].reset()
-        proxies[place].silent = True
-        self._around.witness.minions[place].restart()
+        """Crash a minion and start it again under the same name."""
+        proxies = self._surroundings.minion_proxies
+        index = self._random.randrange(len(proxies))
+        proxies[index].reset()
+        proxies[index].silent = True
+        self._surroundings.witness.minions[index].restart()
         eventlet.sleep(self._random.choice((0.0, 0.3, 1.5)))
-        proxies[place].silent = False
+        proxies[index].silent = False
 
     def _do_cut_store(self) -> None:
-        self._around.store_proxy.silent = True
-        self._around.witness.note_cut(True)
+        self._surroundings.store_proxy.silent = True
+        self._surroundings.witness.note_cut(True)
         eventlet.sleep(self._random.uniform(0.3, 2.0))
-        self._around.store_proxy.silent = False
-        self._around.witness.note_cut(False)
+        self._surroundings.store_proxy.silent = False
+        self._surroundings.witness.note_cut(False)
 
     def _do_evacuate(self) -> None:
-        domain = self._random.choice(self._around.domains)
+        domain = self._random.choice(self._surroundings.domains)
         key = f"op/evacuate/{domain}"
-        store = self._around.store.store
+        store = self._surroundings.store.store
         written = store.swap(key, 0, b"{}")
         if not written.swapped:
             return
-        self._around.witness.note_evacuated(domain, True)
+        self._surroundings.witness.note_evacuated(domain, True)
         eventlet.sleep(self._random.uniform(0.5, 5.0))
-        self._around.witness.note_evacuated(domain, False)
+        self._surroundings.witness.note_evacuated(domain, False)
         store.delete(key, written.revision)
 
     def _do_late_start(self) -> None:
-        minion = self._random.choice(self._around.witness.minions)
+        minion = self._random.choice(self._surroundings.witness.minions)
         late_ms = self._random.uniform(50, 3_000)
         minion.script(Scripted("start", self._random.choice(LOSSES), late_ms))
 
     def _do_late_call(self) -> None:
-        """Lose a few calls of one kind, or have them carried out late."""
-        minion = self._random.choice(self._around.witness.minions)
+        """Lose a few calls of one kind, or execute them late."""
+        minion = self._random.choice(self._surroundings.witness.minions)
         call = self._random.choice(("start", "stop", "stop", "look"))
         for _ in range(self._random.randint(1, 3)):
             late_ms = self._random.uniform(5, 3_000)
--- a/benchmarks/soak_processes.py
+++ b/benchmarks/soak_processes.py
@@ -1,4 +1,4 @@
-"""What the soak runs as processes, and the proxies on their ways."""
+"""Processes of the soak test, and proxies for their connections."""
 
 import contextlib
 import math
@@ -13,32 +13,36 @@
 import yaml
 
 ROOT = Path(__file__).parent.parent
-# What is asked of a process that leaves.
+# Setting ``grace_s`` of the processes: how long a process may take to exit after SIGTERM.
 GRACE_S = 6.0
 
 
 class Proxy:
-    """A loopback proxy whose connections can be silenced, reset or refused."""
+    """TCP proxy on loopback whose connections can be stalled or reset.
+
+    :ivar address: host and port that it listens on
+    :ivar silent: whether data is held back, in both directions
+    """
 
     def __init__(self, target: str):
         self._target = (target.rpartition(":")[0], int(target.rpartition(":")[2]))
         self._listener = eventlet.listen(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self.silent = False
-        self._open: set = set()
+        self._connections: set = set()
         self._task = eventlet.spawn(self._accept)
 
     def reset(self) -> None:
         """Reset all open connections."""
-        for connection in list(self._open):
+        for connection in list(self._connections):
             linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
-            # It may have been closed meanwhile.
+            # The other direction may have closed it already.
             with contextlib.suppress(OSError):
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             connection.close()
 
     def close(self) -> None:
-        """Stop serving."""
+        """Stop listening and reset all connections."""
         self._task.kill()
         self._listener.close()
         self.reset()
@@ -47,39 +51,39 @@
         while True:
             near, _ = self._listener.accept()
             far = eventlet.connect(self._target)
-            self._open.update((near, far))
-            eventlet.spawn_n(self._carry, near, far)
-            eventlet.spawn_n(self._carry, far, near)
+            self._connections.update((near, far))
+            eventlet.spawn_n(self._forward, near, far)
+            eventlet.spawn_n(self._forward, far, near)
 
-    def _carry(self, source, sink) -> None:
+    def _forward(self, source, sink) -> None:
         try:
             while data := source.recv(65_536):
                 while self.silent:
                     eventlet.sleep(0.02)
                 sink.sendall(data)
         except (OSError, EOFError):
-            # One side has closed or was reset, or the proxy is closed.
+            # One side was closed or reset, or the proxy was closed.
             pass
         for connection in (source, sink):
-            self._open.discard(connection)
+            self._connections.discard(connection)
             connection.close()
 
 
 class Addresses:
-    """Free addresses for processes that come and go.
+    """Free addresses for processes that are restarted.
 
-    They are on a loopback host of this soak's own: connections leave from 127.0.0.1, so none
-    takes the port of a process while that is down.
+    They use a loopback address derived from this process's id. Outgoing connections start from
+    127.0.0.1, so none of them can occupy the port of a process while it is down.
     """
 
     def __init__(self):
-        """Have none taken."""
+        """Start with no address taken."""
         pid = os.getpid()
         self._host = f"127.{1 + pid // 65_536 % 254}.{pid // 256 % 256}.{1 + pid % 254}"
         self._taken: set[int] = {0}
 
     def take(self) -> str:
-        """Return an address that was not returned before."""
+        """Return a host and port that was not returned before."""
         port = 0
         while port in self._taken:
             with socket.socket() as bound:
@@ -90,11 +94,11 @@
 
 
 class Process:
-    """One program, started anew when it has ended.
+    """One dispatcher or executor, which can be started again after it has ended.
 
-    :ivar started_s: when it was last started
-    :ivar calm_since_s: when it was last started or signalled; infinite from a signal
-        that ends or stops it until it runs again
+    :ivar started_s: monotonic time of the last start
+    :ivar calm_since_s: monotonic time since which no fault has affected it, that is of its last
+        start or resumption; infinite while it is suspended, and once it was told to end
     """
 
     def __init__(self, role: str, settings: dict, folder: str):
@@ -106,7 +110,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start it."""
+        """Start the process."""
         variables = os.environ | {
             "GERANIUMSPOOL_SETTINGS": self._path,
             "EVENTLET_NO_GREENDNS": "yes",
@@ -115,42 +119,43 @@
         command = [sys.executable, "-m", "geraniumspool.platform", self._role]
         log = self._log.fileno()
         actions = [(os.POSIX_SPAWN_DUP2, log, 1), (os.POSIX_SPAWN_DUP2, log, 2)]
-        # Unlike the patched subprocess this never yields, so no fault starts it twice.
+        # Unlike the monkey-patched subprocess module, posix_spawn never yields to other green
+        # threads, so that no second fault can start the process meanwhile.
         self._pid = os.posix_spawn(sys.executable, command, variables, file_actions=actions)
         self._has_ended = self._is_to_end = False
         self.started_s = self.calm_since_s = time.monotonic()
 
     @property
     def has_ended(self) -> bool:
-        """Whether it is gone."""
+        """Whether the process has ended."""
         if not self._has_ended:
             self._has_ended = os.waitpid(self._pid, os.WNOHANG)[0] != 0
         return self._has_ended
 
     @property
     def has_ended_by_itself(self) -> bool:
-        """Whether it is gone and nobody has asked for that."""
+        """Whether the process has ended without a signal to do so."""
         return self.has_ended and not self._is_to_end
 
     def signal(self, number: int) -> None:
-        """Send a signal while it lives."""
+        """Send a signal unless the process has ended."""
         if self.has_ended:
             return
         if number in (signal.SIGKILL, signal.SIGTERM):
             self._is_to_end = True
-        runs_on = number == signal.SIGCONT and not self._is_to_end
-        self.calm_since_s = time.monotonic() if runs_on else math.inf
+        is_resumed = number == signal.SIGCONT and not self._is_to_end
+        self.calm_since_s = time.monotonic() if is_resumed else math.inf
         os.kill(self._pid, number)
 
     def await_end(self, limit_s: float) -> bool:
-        """Return whether it ended in time."""
+        """Wait for the process to end and return whether it did within the limit."""
         end = time.monotonic() + limit_s
         while not self.has_ended and time.monotonic() < end:
             eventlet.sleep(0.02)
         return self.has_ended
 
     def close(self) -> None:
-        """Make sure that it is gone."""
+        """Kill the process if it is running, and close its log."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.await_end(GRACE_S)
