--- a/benchmarks/pattern_policies.py
+++ b/benchmarks/pattern_policies.py
@@ -10,17 +10,17 @@
 from geraniumspool.packing import Candidate, Place, PlaceRequest
 from geraniumspool.urgency import Outlook, Rank
 
-# Number of waiting jobs at one dispatcher above which :class:`QueueLength` refuses jobs.
+# Number of waiting jobs at one dispatcher above which :class:`RefuseByQueueLength` refuses jobs.
 MAX_WAITING_JOBS = 10
 # Share of a worker's room by which it may be overbooked with waiting tasks, about one task.
 OVERBOOKED_SHARE = 0.1
-# Chance to be in time below which :class:`OnlyInTime` refuses a job.
+# Chance to be in time below which :class:`RefuseIfLikelyLate` refuses a job.
 MIN_CHANCE_IN_TIME = 0.5
-# Share of its objective that a job must have as slack under :class:`OwnEndStrict`.
+# Share of its objective that a job must have as slack under :class:`RefuseWithoutSlack`.
 MIN_SLACK_SHARE = 0.25
 
 
-class NewByLatestStart(ExpectedUse):
+class NoPreferenceForBegun(ExpectedUse):
     """Policy in use, but without preference for jobs that have already begun."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -28,7 +28,7 @@
         return super().rank(job, now)._replace(is_new=True)
 
 
-class OwnEnd(NewByLatestStart):
+class RefuseIfLate(NoPreferenceForBegun):
     """Refuses a job only if it would be late itself, whatever it costs other jobs."""
 
     def is_refused(
@@ -38,7 +38,7 @@
         return _predict_slack(job, outlook, now) < 0
 
 
-class OwnEndStrict(NewByLatestStart):
+class RefuseWithoutSlack(NoPreferenceForBegun):
     """Refuses a job unless its slack is at least a quarter of its objective."""
 
     def is_refused(
@@ -56,7 +56,7 @@
         return _rank_by(super().rank(job, now), job.timing.arrived_ms)
 
 
-class ShortestFirst(OwnEnd):
+class ShortestFirst(RefuseIfLate):
     """Serves the jobs with the least remaining time first, and refuses those that would be late."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -64,7 +64,7 @@
         return _rank_by(super().rank(job, now), job.left_ms())
 
 
-class NoRefusals(NewByLatestStart):
+class NoRefusals(NoPreferenceForBegun):
     """Accepts every job."""
 
     def is_refused(
@@ -74,7 +74,7 @@
         return False
 
 
-class QueueLength(NewByLatestStart):
+class RefuseByQueueLength(NoPreferenceForBegun):
     """Refuses jobs while more than ``MAX_WAITING_JOBS`` others wait."""
 
     def is_refused(
@@ -92,7 +92,7 @@
         return super().rank(job, now)._replace(level=0)
 
 
-class OnlyInTime(ExpectedUse):
+class RefuseIfLikelyLate(ExpectedUse):
     """Policy in use, but refuses jobs that are more likely late than in time."""
 
     def is_refused(
@@ -119,7 +119,7 @@
         return Place(best, packing.predict_run(best, request.step, request.expected_ms))
 
 
-class AnyWorker(ExpectedUse):
+class RandomWorker(ExpectedUse):
     """Places tasks on a random worker with room."""
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
@@ -131,7 +131,7 @@
         return Place(chosen, packing.predict_run(chosen, request.step, request.expected_ms))
 
 
-class Ahead(ExpectedUse):
+class OverbookedWorkers(ExpectedUse):
     """Policy in use, but if all workers are full, about one task may wait at each of them."""
 
     def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
@@ -173,16 +173,16 @@
 IN_USE = "expected use"
 POLICIES: dict[str, type[DispatchPolicy]] = {
     IN_USE: ExpectedUse,
-    "new and begun alike": NewByLatestStart,
+    "new and begun alike": NoPreferenceForBegun,
     "without priorities": LatestStartFirst,
-    "only in time": OnlyInTime,
+    "only in time": RefuseIfLikelyLate,
     "by arrival": ArrivalOrder,
-    "own end": OwnEnd,
-    "own end with a quarter to spare": OwnEndStrict,
+    "own end": RefuseIfLate,
+    "own end with a quarter to spare": RefuseWithoutSlack,
     "own end and shortest first": ShortestFirst,
-    "queue length": QueueLength,
+    "queue length": RefuseByQueueLength,
     "no refusals": NoRefusals,
-    "orders ahead of room": Ahead,
+    "orders ahead of room": OverbookedWorkers,
     "least loaded": LeastLoaded,
-    "any worker": AnyWorker,
+    "any worker": RandomWorker,
 }
--- a/benchmarks/soak_witness.py
+++ b/benchmarks/soak_witness.py
@@ -66,7 +66,7 @@
         """Record that a guarantee was violated."""
         since_s = time.monotonic() - self._began_s
         self.broken.append(f"{since_s:.3f} s: {text}")
-        self.log.write("promise broken", text=text)
+        self.log.write("guarantee violated", text=text)
 
     def note_evacuated(self, domain: str, is_evacuated: bool) -> None:
         """Record that the store has acknowledged an evacuation, or that it ends."""
@@ -170,7 +170,7 @@
             return
         if self.stop_limit_ms is not None:
             run.ends_ms = self._clock.now() + self._stop_random.uniform(0.0, self.stop_limit_ms)
-        self._log_run("run told to stop", key, takes_ms=round(run.ends_ms - self._clock.now(), 1))
+        self._log_run("run stop requested", key, takes_ms=round(run.ends_ms - self._clock.now(), 1))
 
     def _advance(self):
         before = self._next_end
