--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -389,7 +389,7 @@
                     world.run(3_000.0)
                     world.submit(world.entries[1], job)
 
-    def test_drain_that_gives_up(self):
+    def test_drain_that_times_out(self):
         """A home whose drain times out with unfinished jobs archives no false answer."""
         for fault in ("none", "cut off", "revokes lost"):
             with self.case({"agents": 2, "drain_limit_ms": 1_000.0}, fault=fault) as world:
@@ -788,7 +788,7 @@
         world.replace(world.entries[0])
         world.replace(world.agents[0])
 
-    def test_store_falls_silent_after_the_write(self):
+    def test_store_goes_down_after_the_write(self):
         """An accepted change reaches every domain even if the store goes down right after it."""
         world = self.make()
         self.accept_two_changes(world)
@@ -840,7 +840,7 @@
         world.thaw(sleeper)
         self.check_weight_in_force(world, 3.0)
 
-    def test_operators_race(self):
+    def test_concurrent_changes(self):
         """Of two concurrent changes to one revision exactly one is accepted."""
         for lost in (0, 1, 2):
             with self.case(answers_lost=lost) as world:
