--- a/geraniumspool/operators.py
+++ b/geraniumspool/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of an entry, behind a token."""
+"""HTTP API of an entry for operators; every request needs the operators' bearer token."""
 
 import hmac
 import logging
@@ -26,13 +26,21 @@
 
 _LOG = logging.getLogger(__name__)
 
+# Longest wait for another process's answer to a query.
 ASK_LIMIT_MS = 2_000.0
 BEARER = "Bearer "
 HTTP_ACCEPTED = 202
 
 
 class ChangeRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a configuration change."""
+    """Body of a request to change a configuration document.
+
+    :ivar change_id: id chosen by the operator; a retry with it has no further effect
+    :ivar expected_revision: revision that the change is based on, 0 for a new document
+    :ivar body: the new document as YAML or JSON, or None to delete it
+    :ivar who: operator who makes the change
+    :ivar why: reason for the change
+    """
 
     change_id: str
     expected_revision: int
@@ -42,7 +50,12 @@
 
 
 class DrainRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of a request to drain a process."""
+    """Body of a request to drain a process.
+
+    :ivar address: inbox address of the process
+    :ivar who: operator who asks for it
+    :ivar why: reason for the drain
+    """
 
     address: str
     who: str
@@ -50,7 +63,7 @@
 
 
 class Operators:
-    """Serves operators: status, roster, configuration, drain, reasons."""
+    """Handles operators' requests on status, members, configuration, drains and decisions."""
 
     def __init__(
         self,
@@ -68,11 +81,11 @@
         me: Callable[[], Member],
         request_exit: Callable[[], None],
     ):
-        """Connect the parts.
+        """Store the collaborators.
 
-        :param token: what operators must present
-        :param me: returns this entry as it is now
-        :param request_exit: asks this process itself to drain
+        :param token: bearer token that operators must send
+        :param me: returns the current membership record of this entry
+        :param request_exit: makes this process drain and exit
         """
         self._token = token
         self._messenger = messenger
@@ -89,9 +102,9 @@
         self._request_exit = request_exit
 
     def routes(self, job_routes: list[Route]) -> list[Route]:
-        """Return the routes of this interface, each behind the token.
+        """Return the routes of the operators' API, each of which checks the token.
 
-        :param job_routes: routes on jobs that callers have as well
+        :param job_routes: routes for jobs that the callers' API has as well
         """
         own = [
             Route("GET", "/v1/status", self._get_status),
@@ -105,25 +118,25 @@
             Route("GET", "/v1/decisions/{id}", self._get_decision),
         ]
         return [
-            Route(route.method, route.pattern, self._guard(route.handler))
+            Route(route.method, route.pattern, self._require_token(route.handler))
             for route in own + job_routes
         ]
 
-    def _guard(self, handler: Callable[[Request], Reply]) -> Callable[[Request], Reply]:
+    def _require_token(self, handler: Callable[[Request], Reply]) -> Callable[[Request], Reply]:
         expected = (BEARER + self._token).encode()
 
-        def guarded(request: Request) -> Reply:
+        def check_token(request: Request) -> Reply:
             presented = request.header("Authorization").encode("latin-1", "replace")
             if not hmac.compare_digest(presented, expected):
                 raise Unauthorized("the operators' token is missing or wrong")
             return handler(request)
 
-        return guarded
+        return check_token
 
     def _get_status(self, _request: Request) -> Reply:
         me = self._me()
-        last = self._watcher.last_contact_ms
-        age_ms = None if last is None else round(self._clock.now() - last)
+        last_contact_ms = self._watcher.last_contact_ms
+        age_ms = None if last_contact_ms is None else round(self._clock.now() - last_contact_ms)
         return reply_json(
             200,
             {
@@ -213,7 +226,7 @@
 
     def _put_document(self, request: Request) -> Reply:
         key = "/".join(request.parameters)
-        change = _parse(request.body, ChangeRequest, "change")
+        change = _parse_body(request.body, ChangeRequest, "change")
         body = None if change.body is None else change.body.encode()
         receipt = self._desk.propose(
             key, body, change.expected_revision, change.change_id, change.who, change.why
@@ -246,21 +259,27 @@
         return reply_json(200, {"newest": self._configuration.revision, "domains": rows})
 
     def _post_drain(self, request: Request) -> Reply:
-        order = _parse(request.body, DrainRequest, "drain")
+        drain_request = _parse_body(request.body, DrainRequest, "drain")
         members = [member for member in self._roster.members() if not is_final(member)]
-        found = [member for member in members if member.address == order.address]
+        found = [member for member in members if member.address == drain_request.address]
         if not found:
-            raise NotFound(f"no living process has the address {order.address!r}")
+            raise NotFound(f"no living process has the address {drain_request.address!r}")
         peer = peer_of(found[0])
         if peer == self._messenger.me:
             self._request_exit()
         else:
-            self._messenger.send(peer, Drain(order.who, order.why))
+            self._messenger.send(peer, Drain(drain_request.who, drain_request.why))
         _LOG.info(
-            "drain asked for",
-            extra={"fields": (("address", order.address), ("who", order.who), ("why", order.why))},
+            "drain requested",
+            extra={
+                "fields": (
+                    ("address", drain_request.address),
+                    ("who", drain_request.who),
+                    ("why", drain_request.why),
+                )
+            },
         )
-        return reply_json(HTTP_ACCEPTED, {"address": order.address, "state": "asked"})
+        return reply_json(HTTP_ACCEPTED, {"address": drain_request.address, "state": "asked"})
 
     def _get_decision(self, request: Request) -> Reply:
         name = request.parameters[0]
@@ -271,12 +290,12 @@
             decision = self._decisions.get(name)
             rows = [] if decision is None else [describe(decision)]
         else:
-            rows = self._ask_decision(incarnation, name)
+            rows = self._fetch_decision(incarnation, name)
         if not rows:
             raise NotFound(f"decision {name!r} is not kept any more")
         return reply_json(200, {"decisions": rows})
 
-    def _ask_decision(self, incarnation: int, name: str) -> list:
+    def _fetch_decision(self, incarnation: int, name: str) -> list:
         member = self._roster.find_incarnation(incarnation)
         if member is None:
             return []
@@ -288,7 +307,7 @@
         return msgspec.json.decode(answer.decisions or b"[]")
 
 
-def _parse(body: bytes, kind: type, place: str):
+def _parse_body(body: bytes, kind: type, place: str):
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
