--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -21,7 +21,7 @@
 from geraniumspool.dispatch_policy import DispatchPolicy
 from geraniumspool.job_specs import JobOutcome
 from geraniumspool.queues import Queue
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_messages import WorkerReport
 from geraniumspool.urgency import LATE_FACTOR
 from tests.dispatch_world import Caller, DispatchWorld, make_spec
@@ -140,7 +140,7 @@
 
         :param seed: decides what arrives and when
         """
-        rooms = _list_rooms(workers)
+        worker_resources = _list_rooms(workers)
         random.seed(seed)
         self._pattern = pattern
         evacuates = any(fault.kind is FaultKind.EVACUATE for fault in pattern.faults)
@@ -148,12 +148,12 @@
             workers,
             dispatchers,
             policy=policy,
-            rooms=rooms,
+            worker_resources=worker_resources,
             domains=DOMAINS if evacuates else DOMAINS[:1],
         )
         for number, worker in enumerate(self.world.workers):
             worker.minion.slow_factor = SPEEDS[number % len(SPEEDS)]
-        self._room_cpu = sum(room.cpu for room in rooms)
+        self._room_cpu = sum(room.cpu for room in worker_resources)
         self._load = draw_load(pattern, self._room_cpu, seed)
         self._sent: list[_Sent] = []
         self._frozen: set[str] = set()
@@ -178,13 +178,13 @@
         return self._count()
 
     def _send(self, sent: _Sent) -> None:
-        home = self._draw.choice(self.world.homes)
-        if home.address in self._frozen:
-            self._held[home.address].append(sent)
+        dispatcher = self._draw.choice(self.world.dispatchers)
+        if dispatcher.address in self._frozen:
+            self._held[dispatcher.address].append(sent)
             return
-        self._hand_in(sent, home)
+        self._hand_in(sent, dispatcher)
 
-    def _hand_in(self, sent: _Sent, home) -> None:
+    def _hand_in(self, sent: _Sent, dispatcher) -> None:
         job = sent.arrival.job
         left_ms = self._pattern.patience * sent.objective_ms
         how = "crash" if sent.arrival.crashes else ""
@@ -192,11 +192,11 @@
             sent.name, job.count, job.cpu, job.run_ms, how, declared_ms=job.declared_ms
         )
         sent.tries += 1
-        sent.caller = home.submit(spec, QUEUES[job.queue], left_ms)
+        sent.caller = dispatcher.submit(spec, QUEUES[job.queue], left_ms)
         clock = self.world.clock
         if sent.arrival.leaves and sent.caller.job is not None:
             after = LEAVE_AT * sent.objective_ms
-            clock.after(after, lambda: home.router.leave_job(sent.caller.job))
+            clock.after(after, lambda: dispatcher.router.leave_job(sent.caller.job))
         eventlet.spawn_n(self._watch, sent)
 
     def _watch(self, sent: _Sent) -> None:
@@ -225,7 +225,7 @@
     def _choose(self, fault: Fault) -> list:
         if fault.kind is FaultKind.EVACUATE:
             return [worker for worker in self.world.workers if worker.domain == DOMAINS[-1]][:1]
-        parts = self.world.homes if fault.kind is FaultKind.FREEZE else self.world.workers
+        parts = self.world.dispatchers if fault.kind is FaultKind.FREEZE else self.world.workers
         return parts[: max(1, round(fault.share * len(parts)))]
 
     def _change(self, part, kind: FaultKind, begins: bool) -> None:
@@ -249,7 +249,7 @@
         elif kind is FaultKind.CRASH:
             self._crash(part, begins)
         elif kind is FaultKind.SHRINK:
-            room = minion.life.room
+            room = minion.life.resources
             minion.resize(room._replace(cpu=room.cpu // 2 if begins else room.cpu * 2))
             eventlet.spawn_n(part.executor.take_life, minion.life)
 
@@ -261,19 +261,19 @@
         minion.reborn(f"{minion.life.instance}+")
         eventlet.spawn_n(part.executor.take_life, minion.life)
 
-    def _freeze(self, home, begins: bool) -> None:
-        address = home.address
+    def _freeze(self, dispatcher, begins: bool) -> None:
+        address = dispatcher.address
         if begins:
             self._frozen.add(address)
             self._held[address] = []
             self.world.network.freeze(address)
-            home.freeze()
+            dispatcher.pause()
             return
         self._frozen.discard(address)
-        home.thaw()
+        dispatcher.resume()
         self.world.network.thaw(address)
         for sent in self._held.pop(address):
-            self._hand_in(sent, home)
+            self._hand_in(sent, dispatcher)
 
     def _count(self) -> Row:
         jobs = [sent for sent in self._sent if not sent.arrival.crashes]
@@ -316,7 +316,7 @@
 
     def _count_messages(self) -> tuple[float, float, float]:
         """Return the last three figures of a row."""
-        parts = [*self.world.workers, *self.world.homes]
+        parts = [*self.world.workers, *self.world.dispatchers]
         started = max(1.0, sum(part.counters.get("runs_started") for part in parts))
         refused = sum(part.counters.get("orders_refused", reason="no_room") for part in parts)
         kinds = Counter(type(message) for _, _, message in self.world.network.sent)
@@ -358,5 +358,5 @@
     return _share_in_time(widest)
 
 
-def _list_rooms(workers: int) -> list[Room]:
-    return [Room(ROOMS_CPU[number % len(ROOMS_CPU)], 10**6) for number in range(workers)]
+def _list_rooms(workers: int) -> list[Resources]:
+    return [Resources(ROOMS_CPU[number % len(ROOMS_CPU)], 10**6) for number in range(workers)]
--- a/benchmarks/pattern_policies.py
+++ b/benchmarks/pattern_policies.py
@@ -5,9 +5,9 @@
 
 from geraniumspool import packing, urgency
 from geraniumspool.dispatch_job import DispatchJob
-from geraniumspool.dispatch_policy import DispatchPolicy, ExpectedUse
+from geraniumspool.dispatch_policy import DispatchPolicy, UsefulnessPolicy
 from geraniumspool.job_specs import StepSpec
-from geraniumspool.packing import Candidate, Place, PlaceRequest
+from geraniumspool.packing import Candidate, PlacementRequest, WorkerChoice
 from geraniumspool.urgency import Outlook, Rank
 
 # Jobs that one dispatcher lets wait where queue length decides.
@@ -20,7 +20,7 @@
 STRICT_SHARE = 0.25
 
 
-class NewByLatestStart(ExpectedUse):
+class NewByLatestStart(UsefulnessPolicy):
     """As in use, but begun jobs are not served before others."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -48,7 +48,7 @@
         return _predict_spare(job, outlook, now) < STRICT_SHARE * job.timing.objective_ms
 
 
-class ArrivalOrder(ExpectedUse):
+class ArrivalOrder(UsefulnessPolicy):
     """Jobs in the order in which they came."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -61,7 +61,7 @@
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
         """Return a job's place by the time it still takes."""
-        return _by(super().rank(job, now), job.left_ms())
+        return _by(super().rank(job, now), job.remaining_run_ms())
 
 
 class NoRefusals(NewByLatestStart):
@@ -84,7 +84,7 @@
         return len(others) > LONGEST_QUEUE
 
 
-class LatestStartFirst(ExpectedUse):
+class LatestStartFirst(UsefulnessPolicy):
     """As in use, but without the operators' priorities."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -92,52 +92,60 @@
         return super().rank(job, now)._replace(level=0)
 
 
-class OnlyInTime(ExpectedUse):
+class OnlyInTime(UsefulnessPolicy):
     """As in use, but what is not going to be in time is refused."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
         """Return whether a job is late more likely than not."""
-        chances = urgency.predict_chances(job.timing, job.left_ms(), outlook, now)
+        chances = urgency.predict_probabilities(job.timing, job.remaining_run_ms(), outlook, now)
         return chances.in_time < EVEN_CHANCE or super().is_refused(job, outlook, others, now)
 
-    def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
+    def is_shed(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
         """Return True: it is late already."""
         return True
 
 
-class LeastLoaded(ExpectedUse):
+class LeastLoaded(UsefulnessPolicy):
     """Tasks go where most room is free."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return the emptiest worker with room."""
         fit = _find_fit(workers, request.step)
         if not fit:
             return None
-        best = max(fit, key=lambda worker: worker.free.cpu / worker.room.cpu)
-        return Place(best, packing.predict_run(best, request.step, request.expected_ms))
+        best = max(fit, key=lambda worker: worker.free.cpu / worker.capacity.cpu)
+        return WorkerChoice(best, packing.predict_run_ms(best, request.step, request.expected_ms))
 
 
-class AnyWorker(ExpectedUse):
+class AnyWorker(UsefulnessPolicy):
     """Tasks go to any worker with room."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return a worker with room by chance."""
         fit = _find_fit(workers, request.step)
         if not fit:
             return None
         chosen = random.choice(fit)
-        return Place(chosen, packing.predict_run(chosen, request.step, request.expected_ms))
+        return WorkerChoice(
+            chosen, packing.predict_run_ms(chosen, request.step, request.expected_ms)
+        )
 
 
-class Ahead(ExpectedUse):
+class Ahead(UsefulnessPolicy):
     """As in use, but where all are full one task a worker is sent to wait there."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return a worker with room, or the one with the least room short."""
         workers = list(workers)
-        place = super().choose(workers, request)
+        place = super().choose_worker(workers, request)
         if place is not None:
             return place
         near = [
@@ -147,22 +155,22 @@
         ]
         if not near:
             return None
-        best = max(near, key=lambda worker: worker.free.cpu / worker.room.cpu)
-        return Place(best, packing.predict_run(best, request.step, request.expected_ms))
+        best = max(near, key=lambda worker: worker.free.cpu / worker.capacity.cpu)
+        return WorkerChoice(best, packing.predict_run_ms(best, request.step, request.expected_ms))
 
 
 def _by(rank: Rank, figure: float) -> Rank:
     """Return a place by one figure, among all that are as late."""
-    return Rank(rank.is_past_use, True, 0, rank.lateness, figure)
+    return Rank(rank.is_useless, True, 0, rank.lateness, figure)
 
 
 def _predict_spare(job: DispatchJob, outlook: Outlook, now: float) -> float:
     """Return what a job has to spare of its objective, in ms."""
-    return job.timing.latest_start(job.left_ms()) - now - outlook.wait_ms
+    return job.timing.latest_start(job.remaining_run_ms()) - now - outlook.wait_ms
 
 
 def _is_nearly_free(worker: Candidate, step: StepSpec) -> bool:
-    return worker.free.cpu - step.need.cpu > -AHEAD_SHARE * worker.room.cpu
+    return worker.free.cpu - step.need.cpu > -AHEAD_SHARE * worker.capacity.cpu
 
 
 def _find_fit(workers: Iterable[Candidate], step: StepSpec) -> list[Candidate]:
@@ -172,7 +180,7 @@
 
 IN_USE = "expected use"
 POLICIES: dict[str, type[DispatchPolicy]] = {
-    IN_USE: ExpectedUse,
+    IN_USE: UsefulnessPolicy,
     "new and begun alike": NewByLatestStart,
     "without priorities": LatestStartFirst,
     "only in time": OnlyInTime,
--- a/benchmarks/soak_witness.py
+++ b/benchmarks/soak_witness.py
@@ -11,10 +11,10 @@
 from geraniumspool.clock import SystemClock
 from geraniumspool.contracts import RunKey
 from geraniumspool.memory_minion import MemoryMinion
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_messages import RUN_DONE, RUN_STOPPED
 
-WORKER_ROOM = Room(8_000, 8_000)
+WORKER_ROOM = Resources(8_000, 8_000)
 EVACUATION_S = 1.5
 # A start that is carried out late is refused once its lease is over.
 LATE_START_S = 1.0
--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -8,7 +8,7 @@
 
 from geraniumspool.clock import Timer
 from geraniumspool.messages import Delivery, Message, Peer
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 
 
 class Clock(Protocol):
@@ -53,7 +53,7 @@
     def reset(self, peer: Peer) -> None:
         """Drop the connection to a peer, so that the next message opens a new one."""
 
-    def is_broken(self, peer: Peer) -> bool:
+    def is_connection_closed(self, peer: Peer) -> bool:
         """Return whether the connection to a peer was open and has been closed since.
 
         When a process ends and its host stays up, its connections close at once. When the
@@ -197,7 +197,7 @@
     :param instance: instance name
     :param service: service whose tasks the minion runs
     :param address: ``host:port`` at which the executor calls the minion
-    :param room: total resources of the minion
+    :param resources: total resources of the minion
     :param labels: labels that tasks can require; the last one is the rack
     :param draining: whether the minion is about to shut down
     :param sequence: report number, rising within an incarnation; a report with a lower number
@@ -209,7 +209,7 @@
     instance: str
     service: str
     address: str
-    room: Room
+    resources: Resources
     labels: tuple[str, ...] = ()
     draining: bool = False
     sequence: int = 0
--- a/geraniumspool/crash_blame.py
+++ b/geraniumspool/crash_blame.py
@@ -11,14 +11,14 @@
 
 # Number of crashes after which a task is blamed: two if it was the only suspect on the minion
 # that crashed, three if other suspects ran there too.
-CRASHES_ALONE = 2
-CRASHES_SHARED = 3
+MAX_CRASHES_AS_ONLY_SUSPECT = 2
+MAX_CRASHES_AMONG_SUSPECTS = 3
 # If minions without suspect tasks crash within this time of each other, the likely cause is a
 # failed rack or its power supply. Each crash is noticed within some ms.
-TOGETHER_MS = 30.0
+SIMULTANEOUS_MS = 30.0
 # Suspects are remembered after their jobs end because callers resubmit these. About this many
 # tasks run on sixty workers.
-MOST_SUSPECTS = 1_024
+MAX_SUSPECTS = 1_024
 
 
 class CrashBlame:
@@ -38,7 +38,7 @@
         """Return the number of minion crashes counted against a task."""
         return self._crashes.get(task, 0)
 
-    def note_crash(self, tasks: Collection[str], now: float) -> set[str]:
+    def record_crash(self, tasks: Collection[str], now: float) -> set[str]:
         """Record the crash of a minion; return the tasks that are to blame.
 
         :param tasks: names of the tasks that were running on the minion
@@ -47,17 +47,17 @@
         suspects = [task for task in tasks if self.is_suspect(task)]
         if not suspects and self._is_simultaneous(tasks, now):
             return set()
-        limit = CRASHES_ALONE if len(suspects) == 1 else CRASHES_SHARED
+        limit = MAX_CRASHES_AS_ONLY_SUSPECT if len(suspects) == 1 else MAX_CRASHES_AMONG_SUSPECTS
         for task in tasks:
             self._crashes[task] = self.count(task) + 1
             self._crashes.move_to_end(task)
-        while len(self._crashes) > MOST_SUSPECTS:
+        while len(self._crashes) > MAX_SUSPECTS:
             self._crashes.popitem(last=False)
         return {task for task in suspects if self.count(task) >= limit}
 
     def _is_simultaneous(self, tasks: Collection[str], now: float) -> bool:
         """Return whether another minion crashed just before; if so, acquit its tasks too."""
-        is_simultaneous = now - self._last_ms < TOGETHER_MS
+        is_simultaneous = now - self._last_ms < SIMULTANEOUS_MS
         if is_simultaneous:
             for task in self._last_tasks:
                 self.acquit(task)
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -28,12 +28,12 @@
 _LOG = logging.getLogger(__name__)
 
 # Part of the grace period that is reserved for stopping runs that haven't ended by then.
-STOP_MS = 900.0
+STOP_GRACE_MS = 900.0
 # Time limit for these runs to end after they were told to stop.
-END_MS = 500.0
+STOP_WAIT_MS = 500.0
 
 
-class DispatchAgent(Application):
+class ExecutorProcess(Application):
     """Run an executor process, which runs tasks on one minion."""
 
     def __init__(
@@ -97,7 +97,7 @@
         # No task may start before the evacuated failure domains are known.
         self.guard.check()
         self._run(self.executor.run_looks)
-        self._run(self.executor.run_ticks)
+        self._run(self.executor.run_periodic_checks)
         self._run(self._maintain_key)
         for server in self._servers:
             server.start()
@@ -114,10 +114,10 @@
         """
         _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
         self.executor.leave()
-        limit_ms = self._settings.grace_s * MS_PER_SECOND - STOP_MS
+        limit_ms = self._settings.grace_s * MS_PER_SECOND - STOP_GRACE_MS
         done = self._wait_until(lambda: self.executor.is_idle, limit_ms)
         self.executor.stop_all("process_stops")
-        self._wait_until(lambda: self.executor.is_idle, END_MS)
+        self._wait_until(lambda: self.executor.is_idle, STOP_WAIT_MS)
         if not self.executor.has_minion:
             # Without its minion the worker doesn't come back, so that no dispatcher needs to
             # wait for it.
--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -41,14 +41,14 @@
 
 # Minimum time on shutdown between reporting not ready and closing the listener. A load balancer
 # that checks readiness once a second stops sending callers after two failed checks.
-NOTICE_MS = 2_600.0
+READINESS_NOTICE_MS = 2_600.0
 # Part of the grace period that is reserved for sending the last results.
-ANSWER_MS = 700.0
+RESULT_GRACE_MS = 700.0
 # Time limits for the last runs to end and for the listener to close.
 CLOSE_MS = 350.0
 
 
-class DispatchEntry(Application):
+class DispatcherProcess(Application):
     """Run a dispatcher process.
 
     :ivar configuration: queue configuration in use
@@ -80,7 +80,7 @@
         self.evacuations = Evacuations(clock, metrics)
         record = DispatcherRecord(settings.domain, settings.capacity)
         self._peers = DispatcherPeers(clock, messenger.me, record, self.evacuations)
-        self._peers.is_broken = messenger.is_broken
+        self._peers.is_connection_closed = messenger.is_connection_closed
         self.claims = JobClaims(
             clock,
             messenger.send,
@@ -95,7 +95,7 @@
             clock, messenger.send, metrics, settings.domain, self.evacuations, self.claims
         )
         self.dispatcher.fleet.reset_link = messenger.reset
-        self.dispatcher.fleet.is_broken = messenger.is_broken
+        self.dispatcher.fleet.is_connection_closed = messenger.is_connection_closed
         self.router = JobRouter(
             clock,
             messenger.send,
@@ -128,7 +128,7 @@
         self._servers: list[WebServer] = []
         self._leaving = False
         self._handlers = {
-            WorkerReport: self.dispatcher.take_report,
+            WorkerReport: self.dispatcher.handle_report,
             ForwardJob: self.router.take_forward,
             ForwardedEnd: self.router.take_end,
             DropJobs: self.router.forwarded.take_drop,
@@ -148,7 +148,7 @@
             return False
         return self.router.has_workers
 
-    def serve(self, callers: WebServer, others: list[WebServer]) -> None:
+    def set_servers(self, callers: WebServer, others: list[WebServer]) -> None:
         """Set the listeners that start and stop with this process.
 
         :param callers: listener for job submissions, which is drained on shutdown
@@ -162,8 +162,8 @@
         self._run(self._operators_watch.run)
         self._run(self._members_watch.run)
         self._run(self._member_key.run)
-        self._run(self.dispatcher.run_ticks)
-        self._run(self.router.run_ticks)
+        self._run(self.dispatcher.run_periodic_checks)
+        self._run(self.router.run_periodic_checks)
         for server in self._servers:
             server.start()
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
@@ -178,17 +178,17 @@
         :return: whether all jobs ended within the grace period
         """
         started = self._clock.now()
-        deadline = started + self._settings.grace_s * MS_PER_SECOND - ANSWER_MS
+        deadline = started + self._settings.grace_s * MS_PER_SECOND - RESULT_GRACE_MS
         self._leaving = True
-        self.dispatcher.ends_ms = deadline
+        self.dispatcher.exit_ms = deadline
         callers = self._servers[0]
         callers.retire()
         _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
         self.router.leave()
-        self._clock.sleep(min(NOTICE_MS, deadline - started))
+        self._clock.sleep(min(READINESS_NOTICE_MS, deadline - started))
         done = self._wait_until(lambda: self.router.is_idle, deadline - self._clock.now())
         # Refuse further jobs: those that arrive while the listener closes would be cut off.
-        self.dispatcher.ends_ms = self._clock.now()
+        self.dispatcher.exit_ms = self._clock.now()
         self.router.abandon()
         # Callers resubmit their jobs as soon as they get this result, perhaps before the
         # runs here have ended.
@@ -226,7 +226,7 @@
             return
         table = self._decode(value)
         if table is not None:
-            self.configuration.take(table)
+            self.configuration.apply(table)
 
     def _load_members(self, snapshot: Snapshot) -> None:
         """Replace the known members after the watch has read them anew."""
@@ -238,7 +238,7 @@
         self.router.take_members()
         if change.value is not None and change.key.startswith(WORKER_PREFIX):
             address = change.key.removeprefix(WORKER_PREFIX)
-            self.dispatcher.fleet.note_written(address)
+            self.dispatcher.fleet.handle_key_written(address)
             self.claims.take_worker(address)
 
     def _take_rejection(self, sender: Peer, _message: Message) -> None:
--- a/geraniumspool/dispatch_job.py
+++ b/geraniumspool/dispatch_job.py
@@ -20,7 +20,7 @@
 # capacity runs in several consecutive waves.
 WAVE_SHARE = 0.25
 # Expected run time of a task if its caller declares none: most tasks take 50 ms to 1 s.
-UNDECLARED_MS = 300.0
+DEFAULT_RUN_MS = 300.0
 
 
 class TaskId(NamedTuple):
@@ -41,8 +41,8 @@
     :ivar chain_ms: expected time of the longest chain of dependent steps that starts with
         this step
     :ivar pending: indexes of the tasks that wait for a worker
-    :ivar left: number of tasks that have not succeeded yet
-    :ivar taken: number of open runs by worker, keyed by ``id`` of its :class:`WorkerView`
+    :ivar unfinished: number of tasks that have not succeeded yet
+    :ivar runs_by_worker: number of open runs by worker, keyed by ``id`` of its :class:`WorkerView`
     """
 
     def __init__(self, spec: StepSpec, expected_ms: float):
@@ -54,11 +54,11 @@
         self.expected_ms = expected_ms
         self.chain_ms = expected_ms
         self.pending: deque[int] = deque(range(spec.count))
-        self.left = spec.count
-        self.taken: dict[int, int] = {}
+        self.unfinished = spec.count
+        self.runs_by_worker: dict[int, int] = {}
 
 
-class Placed(NamedTuple):
+class PlacedRun(NamedTuple):
     """A run of a task that was sent to a worker.
 
     :param run_ms: predicted run time on that worker
@@ -80,12 +80,12 @@
         interrupted
     :ivar predicted_wait_ms: queueing time predicted on the job's arrival
     :ivar wait_factor: correction factor used in that prediction, see :class:`WaitLearner`
-    :ivar has_waited: whether the actual queueing time was recorded
-    :ivar was_ordered: whether a run was sent to a worker and so may have started
+    :ivar wait_recorded: whether the actual queueing time was recorded
+    :ivar may_have_started: whether a run was sent to a worker and so may have started
     :ivar finished: event that is sent when the job ends
     :ivar waiters: number of callers that wait for the result
-    :ivar holds: one function for each caller that returns the clock time in ms at which the
-        lease of the caller's dispatcher on the job expires
+    :ivar lease_expiries: one function for each caller that returns the clock time in ms at which
+        the lease of the caller's dispatcher on the job expires
     :ivar ended_ms: clock time in ms at which the result was set
     :ivar is_claimed: whether this dispatcher holds the exclusive claim to run the job
     :ivar fence_rank: rank of the fence that the job was claimed by, 0 if arbiters granted it
@@ -97,18 +97,18 @@
         self.queue = queue
         self.steps = steps
         self.timing = Timing(0.0, 0.0, 0.0)
-        self.runs: dict[int, Placed] = {}
+        self.runs: dict[int, PlacedRun] = {}
         self.attempts: dict[TaskId, int] = {}
         self.failures: dict[TaskId, int] = {}
         self.failed_at: dict[TaskId, int] = {}
         self.predicted_wait_ms = 0.0
         self.wait_factor = 1.0
-        self.has_waited = False
-        self.was_ordered = False
+        self.wait_recorded = False
+        self.may_have_started = False
         self.finished = Event()
         self.result: JobResult | None = None
         self.waiters = 0
-        self.holds: list[Callable[[], float]] = []
+        self.lease_expiries: list[Callable[[], float]] = []
         self.ended_ms = 0.0
         self.is_claimed = False
         self.fence_rank = 0
@@ -118,24 +118,24 @@
         """Return the id under which the job is claimed."""
         return self.spec.job_id
 
-    def claim_left_ms(self, now: float) -> float:
+    def remaining_claim_ms(self, now: float) -> float:
         """Return the time in ms after which executors have ended all runs of the job.
 
         :param now: clock time in ms
         """
-        return max(0.0, self.timing.arrived_ms + self.timing.limit_ms - now)
+        return max(0.0, self.timing.arrived_ms + self.timing.timeout_ms - now)
 
-    def is_held(self, now: float) -> bool:
+    def has_valid_lease(self, now: float) -> bool:
         """Return whether a caller's dispatcher still holds an unexpired lease on the job."""
-        return any(hold() > now for hold in self.holds)
+        return any(hold() > now for hold in self.lease_expiries)
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the job has a result; some runs may still be stopping."""
         return self.result is not None
 
     @property
-    def has_pending(self) -> bool:
+    def has_ready_tasks(self) -> bool:
         """Whether any task is pending whose preceding steps are complete."""
         return any(step.pending for step in self.ready_steps())
 
@@ -143,11 +143,11 @@
         """Return the steps with pending tasks whose preceding steps are complete."""
         return [step for step in self.steps if step.pending and self._is_ready(step)]
 
-    def left_ms(self) -> float:
+    def remaining_run_ms(self) -> float:
         """Return the expected time of the longest chain of steps from a ready step on, in ms."""
         return max((step.chain_ms for step in self.ready_steps()), default=0.0)
 
-    def pending_cpu(self) -> int:
+    def ready_cpu(self) -> int:
         """Return the CPU that the tasks of all ready steps need, in thousandths of a core."""
         return sum(len(step.pending) * step.spec.need.cpu for step in self.ready_steps())
 
@@ -157,10 +157,10 @@
         return level_of(self.queue.priority)
 
     @property
-    def done_share(self) -> float:
+    def completed_share(self) -> float:
         """Return the fraction of the job's tasks that have succeeded."""
         tasks = sum(step.spec.count for step in self.steps)
-        return 1 - sum(step.left for step in self.steps) / tasks if tasks else 0.0
+        return 1 - sum(step.unfinished for step in self.steps) / tasks if tasks else 0.0
 
     def pending_work(self) -> float:
         """Return the work of all pending tasks, including those of steps not yet ready.
@@ -180,15 +180,17 @@
         return f"{self.spec.job_id}.0.{task.step}.{task.index}"
 
     def _is_ready(self, step: Step) -> bool:
-        return all(self.steps[earlier].left == 0 for earlier in step.spec.after)
+        return all(self.steps[earlier].unfinished == 0 for earlier in step.spec.after)
 
 
-def make_steps(spec: JobSpec, ratio: float) -> list[Step]:
+def make_steps(spec: JobSpec, run_time_ratio: float) -> list[Step]:
     """Return a job's steps with their expected run times and chain lengths.
 
-    :param ratio: learnt ratio of actual to declared run times of the queue
+    :param run_time_ratio: learnt ratio of actual to declared run times of the queue
     """
-    steps = [Step(step, (step.declared_ms or UNDECLARED_MS) * ratio) for step in spec.steps]
+    steps = [
+        Step(step, (step.declared_ms or DEFAULT_RUN_MS) * run_time_ratio) for step in spec.steps
+    ]
     for number in range(len(steps) - 1, -1, -1):
         step = steps[number]
         for earlier in step.spec.after:
@@ -197,7 +199,7 @@
     return steps
 
 
-def measure_objective(steps: list[Step], queue: Queue, capacity_cpu: float) -> float:
+def compute_objective_ms(steps: list[Step], queue: Queue, capacity_cpu: float) -> float:
     """Return a job's latency objective in ms, counted from its arrival.
 
     :param capacity_cpu: CPU capacity of all workers, in thousandths of a core
@@ -213,6 +215,6 @@
     return queue.objective_factor * max(ends, default=0.0) + queue.objective_ms
 
 
-def log_job(text: str, job: DispatchJob, **fields: object) -> None:
+def log_job(message: str, job: DispatchJob, **fields: object) -> None:
     """Log a message about a job, with the job's id as the first field."""
-    _LOG.info(text, extra={"fields": (("job", job.spec.job_id), *fields.items())})
+    _LOG.info(message, extra={"fields": (("job", job.spec.job_id), *fields.items())})
--- a/geraniumspool/dispatch_policy.py
+++ b/geraniumspool/dispatch_policy.py
@@ -1,7 +1,7 @@
 """Policies for admission, ordering and placement that a dispatcher carries out.
 
 A policy does no input or output, so that it can be simulated against load patterns.
-:class:`ExpectedUse` is the policy in use.
+:class:`UsefulnessPolicy` is the policy in use.
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,15 +9,15 @@
 
 from geraniumspool import packing, urgency
 from geraniumspool.dispatch_job import DispatchJob
-from geraniumspool.packing import Candidate, Place, PlaceRequest
+from geraniumspool.packing import Candidate, PlacementRequest, WorkerChoice
 from geraniumspool.urgency import Outlook, Rank
 
 # An arriving job is refused if the probability that its result is still useful to the caller
 # is below this.
-MIN_USE = 0.3
+MIN_USEFUL_PROBABILITY = 0.3
 # An admitted job is refused later only below this lower probability: estimates fluctuate, and
 # waiting for a result serves callers better than a reversed admission decision.
-MIN_KEPT_USE = 0.15
+MIN_KEPT_PROBABILITY = 0.15
 
 
 class DispatchPolicy(Protocol):
@@ -36,14 +36,16 @@
         :param now: clock time in ms
         """
 
-    def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
+    def is_shed(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
         """Return whether an admitted job without a started task is refused after all."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
-        """Return the worker for a task; see :func:`geraniumspool.packing.choose`."""
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
+        """Return the worker for a task; see :func:`geraniumspool.packing.choose_worker`."""
 
 
-class ExpectedUse:
+class UsefulnessPolicy:
     """Admit a job if its result is likely to be useful to the caller, in time or late.
 
     Less urgent jobs queue as long as their callers' timeouts allow. They are not refused to
@@ -52,24 +54,28 @@
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
         """Rank started jobs first, then by priority, and late jobs last within a priority."""
-        left_ms = job.left_ms()
-        return urgency.rank(job.timing, left_ms, now, job.was_ordered, job.level, job.done_share)
+        remaining_run_ms = job.remaining_run_ms()
+        return urgency.rank(
+            job.timing, remaining_run_ms, now, job.may_have_started, job.level, job.completed_share
+        )
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
         """Return whether a job's result is unlikely to be useful, in time or late."""
-        return _useful_probability(job, outlook, now) < MIN_USE
+        return _useful_probability(job, outlook, now) < MIN_USEFUL_PROBABILITY
 
-    def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
+    def is_shed(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
         """Return whether an admitted job without a started task is refused after all."""
-        return _useful_probability(job, outlook, now) < MIN_KEPT_USE
+        return _useful_probability(job, outlook, now) < MIN_KEPT_PROBABILITY
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return the worker on which the task is predicted to end first."""
-        return packing.choose(workers, request)
+        return packing.choose_worker(workers, request)
 
 
 def _useful_probability(job: DispatchJob, outlook: Outlook, now: float) -> float:
     """Return the probability that a job's result is useful, in time or late."""
-    return urgency.predict_chances(job.timing, job.left_ms(), outlook, now).of_use
+    return urgency.predict_probabilities(job.timing, job.remaining_run_ms(), outlook, now).useful
--- a/geraniumspool/dispatcher.py
+++ b/geraniumspool/dispatcher.py
@@ -14,12 +14,12 @@
 from geraniumspool import job_admission, urgency
 from geraniumspool.contracts import Clock, Counters
 from geraniumspool.crash_blame import CrashBlame
-from geraniumspool.dispatch_job import DispatchJob, Placed, Step, log_job, make_steps
-from geraniumspool.dispatch_job import measure_objective as measure
-from geraniumspool.dispatch_policy import DispatchPolicy, ExpectedUse
+from geraniumspool.dispatch_job import DispatchJob, PlacedRun, Step, log_job, make_steps
+from geraniumspool.dispatch_job import compute_objective_ms as measure
+from geraniumspool.dispatch_policy import DispatchPolicy, UsefulnessPolicy
 from geraniumspool.evacuations import Evacuations
 from geraniumspool.fleet import Fleet, OpenRun, WorkerView
-from geraniumspool.job_admission import NO_WORKER_RETRY_MS, Backlog, measure_run
+from geraniumspool.job_admission import NO_WORKER_RETRY_MS, Backlog, mean_run_ms
 from geraniumspool.job_claims import JobClaims
 from geraniumspool.job_messages import ServiceLoad
 from geraniumspool.job_placer import JobPlacer
@@ -45,25 +45,25 @@
 # trigger scheduling on their own, so a task waits for a tick only if neither happens.
 TICK_MS = 30.0
 # A job's result must reach the caller before its timeout: two network hops and one tick.
-ANSWER_MARGIN_MS = 40.0
+RESULT_MARGIN_MS = 40.0
 # Timeout of callers that specify none.
-DEFAULT_WAIT_MS = 15_000.0
+DEFAULT_TIMEOUT_MS = 15_000.0
 # Callers keep using their connections while a process shuts down. It accepts only jobs that
 # end in time even if they take this many times as long as expected, plus the time of one
 # message to a full worker.
-LEAVING_FACTOR = 2.0
-LEAVING_MARGIN_MS = 100.0
+SHUTDOWN_FACTOR = 2.0
+SHUTDOWN_MARGIN_MS = 100.0
 # Weight of a new sample in the moving average of actual to declared run times: the average
 # covers about the last thirty successful tasks of a queue.
-RATIO_WEIGHT = 0.03
-MIN_RATIO = 0.2
-MAX_RATIO = 5.0
+RUN_TIME_WEIGHT = 0.03
+MIN_RUN_TIME_RATIO = 0.2
+MAX_RUN_TIME_RATIO = 5.0
 # A scheduling pass stops after this many jobs could not be placed completely.
-MAX_MISSES = 6
+MAX_PLACEMENT_FAILURES = 6
 
 # Reasons that mean that the minion crashed. A silent minion doesn't count: it may just be
 # unreachable.
-CRASHES = frozenset({"minion_down", "minion_replaced"})
+CRASH_REASONS = frozenset({"minion_down", "minion_replaced"})
 
 # Result code: another dispatcher runs the job.
 HELD_ELSEWHERE = "held_elsewhere"
@@ -78,8 +78,8 @@
 class Dispatcher:
     """Queue, schedule and track the jobs accepted by this process.
 
-    :ivar ends_ms: clock time in ms at which the process will exit, infinite if unknown
-    :ivar find_capacity: returns the CPU capacity, in thousandths of a core, of the workers
+    :ivar exit_ms: clock time in ms at which the process will exit, infinite if unknown
+    :ivar get_remote_capacity: returns the CPU capacity, in thousandths of a core, of the workers
         that other dispatchers own for a service
     """
 
@@ -100,13 +100,13 @@
         :param evacuations: failure domains in which no task is placed
         :param claims: exclusive claims that keep other dispatchers from running the same jobs
         :param policy: admission, ordering and placement policy, by default
-            :class:`ExpectedUse`
+            :class:`UsefulnessPolicy`
         """
-        self._policy = policy or ExpectedUse()
+        self._policy = policy or UsefulnessPolicy()
         self._clock = clock
         self._counters = counters
         self.fleet = Fleet(clock, send, self._lose_runs, evacuations)
-        self.fleet.on_new_life = lambda: claims.ask_anew("executor_new")
+        self.fleet.on_new_incarnation = lambda: claims.ask_anew("executor_new")
         self._jobs: dict[str, DispatchJob] = {}
         # Jobs with tasks that are ready to be placed, so that a scheduling pass doesn't
         # iterate over all jobs.
@@ -121,10 +121,10 @@
         claims.on_granted = self._on_claim_granted
         claims.on_held = self._on_held_elsewhere
         claims.on_doubt = self._on_claim_uncertain
-        claims.fences.find_silence = self.fleet.find_silence
-        claims.fences.is_closed = self.fleet.is_closed
-        self.find_capacity: Callable[[str], float] = _no_remote_capacity
-        self.ends_ms = math.inf
+        claims.fences.find_silence = self.fleet.find_silent_since
+        claims.fences.is_connection_closed = self.fleet.is_worker_connection_closed
+        self.get_remote_capacity: Callable[[str], float] = _no_remote_capacity
+        self.exit_ms = math.inf
 
     @property
     def is_idle(self) -> bool:
@@ -139,10 +139,10 @@
     def count_waiting(self, queue: Queue) -> int:
         """Return the number of jobs of a queue of which no task has been sent to a worker."""
         return sum(
-            job.queue.name == queue.name and not job.was_ordered for job in self._jobs.values()
+            job.queue.name == queue.name and not job.may_have_started for job in self._jobs.values()
         )
 
-    def knows(self, job_id: str) -> bool:
+    def has_job(self, job_id: str) -> bool:
         """Return whether a job is running or queued in this process."""
         return job_id in self._jobs
 
@@ -150,18 +150,18 @@
         self,
         spec: JobSpec,
         queue: Queue,
-        wait_ms: float,
+        timeout_ms: float,
         version: int = 0,
         age_ms: float = 0.0,
-        hold: Callable[[], float] = _never_expires,
+        lease_expiry: Callable[[], float] = _never_expires,
     ) -> JobResult | DispatchJob:
         """Admit a job, join it to the job already known by the same id, or refuse it.
 
-        :param wait_ms: the caller's timeout in ms, 0 if it specified none
+        :param timeout_ms: the caller's timeout in ms, 0 if it specified none
         :param version: version of the configuration that defines the queue
         :param age_ms: time in ms since the job arrived at the dispatcher that the caller is
             connected to
-        :param hold: returns the clock time in ms at which the lease on the job expires that
+        :param lease_expiry: returns the clock time in ms at which the lease on the job expires that
             the caller's dispatcher holds
         :return: the admitted or joined job, or the result of a refused one
         """
@@ -169,10 +169,10 @@
         if job is not None:
             log_job("job joined", job)
             job.waiters += 1
-            job.holds.append(hold)
+            job.lease_expiries.append(lease_expiry)
             return job
         job = DispatchJob(spec, queue, make_steps(spec, self._run_time_ratios.get(queue.name, 1.0)))
-        refusal = self._check_admission(job, wait_ms or DEFAULT_WAIT_MS, age_ms)
+        refusal = self._check_admission(job, timeout_ms or DEFAULT_TIMEOUT_MS, age_ms)
         if refusal is not None:
             self._counters.add("dispatch_jobs", queue=queue.name, outcome=refusal.code)
             log_job(
@@ -189,14 +189,14 @@
         arrivals = self._arrivals.setdefault(queue.service, Arrivals(self._clock.now()))
         arrivals.note(job.level, job.pending_work(), self._clock.now())
         job.waiters = 1
-        job.holds.append(hold)
+        job.lease_expiries.append(lease_expiry)
         log_job(
             "job accepted",
             job,
             queue=queue.name,
             tasks=sum(step.count for step in spec.steps),
             objective_ms=round(job.timing.objective_ms),
-            wait_ms=round(job.timing.limit_ms),
+            wait_ms=round(job.timing.timeout_ms),
             delay_ms=round(job.predicted_wait_ms),
             version=version,
         )
@@ -221,10 +221,10 @@
 
         :param holder: address of that dispatcher
         """
-        if job.is_over:
+        if job.has_ended:
             return
         code, outcome = HELD_ELSEWHERE, JobOutcome.REFUSED
-        if job.was_ordered:
+        if job.may_have_started:
             outcome = JobOutcome.UNFINISHED
         self._end(job, JobResult(outcome, code, urgency.MIN_RETRY_MS, holder=holder))
 
@@ -233,10 +233,10 @@
         job.finished.wait()
         return job.result
 
-    def leave_job(self, job: DispatchJob) -> None:
+    def remove_waiter(self, job: DispatchJob) -> None:
         """Record that one caller has disconnected; end the job if it was the last one."""
         job.waiters -= 1
-        if job.waiters <= 0 and not job.is_over:
+        if job.waiters <= 0 and not job.has_ended:
             self._end(job, JobResult(JobOutcome.GONE, "caller_gone"))
 
     def cancel(self, job_id: str) -> bool:
@@ -247,7 +247,7 @@
         self._end(job, JobResult(JobOutcome.FAILED, "cancelled"))
         return True
 
-    def abandon(self) -> None:
+    def abort_jobs(self) -> None:
         """End every job because the process is about to exit."""
         for job in list(self._jobs.values()):
             self._give_up(job, "process_stops")
@@ -258,7 +258,7 @@
         :param find_others: returns the addresses of usable workers of other dispatchers
         """
         self.fleet.apply_evacuations()
-        self.return_unowned()
+        self.refuse_without_workers()
         if not self.fleet.has_owned and self._pending:
             self._finish_elsewhere(find_others())
         self.schedule()
@@ -268,14 +268,14 @@
 
         Without any worker their callers would wait until they time out.
         """
-        self.fleet.borrow(others)
+        self.fleet.use_temporarily(others)
         fields = (("jobs", len(self._pending)), ("workers", len(others)))
         _LOG.info("using workers of other dispatchers", extra={"fields": fields})
         if not others:
             for job in list(self._pending.values()):
                 self._give_up(job, "no_worker")
 
-    def return_unowned(self) -> None:
+    def refuse_without_workers(self) -> None:
         """Refuse jobs without a started task if this dispatcher owns no usable worker.
 
         All its workers may have been reassigned to other dispatchers, or be evacuated.
@@ -283,7 +283,7 @@
         if self.fleet.has_owned:
             return
         for job in list(self._jobs.values()):
-            if not job.was_ordered:
+            if not job.may_have_started:
                 self._give_up(job, "moved")
 
     def describe_loads(self) -> tuple[ServiceLoad, ...]:
@@ -295,19 +295,19 @@
 
     def describe_load(self, service: str) -> ServiceLoad:
         """Return the load of the workers that this dispatcher owns for a service."""
-        usable = self.fleet.usable_of(service)
+        usable = self.fleet.usable_workers(service)
         jobs = [job for job in self._jobs.values() if job.queue.service == service]
         waiting = [job for job in jobs if job.spec.job_id in self._pending]
         return ServiceLoad(
             service,
-            sum(view.room.cpu for view in usable),
+            sum(view.capacity.cpu for view in usable),
             sum(max(0, view.free.cpu) for view in usable),
-            round(measure_run(jobs), 1),
+            round(mean_run_ms(jobs), 1),
             job_admission.sum_work(waiting, self._policy, self._clock.now()),
             tuple({view.rack for view in usable if view.rack}),
         )
 
-    def take_report(self, sender: Peer, report: WorkerReport) -> None:
+    def handle_report(self, sender: Peer, report: WorkerReport) -> None:
         """Process a worker's report of ended runs and free capacity."""
         view = self.fleet.take_report(sender, report)
         ended = [
@@ -318,7 +318,7 @@
             self._handle_run_end(placed, end)
         self.schedule()
 
-    def _handle_crash(self, crashed: list[Placed]) -> None:
+    def _handle_crash(self, crashed: list[PlacedRun]) -> None:
         """Fail the jobs whose tasks are to blame for a minion crash.
 
         :param crashed: runs that were active on the minion when it crashed
@@ -326,7 +326,7 @@
         if not crashed:
             return
         names = {placed.job.task_name(placed.task): placed for placed in crashed}
-        blamed = self._blame.note_crash(names, self._clock.now())
+        blamed = self._blame.record_crash(names, self._clock.now())
         fields = (
             ("worker", crashed[0].worker.peer.address),
             ("tasks", ",".join(f"{name}={self._blame.count(name)}" for name in names)),
@@ -336,10 +336,10 @@
         self._counters.add("minion_crashes", blamed=str(bool(blamed)).lower())
         for name in blamed:
             job = names[name].job
-            if not job.is_over:
+            if not job.has_ended:
                 self._end(job, JobResult(JobOutcome.FAILED, "crashes_minions"))
 
-    def run_ticks(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Renew leases, enforce time limits and reschedule, in an endless loop."""
         while True:
             self._clock.sleep(TICK_MS)
@@ -360,27 +360,33 @@
         self._is_placing = False
         self._place()
 
-    def _check_admission(self, job: DispatchJob, wait_ms: float, age_ms: float) -> JobResult | None:
+    def _check_admission(
+        self, job: DispatchJob, timeout_ms: float, age_ms: float
+    ) -> JobResult | None:
         """Set a job's timing; return a refusal, or None if the job is admitted."""
         if job.spec.unsupported:
             return JobResult(JobOutcome.REFUSED, job.spec.unsupported, NO_WORKER_RETRY_MS)
-        workers = self.fleet.usable_of(job.queue.service)
+        workers = self.fleet.usable_workers(job.queue.service)
         now = self._clock.now()
-        capacity = sum(view.room.cpu for view in workers) + self.find_capacity(job.queue.service)
+        capacity = sum(view.capacity.cpu for view in workers) + self.get_remote_capacity(
+            job.queue.service
+        )
         objective_ms = measure(job.steps, job.queue, capacity)
-        job.timing = Timing(now - age_ms, objective_ms, wait_ms - ANSWER_MARGIN_MS)
+        job.timing = Timing(now - age_ms, objective_ms, timeout_ms - RESULT_MARGIN_MS)
         backlog = self._describe_backlog(job.queue.service, workers, now)
-        refusal = job_admission.judge(job, backlog, self._policy, now)
+        refusal = job_admission.check_admission(job, backlog, self._policy, now)
         return refusal or self._check_shutdown(job, now)
 
-    def judge_end(self, spec: JobSpec, queue: Queue) -> JobResult | None:
+    def refuse_if_exiting(self, spec: JobSpec, queue: Queue) -> JobResult | None:
         """Return a refusal if the process may exit before a job ends, else None."""
         steps = make_steps(spec, self._run_time_ratios.get(queue.name, 1.0))
         return self._check_shutdown(DispatchJob(spec, queue, steps), self._clock.now())
 
     def _check_shutdown(self, job: DispatchJob, now: float) -> JobResult | None:
-        takes_ms = job.predicted_wait_ms + LEAVING_FACTOR * job.left_ms() + LEAVING_MARGIN_MS
-        if now + takes_ms <= self.ends_ms:
+        takes_ms = (
+            job.predicted_wait_ms + SHUTDOWN_FACTOR * job.remaining_run_ms() + SHUTDOWN_MARGIN_MS
+        )
+        if now + takes_ms <= self.exit_ms:
             return None
         return JobResult(JobOutcome.REFUSED, "leaving", urgency.MIN_RETRY_MS)
 
@@ -390,10 +396,10 @@
             self._jobs.values(),
             [job for job in self._pending.values() if job.queue.service == service],
             workers,
-            self.fleet.is_gathering,
+            self.fleet.expects_reports,
             self._sum_work(service, now),
             self._wait_learner.factor,
-            self.fleet.unseen,
+            self.fleet.new_worker_count,
         )
 
     def _sum_work(self, service: str, now: float) -> QueuedWork:
@@ -409,11 +415,13 @@
         now = self._clock.now()
         # After a process pause, leases may have expired: start nothing for a caller's dispatcher
         # that has already given this one up.
-        waiting = [job for job in self._pending.values() if job.is_claimed and job.is_held(now)]
+        waiting = [
+            job for job in self._pending.values() if job.is_claimed and job.has_valid_lease(now)
+        ]
         waiting.sort(key=lambda job: self._policy.rank(job, now))
         misses = 0
         for job in waiting:
-            if misses >= MAX_MISSES:
+            if misses >= MAX_PLACEMENT_FAILURES:
                 break
             if self._placer.place(job, now):
                 del self._pending[job.spec.job_id]
@@ -424,8 +432,8 @@
 
     def _learn_wait(self, job: DispatchJob, now: float) -> None:
         """Record a job's actual wait against the wait predicted on its arrival."""
-        if not job.has_waited:
-            job.has_waited = True
+        if not job.wait_recorded:
+            job.wait_recorded = True
             predicted_ms = job.predicted_wait_ms / job.wait_factor
             self._wait_learner.note(predicted_ms, now - job.timing.arrived_ms)
 
@@ -437,7 +445,7 @@
             waiting.setdefault(job.queue.service, []).append(job)
         for service, jobs in waiting.items():
             self._shed_too_large(service, jobs)
-            workers = self.fleet.usable_of(service)
+            workers = self.fleet.usable_workers(service)
             if workers:
                 self._shed_service_load(jobs, self._describe_backlog(service, workers, now), now)
 
@@ -446,10 +454,10 @@
 
         Workers that accept no tasks at the moment count as well: they may recover soon.
         """
-        workers = self.fleet.of_service(service)
+        workers = self.fleet.owned_workers(service)
         if not workers:
             return
-        for job in [job for job in jobs if not job_admission.has_room(job, workers)]:
+        for job in [job for job in jobs if not job_admission.fits_workers(job, workers)]:
             self._give_up(job, "no_capacity")
             jobs.remove(job)
 
@@ -458,29 +466,29 @@
         ahead = 0.0
         for rank, number in ranked:
             job = jobs[number]
-            if not job.was_ordered and rank.lateness != urgency.IN_TIME:
-                outlook = job_admission.find_outlook(job, ahead, backlog)
-                if self._policy.is_given_up(job, outlook, now):
+            if not job.may_have_started and rank.lateness != urgency.IN_TIME:
+                outlook = job_admission.predict_outlook(job, ahead, backlog)
+                if self._policy.is_shed(job, outlook, now):
                     self._give_up(job, "overload")
                     continue
             ahead += job.pending_work()
 
-    def _handle_run_end(self, placed: Placed, end: RunEnd) -> None:
+    def _handle_run_end(self, placed: PlacedRun, end: RunEnd) -> None:
         job, task = placed.job, placed.task
         step = job.steps[task.step]
         job.runs.pop(end.number, None)
-        step.taken[id(placed.worker)] = step.taken.get(id(placed.worker), 1) - 1
-        if job.is_over:
+        step.runs_by_worker[id(placed.worker)] = step.runs_by_worker.get(id(placed.worker), 1) - 1
+        if job.has_ended:
             self._handle_late_run_end(job)
             return
         if end.how in (RUN_DONE, RUN_FAILED):
             self._blame.acquit(job.task_name(task))
         if end.how == RUN_DONE:
             self._learn_run_time(job, step, end.ran_ms)
-            step.left -= 1
-            if all(other.left == 0 for other in job.steps):
+            step.unfinished -= 1
+            if all(other.unfinished == 0 for other in job.steps):
                 self._end(job, JobResult(JobOutcome.SUCCEEDED))
-            elif step.left == 0 and job.has_pending:
+            elif step.unfinished == 0 and job.has_ready_tasks:
                 self._pending[job.spec.job_id] = job
             return
         if end.how == RUN_FAILED:
@@ -530,25 +538,27 @@
         if declared <= 0 or ran_ms <= 0:
             return
         ratio = self._run_time_ratios.get(job.queue.name, 1.0)
-        seen = min(MAX_RATIO, max(MIN_RATIO, ran_ms / declared))
-        self._run_time_ratios[job.queue.name] = ratio + RATIO_WEIGHT * (seen - ratio)
+        seen = min(MAX_RUN_TIME_RATIO, max(MIN_RUN_TIME_RATIO, ran_ms / declared))
+        self._run_time_ratios[job.queue.name] = ratio + RUN_TIME_WEIGHT * (seen - ratio)
 
     def _expire(self) -> None:
         """End jobs whose caller times out, or that can no longer start early enough."""
         now = self._clock.now()
         for job in list(self._jobs.values()):
-            if now >= job.timing.arrived_ms + job.timing.limit_ms:
+            if now >= job.timing.arrived_ms + job.timing.timeout_ms:
                 self._give_up(job, "deadline")
-            elif not job.was_ordered and now > job.timing.last_use(job.left_ms()):
+            elif not job.may_have_started and now > job.timing.latest_useful_start(
+                job.remaining_run_ms()
+            ):
                 self._give_up(job, "too_late")
 
     def _give_up(self, job: DispatchJob, code: str) -> None:
         """End an unfinished job; refuse it with a retry delay if none of its tasks ran."""
         self._learn_wait(job, self._clock.now())
-        if job.was_ordered:
+        if job.may_have_started:
             self._end(job, JobResult(JobOutcome.UNFINISHED, code))
             return
-        retry = urgency.choose_retry(urgency.MIN_RETRY_MS)
+        retry = urgency.choose_retry_delay(urgency.MIN_RETRY_MS)
         self._end(job, JobResult(JobOutcome.REFUSED, code, retry))
 
     def _end(self, job: DispatchJob, result: JobResult) -> None:
@@ -579,7 +589,7 @@
 
 
 def _is_crash(end: RunEnd) -> bool:
-    return end.how == RUN_LAPSED and end.reason in CRASHES
+    return end.how == RUN_LAPSED and end.reason in CRASH_REASONS
 
 
 def _no_remote_capacity(_service: str) -> float:
--- a/geraniumspool/dispatcher_peers.py
+++ b/geraniumspool/dispatcher_peers.py
@@ -11,7 +11,7 @@
 
 from geraniumspool.contracts import Clock
 from geraniumspool.evacuations import Evacuations
-from geraniumspool.groups import GROUP_WORKERS, Owner, Site, divide
+from geraniumspool.groups import GROUP_WORKERS, Owner, WorkerLocation, assign_workers
 from geraniumspool.job_messages import DispatcherReport, ServiceLoad
 from geraniumspool.messages import ANY_INCARNATION, Peer
 from geraniumspool.registrations import Directory, DispatcherRecord
@@ -42,7 +42,7 @@
     :ivar told_ms: when a report was last sent to it
     :ivar reset_ms: when the connection to it was last reopened
     :ivar is_leaving: whether it is about to exit
-    :ivar is_closed: whether it has closed the connection
+    :ivar is_connection_closed: whether it has closed the connection
     :ivar was_alive: what ``is_alive`` returned when it was last checked
     :ivar loads: load of its workers by service, from its last report
     :ivar unlisted: addresses of the workers that it uses and does not find in the store, from its
@@ -66,7 +66,7 @@
         self.reset_ms = 0.0
         self.told_ms = -math.inf
         self.is_leaving = False
-        self.is_closed = False
+        self.is_connection_closed = False
         self.was_alive = True
         self.loads: dict[str, ServiceLoad] = {}
         self.unlisted: tuple[str, ...] = ()
@@ -97,12 +97,12 @@
 
     def is_reachable(self, now: float) -> bool:
         """Return whether its current incarnation has reported, is connected and not silent."""
-        return self.is_heard and not self.is_closed and self.is_alive(now)
+        return self.is_heard and not self.is_connection_closed and self.is_alive(now)
 
     def is_alive(self, now: float) -> bool:
         """Return whether it has not been silent for too long."""
         silent_ms = self.silent_ms(now)
-        if self.is_closed:
+        if self.is_connection_closed:
             return silent_ms <= CLOSED_SILENT_MS
         return silent_ms <= (PEER_SILENT_MS if self.loads and self.is_near else IDLE_SILENT_MS)
 
@@ -133,7 +133,7 @@
     :ivar owned: addresses of the workers that this process owns
     :ivar directory: dispatchers and workers registered in the store
     :ivar executors: addresses of all executors that some dispatcher may use
-    :ivar is_broken: returns whether a dispatcher has closed the connection to this one
+    :ivar is_connection_closed: returns whether a dispatcher has closed the connection to this one
     """
 
     def __init__(
@@ -159,8 +159,8 @@
         self.directory = Directory()
         self.is_leaving = False
         self.views: dict[str, PeerView] = {}
-        self.is_broken: Callable[[Peer], bool] = _assume_connected
-        self._sites: dict[str, Site] = {}
+        self.is_connection_closed: Callable[[Peer], bool] = _assume_connected
+        self._sites: dict[str, WorkerLocation] = {}
         self._sites_version = 0
         # Input of the last division of the workers.
         self._division_input: tuple = ()
@@ -198,7 +198,7 @@
                 self._add(address, record, now)
         for address, view in list(self.views.items()):
             view.record = listed.get(address, view.record)
-            view.is_closed = self.is_broken(view.peer)
+            view.is_connection_closed = self.is_connection_closed(view.peer)
             if address not in listed and not view.is_alive(now):
                 del self.views[address]
             elif view.was_alive != view.is_alive(now):
@@ -225,12 +225,12 @@
         fields = (("peer", view.peer.address), ("silent_ms", round(view.silent_ms(now))))
         _LOG.warning(message, extra={"fields": fields})
 
-    def _find_sites(self) -> dict[str, Site]:
+    def _find_sites(self) -> dict[str, WorkerLocation]:
         """Return the locations of the workers; the same object until the members change."""
         if self._sites_version != self.directory.version:
             self._sites_version = self.directory.version
             self._sites = {
-                address: Site(record.service, record.domain, record.rack)
+                address: WorkerLocation(record.service, record.domain, record.rack)
                 for address, record in self.directory.workers.items()
             }
         return self._sites
@@ -265,14 +265,14 @@
         Evacuated workers are divided separately: every dispatcher so gets its share of the usable
         ones, and none owns evacuated workers alone.
         """
-        usable: dict[str, Site] = {}
-        evacuated: dict[str, Site] = {}
+        usable: dict[str, WorkerLocation] = {}
+        evacuated: dict[str, WorkerLocation] = {}
         for address, site in self._find_sites().items():
             if site.service == service:
                 group = evacuated if self._evacuations.covers(site.domain) else usable
                 group[address] = site
-        owners = divide(members, usable, self._group_workers)
-        return owners | divide(members, evacuated, self._group_workers)
+        owners = assign_workers(members, usable, self._group_workers)
+        return owners | assign_workers(members, evacuated, self._group_workers)
 
 
 def _assume_connected(_peer: Peer) -> bool:
--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -47,7 +47,7 @@
 # A start message whose echoed clock is older than this is answered with a report at once.
 STALE_ECHO_MS = 150.0
 # A link over which the peer does not receive messages is reset after this time.
-RESET_MS = 900.0
+LINK_RESET_MS = 900.0
 FORGET_DISPATCHER_MS = 30_000.0
 
 
@@ -128,7 +128,7 @@
             report.rack,
             report.labels,
             self._accepts(),
-            report.room,
+            report.resources,
             self._table.used,
             self._table.queued,
             round(self._ends.pace.value, 3),
@@ -190,7 +190,7 @@
         """Poll the minion forever: renew its lease and collect ended runs."""
         self._watch.run_looks()
 
-    def run_ticks(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Enforce time limits periodically, forever."""
         while True:
             self._clock.sleep(IDLE_TICK_MS if self.is_idle else TICK_MS)
@@ -283,7 +283,7 @@
             return "not_accepting"
         if order.limit_ms <= 0:
             return "limit_passed"
-        if not self._session.life.told.room.fits(order.need):
+        if not self._session.life.told.resources.fits(order.need):
             return "too_large"
         if self.fences.shuts_out(dispatcher.peer, order.task, order.fence_rank):
             return FENCED
@@ -339,8 +339,10 @@
 
     def _reset_one_way_link(self, dispatcher: Customer, now: float) -> None:
         """Reconnect to a dispatcher whose messages arrive but that does not receive ours."""
-        is_one_way = dispatcher.lease_until_ms + RESET_MS < now < dispatcher.heard_ms + RESET_MS
-        if is_one_way and now - dispatcher.reset_ms > RESET_MS:
+        is_one_way = (
+            dispatcher.lease_until_ms + LINK_RESET_MS < now < dispatcher.heard_ms + LINK_RESET_MS
+        )
+        if is_one_way and now - dispatcher.reset_ms > LINK_RESET_MS:
             dispatcher.reset_ms = now
             self.reset_link(dispatcher.peer)
 
--- a/geraniumspool/fence_requests.py
+++ b/geraniumspool/fence_requests.py
@@ -35,7 +35,8 @@
 
     :ivar rank: rank of the fences that are requested now; starts with the wall clock's time, so
         that a restarted dispatcher requests higher ranks than before
-    :ivar is_closed: returns whether an executor has closed the connection to this process
+    :ivar is_connection_closed: returns whether an executor has closed the connection to this
+        process
     :ivar find_silence: returns since when an executor has been silent, by this process's clock in
         milliseconds, None if that is not known
     """
@@ -55,7 +56,7 @@
         self._send = send
         self._find_workers = find_workers
         self.rank = round(clock.wall())
-        self.is_closed: Callable[[str], bool] = _assume_open
+        self.is_connection_closed: Callable[[str], bool] = _assume_open
         self.find_silence: Callable[[str], float | None] = _find_no_silence
         self._unanswered: dict[str, _UnansweredRequest] = {}
 
@@ -114,7 +115,7 @@
         return bool(workers) and all(
             address in claim.fenced
             or now - self._silent_since(address, now) >= RUNS_OVER_MS
-            and (may_skip_silent or self.is_closed(address))
+            and (may_skip_silent or self.is_connection_closed(address))
             for address in workers
         )
 
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -11,7 +11,7 @@
 from geraniumspool.contracts import Clock
 from geraniumspool.evacuations import Evacuations
 from geraniumspool.messages import ANY_INCARNATION, Message, Peer
-from geraniumspool.rooms import NO_ROOM, Room
+from geraniumspool.rooms import NO_RESOURCES, Resources
 from geraniumspool.run_leases import RUNS_OVER_MS
 from geraniumspool.run_messages import (
     RenewRuns,
@@ -25,30 +25,30 @@
 _LOG = logging.getLogger(__name__)
 
 # Renewal interval for workers with open runs: three renewals fit into a lease.
-RENEW_MS = 180.0
+RENEWAL_INTERVAL_MS = 180.0
 # Renewal interval for workers without open runs, whose answers report their state.
-IDLE_RENEW_MS = 600.0
+IDLE_RENEWAL_INTERVAL_MS = 600.0
 # A worker that has left two renewals unanswered counts as silent and gets no new runs. Counted
 # from the first unanswered message.
-SUSPECT_MS = 450.0
+SILENT_AFTER_MS = 450.0
 # Runs of a silent worker have certainly ended after this: both leases, the dispatcher's at the
 # worker and the worker's at the minion, have expired, and the time to stop a run has passed.
-LOST_MS = RUNS_OVER_MS
+RUNS_LOST_AFTER_MS = RUNS_OVER_MS
 # Time within which workers are expected to report that started together with this process or
 # have just become silent.
-GATHER_MS = 1_500.0
+STARTUP_REPORT_MS = 1_500.0
 # A worker that isn't listed in the store and has been silent for this long is removed.
-FORGET_MS = 3_000.0
+REMOVE_AFTER_MS = 3_000.0
 # A renewal lists a run only this long after the run was sent, when it must have arrived at the
 # worker.
 LISTED_AFTER_MS = 120.0
 # A connection is reopened after this time without an answer; connecting takes a few ms.
-RESET_MS = 900.0
+LINK_RESET_MS = 900.0
 # Time for which a worker reassigned to another dispatcher may still be used to finish started
 # jobs: a job's last tasks wait for about as long as the tasks of the longest job run.
-FORMER_MS = 3_000.0
+DISOWNED_USE_MS = 3_000.0
 # Renewal interval for silent workers.
-SEEK_MS = 300.0
+SILENT_RENEWAL_INTERVAL_MS = 300.0
 
 
 class OpenRun(NamedTuple):
@@ -62,7 +62,7 @@
 
     number: int
     owner: object
-    need: Room
+    need: Resources
     sent_ms: float
 
 
@@ -73,15 +73,15 @@
 
     :ivar peer: address and incarnation of the worker's executor process
     :ivar state: state in the last report
-    :ivar echo_ms: the worker's clock in its last report
-    :ivar echoed_ms: value of ``echo_ms`` that was last sent to the worker, from which its lease
-        counts
+    :ivar worker_clock_ms: the worker's clock in its last report
+    :ivar sent_worker_clock_ms: value of ``worker_clock_ms`` that was last sent to the worker, from
+        which its lease counts
     :ivar heard_ms: when the last report arrived, 0 before the first
     :ivar reset_ms: when the connection was last reopened
     :ivar renewed_ms: when the last message was sent that renews the lease
-    :ivar asked_ms: when the first message since the last report was sent, 0 for none
+    :ivar unanswered_since_ms: when the first message since the last report was sent, 0 for none
     :ivar known_ms: when the worker became known
-    :ivar upto: highest run number that the reported state includes
+    :ivar highest_number: highest run number that the reported state includes
     :ivar last_number: highest run number sent
     :ivar runs: open runs by number
     :ivar stopping: numbers of open runs that the worker was asked to stop
@@ -99,14 +99,14 @@
         """Create a silent worker of which only the address is known."""
         self.peer = Peer(address, ANY_INCARNATION)
         self.state = WorkerState()
-        self.echo_ms = 0.0
-        self.echoed_ms = 0.0
+        self.worker_clock_ms = 0.0
+        self.sent_worker_clock_ms = 0.0
         self.heard_ms = 0.0
         self.reset_ms = 0.0
         self.renewed_ms = 0.0
-        self.asked_ms = 0.0
+        self.unanswered_since_ms = 0.0
         self.known_ms = now
-        self.upto = 0
+        self.highest_number = 0
         self.last_number = 0
         self.runs: dict[int, OpenRun] = {}
         self.stopping: set[int] = set()
@@ -117,10 +117,10 @@
         self.was_usable = False
         self.is_evacuated = False
         self.is_silent = True
-        self.free = NO_ROOM
+        self.free = NO_RESOURCES
 
     @property
-    def room(self) -> Room:
+    def capacity(self) -> Resources:
         """Return the worker's total capacity."""
         return self.state.room
 
@@ -147,37 +147,38 @@
     def note_sent(self, now: float) -> None:
         """Record that a message was sent that renews the lease and requires an answer."""
         self.renewed_ms = now
-        self.echoed_ms = self.echo_ms
-        self.asked_ms = self.asked_ms or now
+        self.sent_worker_clock_ms = self.worker_clock_ms
+        self.unanswered_since_ms = self.unanswered_since_ms or now
 
     def add(self, run: OpenRun) -> None:
         """Add a run that is about to be sent, and deduct its need from the free capacity."""
         self.runs[run.number] = run
         self.last_number = run.number
-        self.free = self.free.minus(run.need)
+        self.free = self.free.subtract(run.need)
 
-    def take(self, report: WorkerReport, now: float) -> None:
+    def update(self, report: WorkerReport, now: float) -> None:
         """Update the view from a worker's report."""
-        self.echo_ms = max(self.echo_ms, report.now_ms)
+        self.worker_clock_ms = max(self.worker_clock_ms, report.now_ms)
         self.heard_ms = now
-        self.asked_ms = 0.0
-        self.upto = max(self.upto, report.upto)
+        self.unanswered_since_ms = 0.0
+        self.highest_number = max(self.highest_number, report.upto)
         self.state = report.state
         self.is_usable = report.state.accepts and not self.is_evacuated
         self.was_usable = self.was_usable or self.is_usable
         self.is_silent = False
         self.free = report.state.free
         for run in self.runs.values():
-            if run.number > self.upto:
-                self.free = self.free.minus(run.need)
+            if run.number > self.highest_number:
+                self.free = self.free.subtract(run.need)
 
 
 class Fleet:
     """Track the workers of one dispatcher and exchange messages with them.
 
     :ivar reset_link: makes the next message to a peer open a new connection
-    :ivar is_broken: returns whether the connection to a peer was closed by the remote end
-    :ivar on_new_life: called when a worker reports with an incarnation unknown so far
+    :ivar is_connection_closed: returns whether the connection to a peer was closed by the remote
+        end
+    :ivar on_new_incarnation: called when a worker reports with an incarnation unknown so far
     """
 
     def __init__(
@@ -199,8 +200,8 @@
         self._on_lost = on_lost
         self._views: dict[str, WorkerView] = {}
         self.reset_link: Callable[[Peer], None] = _ignore_peer
-        self.is_broken: Callable[[Peer], bool] = _assume_open
-        self.on_new_life: Callable[[], None] = _do_nothing
+        self.is_connection_closed: Callable[[Peer], bool] = _assume_open
+        self.on_new_incarnation: Callable[[], None] = _do_nothing
         self._known: Set[str] = frozenset()
         self._outbox: dict[Peer, list[RunOrder]] = {}
 
@@ -209,7 +210,7 @@
         """Return all known workers."""
         return self._views.values()
 
-    def of_service(self, service: str) -> list[WorkerView]:
+    def owned_workers(self, service: str) -> list[WorkerView]:
         """Return the owned workers of a service that are not evacuated, silent ones included.
 
         The service is the one in a worker's last report.
@@ -220,7 +221,7 @@
             if view.is_owned and not view.is_evacuated and view.state.service == service
         ]
 
-    def former_of(self, service: str) -> list[WorkerView]:
+    def disowned_workers(self, service: str) -> list[WorkerView]:
         """Return the workers of a service that other dispatchers own and that are still known.
 
         These were reassigned recently or are used to finish started jobs.
@@ -249,28 +250,30 @@
         for view in self._views.values():
             self._apply_domain(view, view.domain)
 
-    def usable_of(self, service: str) -> list[WorkerView]:
+    def usable_workers(self, service: str) -> list[WorkerView]:
         """Return the owned workers of a service that accept new runs."""
-        return [view for view in self.of_service(service) if view.is_usable]
+        return [view for view in self.owned_workers(service) if view.is_usable]
 
     @property
-    def is_gathering(self) -> bool:
+    def expects_reports(self) -> bool:
         """Whether reports are expected shortly from owned workers that are silent now."""
         now = self._clock.now()
         return any(
-            view.is_owned and view.is_silent and now - max(view.heard_ms, view.known_ms) < GATHER_MS
+            view.is_owned
+            and view.is_silent
+            and now - max(view.heard_ms, view.known_ms) < STARTUP_REPORT_MS
             for view in self._views.values()
         )
 
     @property
-    def unseen(self) -> int:
+    def new_worker_count(self) -> int:
         """Return the number of newly listed workers that may become usable soon."""
         now = self._clock.now()
         return sum(
             view.is_owned
             and not view.was_usable
             and not view.is_evacuated
-            and now - view.known_ms < GATHER_MS
+            and now - view.known_ms < STARTUP_REPORT_MS
             for view in self._views.values()
         )
 
@@ -305,7 +308,7 @@
                 self._apply_domain(view, known[address])
         self.renew()
 
-    def borrow(self, addresses: Iterable[str]) -> None:
+    def use_temporarily(self, addresses: Iterable[str]) -> None:
         """Use workers of other dispatchers for a limited time to finish started jobs."""
         now = self._clock.now()
         for address in addresses:
@@ -316,7 +319,7 @@
             view.disowned_ms = now
         self.renew()
 
-    def list_unlisted(self) -> tuple[str, ...]:
+    def list_unregistered(self) -> tuple[str, ...]:
         """Return the addresses of owned workers that the store no longer lists.
 
         They are those missing from ``known`` at the last :meth:`set_owned`.
@@ -327,11 +330,11 @@
             if view.is_owned and address not in self._known
         )
 
-    def is_closed(self, address: str) -> bool:
+    def is_worker_connection_closed(self, address: str) -> bool:
         """Return whether the connection to an executor was closed by the executor's end."""
-        return self.is_broken(Peer(address, ANY_INCARNATION))
+        return self.is_connection_closed(Peer(address, ANY_INCARNATION))
 
-    def find_silence(self, address: str) -> float | None:
+    def find_silent_since(self, address: str) -> float | None:
         """Return the clock time in ms of a silent worker's last report.
 
         Return None if the worker is unknown, has never reported, or isn't silent.
@@ -341,14 +344,14 @@
             return None
         return view.heard_ms
 
-    def note_written(self, address: str) -> None:
+    def handle_key_written(self, address: str) -> None:
         """Reconnect to a silent worker that has just written its key, as it is up again."""
         view = self._views.get(address)
         if view is not None and view.is_silent:
             self.reset_link(view.peer)
             self._renew(view, self._clock.now())
 
-    def order(self, view: WorkerView, order: RunOrder, owner: object) -> None:
+    def queue_run(self, view: WorkerView, order: RunOrder, owner: object) -> None:
         """Reserve capacity at a worker and queue a run for the next message to it.
 
         :param owner: object that the caller associates with the run
@@ -364,7 +367,7 @@
         for peer, orders in outbox.items():
             view = self._views[peer.address]
             view.note_sent(now)
-            self._send(peer, StartRuns(view.echo_ms, tuple(orders), evacuations))
+            self._send(peer, StartRuns(view.worker_clock_ms, tuple(orders), evacuations))
 
     def stop(self, runs: Iterable[tuple[WorkerView, int]]) -> None:
         """Ask workers to stop runs, in one message to each worker.
@@ -403,8 +406,8 @@
                 },
             )
         self._mark_evacuated(view, report.state.domain)
-        view.take(report, now)
-        if view.runs and view.echo_ms - view.echoed_ms >= RENEW_MS:
+        view.update(report, now)
+        if view.runs and view.worker_clock_ms - view.sent_worker_clock_ms >= RENEWAL_INTERVAL_MS:
             # Idle workers get renewals less often: the lease may be about to expire.
             self._renew(view, now)
         return view
@@ -421,19 +424,19 @@
         now = self._clock.now()
         for view in list(self._views.values()):
             silent_ms = now - max(view.heard_ms, view.known_ms)
-            unanswered_ms = now - view.asked_ms if view.asked_ms else 0.0
-            is_unreachable = unanswered_ms > SUSPECT_MS or self.is_broken(view.peer)
+            unanswered_ms = now - view.unanswered_since_ms if view.unanswered_since_ms else 0.0
+            is_unreachable = unanswered_ms > SILENT_AFTER_MS or self.is_connection_closed(view.peer)
             if is_unreachable and not view.is_silent:
                 self._mark_silent(view, unanswered_ms)
-            if view.runs and now - view.heard_ms > LOST_MS:
+            if view.runs and now - view.heard_ms > RUNS_LOST_AFTER_MS:
                 self._give_up_runs(view, "worker_silent")
             if not view.runs and self._is_removable(view, silent_ms, now):
                 del self._views[view.peer.address]
                 _LOG.info("worker removed", extra={"fields": (("worker", view.peer.address),)})
                 continue
-            interval_ms = RENEW_MS if view.runs else IDLE_RENEW_MS
+            interval_ms = RENEWAL_INTERVAL_MS if view.runs else IDLE_RENEWAL_INTERVAL_MS
             if view.is_silent:
-                interval_ms = SEEK_MS
+                interval_ms = SILENT_RENEWAL_INTERVAL_MS
                 self._reset_if_due(view, now)
             if now - view.renewed_ms >= interval_ms:
                 self._renew(view, now)
@@ -441,8 +444,8 @@
     @staticmethod
     def _is_removable(view: WorkerView, silent_ms: float, now: float) -> bool:
         if not view.is_owned:
-            return now - view.disowned_ms > FORMER_MS
-        return silent_ms > FORGET_MS and not view.is_listed
+            return now - view.disowned_ms > DISOWNED_USE_MS
+        return silent_ms > REMOVE_AFTER_MS and not view.is_listed
 
     def _mark_evacuated(self, view: WorkerView, domain: str) -> None:
         """Set whether a worker is evacuated; all are until the evacuated domains are known."""
@@ -468,12 +471,12 @@
         numbers = [run.number for run in view.runs.values() if run.sent_ms < listed_before]
         upto = max(numbers, default=0)
         evacuations = self._evacuations.tell()
-        message = RenewRuns(view.echo_ms, tuple(numbers), upto, view.is_listed, evacuations)
+        message = RenewRuns(view.worker_clock_ms, tuple(numbers), upto, view.is_listed, evacuations)
         self._send(view.peer, message)
 
     def _reset_if_due(self, view: WorkerView, now: float) -> None:
         """Reopen the connection if it is due: the old one may be dead without notice."""
-        if now - max(view.reset_ms, view.heard_ms, view.known_ms) > RESET_MS:
+        if now - max(view.reset_ms, view.heard_ms, view.known_ms) > LINK_RESET_MS:
             view.reset_ms = now
             self.reset_link(view.peer)
 
@@ -498,11 +501,11 @@
         """
         if view.peer.incarnation != ANY_INCARNATION:
             _LOG.warning("worker replaced", extra={"fields": (("worker", sender.address),)})
-        self.on_new_life()
+        self.on_new_incarnation()
         view.peer = sender
-        view.echo_ms = 0.0
-        view.echoed_ms = 0.0
-        view.upto = 0
+        view.worker_clock_ms = 0.0
+        view.sent_worker_clock_ms = 0.0
+        view.highest_number = 0
         view.is_usable = False
 
     def _give_up_runs(self, view: WorkerView, reason: str) -> None:
--- a/geraniumspool/forwarded_jobs.py
+++ b/geraniumspool/forwarded_jobs.py
@@ -191,7 +191,7 @@
             entry.keep_lost(number)
             return
         self._answer(entry, number, JobResult(JobOutcome.GONE, "caller_gone"))
-        self._dispatcher.leave_job(job)
+        self._dispatcher.remove_waiter(job)
 
     def _renew_lease(self, sender: Peer, echo_ms: float) -> Entry:
         entry = self._entries.get(sender)
--- a/geraniumspool/groups.py
+++ b/geraniumspool/groups.py
@@ -30,7 +30,7 @@
     capacity: float
 
 
-class Site(NamedTuple):
+class WorkerLocation(NamedTuple):
     """Service and location of a worker."""
 
     service: str
@@ -38,8 +38,10 @@
     rack: str
 
 
-def divide(
-    members: list[Owner], workers: Mapping[str, Site], group_workers: float = GROUP_WORKERS
+def assign_workers(
+    members: list[Owner],
+    workers: Mapping[str, WorkerLocation],
+    group_workers: float = GROUP_WORKERS,
 ) -> dict[str, str]:
     """Return the address of the owner of each worker of one service.
 
@@ -57,7 +59,7 @@
     sizes = {owner.address: _group_size(owner, group_workers) for owner in owners}
     total = sum(sizes.values())
     quota = {address: -int(-len(workers) * size // total) for address, size in sizes.items()}
-    rankings: dict[Site, list[Owner]] = {}
+    rankings: dict[WorkerLocation, list[Owner]] = {}
     assignment: dict[str, str] = {}
     for address in sorted(workers, key=_hash):
         site = workers[address]
@@ -107,7 +109,7 @@
     return min(group_workers, WORKERS_PER_CORE * owner.capacity)
 
 
-def _rank_owners(site: Site, owners: list[Owner]) -> list[Owner]:
+def _rank_owners(site: WorkerLocation, owners: list[Owner]) -> list[Owner]:
     """Return the owners in a site's order of preference, by rendezvous hashing."""
     location = f"{site.domain}/{site.rack}/"
     return sorted(
--- a/geraniumspool/job_admission.py
+++ b/geraniumspool/job_admission.py
@@ -17,14 +17,14 @@
 from geraniumspool.urgency import Outlook
 
 # Time within which about all workers are back after a power loss.
-GATHERING_MS = 250.0
+POWER_LOSS_RECOVERY_MS = 250.0
 # Retry delay for callers whose job no known worker can serve.
 NO_WORKER_RETRY_MS = 1_000.0
 # Assumed run time if the dispatcher has no queued or running tasks to derive it from.
-UNKNOWN_RUN_MS = 400.0
+DEFAULT_MEAN_RUN_MS = 400.0
 # Upper bound of predicted waits. Callers wait for 15 s at most, so that a longer prediction
 # carries no more information.
-LONGEST_WAIT_MS = 60_000.0
+MAX_PREDICTED_WAIT_MS = 60_000.0
 # On average a full worker leaves capacity for half a task unused because the next task doesn't
 # fit.
 UNUSED_SHARE = 0.5
@@ -51,7 +51,7 @@
     unseen: int = 0
 
 
-def judge(
+def check_admission(
     job: DispatchJob, backlog: Backlog, policy: DispatchPolicy, now: float
 ) -> JobResult | None:
     """Return a refusal, or None if the job is accepted.
@@ -61,23 +61,23 @@
     refusal = _check_service(job, backlog)
     if refusal is not None:
         return refusal
-    left_ms = job.left_ms()
-    inputs = [("workers", len(backlog.workers)), ("left_ms", round(left_ms))]
+    remaining_run_ms = job.remaining_run_ms()
+    inputs = [("workers", len(backlog.workers)), ("left_ms", round(remaining_run_ms))]
     waiting = backlog.waiting
     if backlog.workers:
-        outlook = find_outlook(job, _sum_ahead(job, waiting, policy, now), backlog)
+        outlook = predict_outlook(job, _sum_ahead(job, waiting, policy, now), backlog)
     else:
-        outlook = Outlook(False, 0.0, 0.0, 1.0, 1.0, GATHERING_MS)
-    job.predicted_wait_ms = min(outlook.wait_ms, LONGEST_WAIT_MS)
+        outlook = Outlook(False, 0.0, 0.0, 1.0, 1.0, POWER_LOSS_RECOVERY_MS)
+    job.predicted_wait_ms = min(outlook.wait_ms, MAX_PREDICTED_WAIT_MS)
     job.wait_factor = outlook.factor
     is_refused = policy.is_refused(job, outlook, waiting, now)
     inputs += [(name, round(value, 1)) for name, value in outlook._asdict().items()]
     inputs.append(("delay_ms", round(job.predicted_wait_ms)))
     inputs.append(("objective_ms", round(job.timing.objective_ms)))
-    retry_ms = urgency.choose_retry(job.predicted_wait_ms)
+    retry_ms = urgency.choose_retry_delay(job.predicted_wait_ms)
     if is_refused:
         return JobResult(JobOutcome.REFUSED, "overload", retry_ms, tuple(inputs))
-    if left_ms > job.timing.limit_ms:
+    if remaining_run_ms > job.timing.timeout_ms:
         return JobResult(JobOutcome.REFUSED, "deadline", retry_ms, tuple(inputs))
     return None
 
@@ -96,7 +96,7 @@
     return QueuedWork(tuple(in_time), tuple(late))
 
 
-def find_outlook(job: DispatchJob, ahead: float, backlog: Backlog) -> Outlook:
+def predict_outlook(job: DispatchJob, ahead: float, backlog: Backlog) -> Outlook:
     """Return the predicted queueing conditions of a job.
 
     :param ahead: queued work of this process that is served before the job, in thousandths
@@ -105,7 +105,7 @@
     workers = backlog.workers
     queued = backlog.queued
     level = job.level
-    need = job.pending_cpu()
+    need = job.ready_cpu()
     task_cpu = max((step.spec.need.cpu for step in job.ready_steps()), default=0)
     capacity = _usable_capacity(backlog, task_cpu)
     free = sum(_round_to_tasks(view.free.cpu, task_cpu) for view in workers)
@@ -137,7 +137,7 @@
     loss for lack of workers that are available a moment later.
     """
     workers = backlog.workers
-    capacity = sum(max(0.0, view.room.cpu - task_cpu * UNUSED_SHARE) for view in workers)
+    capacity = sum(max(0.0, view.capacity.cpu - task_cpu * UNUSED_SHARE) for view in workers)
     return capacity * (1 + backlog.unseen / len(workers))
 
 
@@ -150,28 +150,28 @@
     """Return the predicted time in ms until the missing CPU capacity becomes free."""
     if missing <= 0:
         return 0.0
-    freed_per_ms = capacity / measure_run((job, *backlog.jobs))
+    freed_per_ms = capacity / mean_run_ms((job, *backlog.jobs))
     return missing / freed_per_ms if freed_per_ms else math.inf
 
 
 def _check_service(job: DispatchJob, backlog: Backlog) -> JobResult | None:
     """Return a refusal if the known workers cannot serve a job at any load, else None."""
-    retry_ms = urgency.choose_retry(NO_WORKER_RETRY_MS)
+    retry_ms = urgency.choose_retry_delay(NO_WORKER_RETRY_MS)
     if not backlog.workers:
         if backlog.is_gathering:
             return None
         return JobResult(JobOutcome.REFUSED, "no_worker", retry_ms)
-    if not has_room(job, backlog.workers):
+    if not fits_workers(job, backlog.workers):
         return JobResult(JobOutcome.REFUSED, "no_capacity", retry_ms)
     return None
 
 
-def has_room(job: DispatchJob, workers: list[WorkerView]) -> bool:
+def fits_workers(job: DispatchJob, workers: list[WorkerView]) -> bool:
     """Return whether each step of a job has a worker that can run its tasks when idle."""
-    return all(any(packing.may_run(view, step.spec) for view in workers) for step in job.steps)
+    return all(any(packing.can_run(view, step.spec) for view in workers) for step in job.steps)
 
 
-def measure_run(jobs: Iterable[DispatchJob]) -> float:
+def mean_run_ms(jobs: Iterable[DispatchJob]) -> float:
     """Return the mean run time of the tasks of some jobs in ms, weighted by CPU.
 
     It is the harmonic mean, on the assumption that all workers run the same mix of tasks.
@@ -186,4 +186,4 @@
             cpu = job.steps[placed.task.step].spec.need.cpu
             total_cpu += cpu
             rate += cpu / placed.run_ms
-    return total_cpu / rate if rate else UNKNOWN_RUN_MS
+    return total_cpu / rate if rate else DEFAULT_MEAN_RUN_MS
--- a/geraniumspool/job_claims.py
+++ b/geraniumspool/job_claims.py
@@ -400,7 +400,7 @@
 
     def _ask_arbiter(self, claim: OpenClaim, address: str, now: float) -> None:
         claim.asked[address] = now
-        left_ms = claim.owner.claim_left_ms(now)
+        left_ms = claim.owner.remaining_claim_ms(now)
         message = Claim(claim.number, claim.job_id, left_ms, claim.rank)
         if address == self._me.address:
             self._apply_verdict(claim, address, self.table.decide(self._me, message))
@@ -490,7 +490,7 @@
         """Send a new arbiter the complete list of the claims that it decides on."""
         now = self._clock.now()
         claims = tuple(
-            Claim(claim.number, claim.job_id, claim.owner.claim_left_ms(now), claim.rank)
+            Claim(claim.number, claim.job_id, claim.owner.remaining_claim_ms(now), claim.rank)
             for claim in self._by_number.values()
             if peer.address in claim.arbiters
         )
--- a/geraniumspool/job_placer.py
+++ b/geraniumspool/job_placer.py
@@ -7,15 +7,15 @@
 from geraniumspool import packing, urgency
 from geraniumspool.contracts import Clock
 from geraniumspool.crash_blame import CrashBlame
-from geraniumspool.dispatch_job import DispatchJob, Placed, Step, TaskId, log_job
+from geraniumspool.dispatch_job import DispatchJob, PlacedRun, Step, TaskId, log_job
 from geraniumspool.dispatch_policy import DispatchPolicy
 from geraniumspool.fleet import Fleet, WorkerView
-from geraniumspool.packing import PlaceRequest
+from geraniumspool.packing import PlacementRequest
 from geraniumspool.run_messages import RunOrder
 
 # Time for which a full worker queues a run before it refuses it. Zero, so that the task is
 # placed at once on a worker with free capacity.
-PATIENCE_MS = 0.0
+WORKER_QUEUE_MS = 0.0
 
 
 class JobPlacer:
@@ -38,13 +38,13 @@
 
     def place(self, job: DispatchJob, now: float) -> bool:
         """Place as many pending tasks of a job as fit; return whether all were placed."""
-        workers = self._fleet.of_service(job.queue.service)
-        if not workers and job.was_ordered:
+        workers = self._fleet.owned_workers(job.queue.service)
+        if not workers and job.may_have_started:
             # The workers were reassigned to another dispatcher; a started job is still
             # finished on them.
-            workers = self._fleet.former_of(job.queue.service)
+            workers = self._fleet.disowned_workers(job.queue.service)
         lateness = self._policy.rank(job, now).lateness
-        allowed_ms = urgency.allowed_end(job.timing, lateness, job.was_ordered)
+        allowed_ms = urgency.allowed_end_ms(job.timing, lateness, job.may_have_started)
         within_ms = job.timing.arrived_ms + allowed_ms - now
         placed: dict[str, int] = {}
         for number, step in enumerate(job.steps):
@@ -52,7 +52,7 @@
                 continue
             self._place_step(job, number, step, workers, within_ms, placed)
         if placed:
-            job.was_ordered = True
+            job.may_have_started = True
             log_job(
                 "runs ordered",
                 job,
@@ -60,7 +60,7 @@
                 waited_ms=round(now - job.timing.arrived_ms),
                 lateness=lateness,
             )
-        return not job.has_pending
+        return not job.has_ready_tasks
 
     def _place_step(
         self,
@@ -71,15 +71,17 @@
         within_ms: float,
         placed: dict[str, int],
     ) -> None:
-        request = PlaceRequest(step.spec, step.expected_ms, within_ms, self._domain, step.taken)
+        request = PlacementRequest(
+            step.spec, step.expected_ms, within_ms, self._domain, step.runs_by_worker
+        )
         for _ in range(len(step.pending)):
             task = TaskId(number, step.pending[0])
             excluded = job.failed_at.get(task)
             allowed = [view for view in workers if id(view) != excluded] if excluded else workers
             if self._blame.is_suspect(job.task_name(task)):
-                place = self._policy.choose(self._without_suspects(allowed), request)
+                place = self._policy.choose_worker(self._without_suspects(allowed), request)
             else:
-                place = self._policy.choose(allowed or workers, request)
+                place = self._policy.choose_worker(allowed or workers, request)
             if place is None:
                 return
             step.pending.popleft()
@@ -101,7 +103,9 @@
             )
         ]
 
-    def _start_run(self, job: DispatchJob, task: TaskId, step: Step, place: packing.Place) -> None:
+    def _start_run(
+        self, job: DispatchJob, task: TaskId, step: Step, place: packing.WorkerChoice
+    ) -> None:
         now = self._clock.now()
         view = place.worker
         order = RunOrder(
@@ -112,12 +116,12 @@
             step.spec.need,
             step.expected_ms,
             job.timing.latest_start(step.chain_ms) - now,
-            PATIENCE_MS,
-            job.timing.arrived_ms + job.timing.limit_ms - now,
+            WORKER_QUEUE_MS,
+            job.timing.arrived_ms + job.timing.timeout_ms - now,
             job.fence_rank,
         )
         self._next_number += 1
-        placed = Placed(job, task, view, place.run_ms)
+        placed = PlacedRun(job, task, view, place.run_ms)
         job.runs[order.number] = placed
-        step.taken[id(view)] = step.taken.get(id(view), 0) + 1
-        self._fleet.order(view, order, placed)
+        step.runs_by_worker[id(view)] = step.runs_by_worker.get(id(view), 0) + 1
+        self._fleet.queue_run(view, order, placed)
--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -18,16 +18,16 @@
 from geraniumspool.contracts import Clock, Counters
 from geraniumspool.dispatch_job import DispatchJob
 from geraniumspool.dispatcher import (
-    ANSWER_MARGIN_MS,
-    DEFAULT_WAIT_MS,
+    DEFAULT_TIMEOUT_MS,
     HELD_ELSEWHERE,
+    RESULT_MARGIN_MS,
     Dispatcher,
 )
 from geraniumspool.dispatcher_peers import DispatcherPeers, PeerView
 from geraniumspool.evacuations import Evacuations
-from geraniumspool.fleet import GATHER_MS, LOST_MS
+from geraniumspool.fleet import RUNS_LOST_AFTER_MS, STARTUP_REPORT_MS
 from geraniumspool.forwarded_jobs import LEASE_OVER, NOT_RECEIVED, ForwardedJobs
-from geraniumspool.job_admission import GATHERING_MS, NO_WORKER_RETRY_MS
+from geraniumspool.job_admission import NO_WORKER_RETRY_MS, POWER_LOSS_RECOVERY_MS
 from geraniumspool.job_claims import JobClaims
 from geraniumspool.job_messages import (
     DispatcherReport,
@@ -38,7 +38,7 @@
 )
 from geraniumspool.job_specs import JobOutcome, JobResult, JobSpec
 from geraniumspool.messages import Message, Peer
-from geraniumspool.owner_choice import Option
+from geraniumspool.owner_choice import OwnerOption
 from geraniumspool.queues import Queue
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS
 
@@ -64,7 +64,7 @@
 MAX_TRIES = 2
 # The connection to a dispatcher that is silent for this long is reopened. Each side does so, as
 # a broken connection may still carry messages one way.
-RESET_MS = 900.0
+LINK_RESET_MS = 900.0
 
 # Codes of refusals after which another dispatcher may still take the job.
 _RETRIABLE_CODES = frozenset(
@@ -99,7 +99,7 @@
 
     All times are readings of this process's clock in milliseconds.
 
-    :ivar wait_ms: how long its caller waits for an answer, in milliseconds
+    :ivar timeout_ms: how long its caller waits for an answer, in milliseconds
     :ivar version: version of the configuration that ``queue`` is from
     :ivar number: number of the last message that forwarded it, 0 before the first
     :ivar owner: dispatcher that it was forwarded to, None while this one places or holds it
@@ -115,14 +115,14 @@
     :ivar result: how it ended, None before
     """
 
-    def __init__(self, spec: JobSpec, queue: Queue, wait_ms: float, version: int, now: float):
+    def __init__(self, spec: JobSpec, queue: Queue, timeout_ms: float, version: int, now: float):
         """Initialize a job that has just arrived.
 
         :param now: current time in milliseconds
         """
         self.spec = spec
         self.queue = queue
-        self.wait_ms = wait_ms
+        self.timeout_ms = timeout_ms
         self.version = version
         self.arrived_ms = now
         self.number = 0
@@ -191,7 +191,7 @@
         # a process has started.
         self._owner_seen_ms = clock.now()
         self._had_loads = False
-        dispatcher.find_capacity = self._find_capacity
+        dispatcher.get_remote_capacity = self._find_capacity
 
     @property
     def has_workers(self) -> bool:
@@ -208,11 +208,11 @@
         return not self._jobs and self._dispatcher.is_idle
 
     def submit(
-        self, spec: JobSpec, queue: Queue, wait_ms: float, version: int = 0
+        self, spec: JobSpec, queue: Queue, timeout_ms: float, version: int = 0
     ) -> JobResult | RoutedJob:
         """Accept a job, join it to the one with the same id, or refuse it.
 
-        :param wait_ms: how long the caller waits, in milliseconds; 0 if it does not say
+        :param timeout_ms: how long the caller waits, in milliseconds; 0 if it does not say
         :param version: version of the configuration that the queue is from
         :returns: the job to wait for, or the refusal
         """
@@ -220,25 +220,25 @@
         if existing is not None:
             existing.waiters += 1
             return existing
-        if self._dispatcher.knows(spec.job_id) or spec.unsupported:
-            return self._dispatcher.submit(spec, queue, wait_ms, version)
+        if self._dispatcher.has_job(spec.job_id) or spec.unsupported:
+            return self._dispatcher.submit(spec, queue, timeout_ms, version)
         option = self._choose_owner(spec, queue, set())
         now = self._clock.now()
         if option is not None:
             self._owner_seen_ms = now
         if self._is_placed_locally(option, now):
-            return self._dispatcher.submit(spec, queue, wait_ms, version)
-        refusal = self._dispatcher.judge_end(spec, queue)
+            return self._dispatcher.submit(spec, queue, timeout_ms, version)
+        refusal = self._dispatcher.refuse_if_exiting(spec, queue)
         if refusal is not None:
             return refusal
-        job = ForwardedJob(spec, queue, wait_ms or DEFAULT_WAIT_MS, version, now)
+        job = ForwardedJob(spec, queue, timeout_ms or DEFAULT_TIMEOUT_MS, version, now)
         if option is None:
             return self._hold(job)
         self._jobs[spec.job_id] = job
         self._forward(job, option)
         return job
 
-    def _is_placed_locally(self, option: Option | None, now: float) -> bool:
+    def _is_placed_locally(self, option: OwnerOption | None, now: float) -> bool:
         """Return whether the dispatcher of this process gets a new job, if only to refuse it.
 
         :param option: the chosen owner, None if none can take the job
@@ -247,7 +247,7 @@
         if option is not None:
             return option.owner is None
         fleet = self._dispatcher.fleet
-        is_gathering = now - self._owner_seen_ms < GATHER_MS and not self.peers.is_leaving
+        is_gathering = now - self._owner_seen_ms < STARTUP_REPORT_MS and not self.peers.is_leaving
         return fleet.has_owned or fleet.has_evacuated or not is_gathering
 
     def _hold(self, job: ForwardedJob) -> ForwardedJob:
@@ -260,7 +260,7 @@
 
     def _can_hold(self) -> bool:
         """Return whether this process keeps running for as long as a job may be held."""
-        return self._clock.now() + GATHERING_MS < self._dispatcher.ends_ms
+        return self._clock.now() + POWER_LOSS_RECOVERY_MS < self._dispatcher.exit_ms
 
     def _place_held(self, now: float) -> None:
         held, self._held = self._held, []
@@ -272,10 +272,10 @@
                 self._place_locally(job)
             elif option is not None:
                 self._forward(job, option)
-            elif now - job.held_ms < GATHERING_MS:
+            elif now - job.held_ms < POWER_LOSS_RECOVERY_MS:
                 self._held.append(job)
             else:
-                retry_ms = urgency.choose_retry(NO_WORKER_RETRY_MS)
+                retry_ms = urgency.choose_retry_delay(NO_WORKER_RETRY_MS)
                 self._finish(job, JobResult(JobOutcome.REFUSED, "no_worker", retry_ms))
 
     def wait(self, job: RoutedJob) -> JobResult:
@@ -289,8 +289,8 @@
         spec, queue = job.spec, job.queue
         if spec.job_id in self._jobs:
             return self.wait(self._jobs[spec.job_id])
-        wait_ms = job.timing.limit_ms + ANSWER_MARGIN_MS
-        rerouted = ForwardedJob(spec, queue, wait_ms, 0, job.timing.arrived_ms)
+        timeout_ms = job.timing.timeout_ms + RESULT_MARGIN_MS
+        rerouted = ForwardedJob(spec, queue, timeout_ms, 0, job.timing.arrived_ms)
         rerouted.waiters = job.waiters
         if result.holder:
             self._jobs[spec.job_id] = rerouted
@@ -318,7 +318,7 @@
         if isinstance(job, DispatchJob):
             found = self._jobs.get(job.spec.job_id)
         if found is None:
-            self._dispatcher.leave_job(job)
+            self._dispatcher.remove_waiter(job)
             return
         found.waiters -= 1
         if found.waiters <= 0 and found.result is None:
@@ -346,7 +346,7 @@
         """End every job as unfinished, as the process is about to exit."""
         for job in list(self._jobs.values()):
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "process_stops"))
-        self._dispatcher.abandon()
+        self._dispatcher.abort_jobs()
 
     def take_members(self) -> None:
         """Update the groups of workers after a change of the registered members."""
@@ -394,7 +394,7 @@
         if sender.address in self.peers.views:
             self.peers.find(sender)
 
-    def run_ticks(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Send reports and enforce leases and deadlines, forever."""
         while True:
             self._clock.sleep(TICK_MS)
@@ -406,18 +406,18 @@
             for job in list(self._jobs.values()):
                 self._check_deadline_and_owner(job, now)
 
-    def _choose_owner(self, spec: JobSpec, queue: Queue, tried: set[str]) -> Option | None:
+    def _choose_owner(self, spec: JobSpec, queue: Queue, tried: set[str]) -> OwnerOption | None:
         service = queue.service
         options = [
-            Option(view, view.record.domain, load, view.sent_work.get(service, 0.0))
+            OwnerOption(view, view.record.domain, load, view.sent_work.get(service, 0.0))
             for view in self.peers.owners()
             if (load := view.loads.get(service)) and view.peer.address not in tried
         ]
         if not self.peers.is_leaving and HERE not in tried:
             own = self._dispatcher.describe_load(service)
-            options.append(Option(None, self._domain, own))
+            options.append(OwnerOption(None, self._domain, own))
         request = owner_choice.describe_job(spec, queue)
-        return owner_choice.choose_option(options, request, self._domain)
+        return owner_choice.choose_owner(options, request, self._domain)
 
     def _follow_claim(self, job: ForwardedJob, result: JobResult) -> None:
         """Send a job to the dispatcher that holds its claim, to join the job there."""
@@ -438,11 +438,11 @@
         view = self.peers.views.get(holder)
         if view is not None and view.is_reachable(self._clock.now()):
             load = view.loads.get(job.queue.service, ServiceLoad(job.queue.service, 0.0, 0.0, 0.0))
-            self._forward(job, Option(view, view.record.domain, load))
+            self._forward(job, OwnerOption(view, view.record.domain, load))
         else:
             self._place_locally(job)
 
-    def _forward(self, job: ForwardedJob, option: Option) -> None:
+    def _forward(self, job: ForwardedJob, option: OwnerOption) -> None:
         view = option.owner
         now = self._clock.now()
         job.number = self._next_number
@@ -460,7 +460,7 @@
             job.queue,
             job.version,
             now - job.arrived_ms,
-            job.wait_ms,
+            job.timeout_ms,
             view.echo_ms,
         )
         self._send(view.peer, message)
@@ -482,7 +482,7 @@
             return
         if result.code == NOT_RECEIVED:
             job.tried.discard(job.owner_peer.address)
-        is_too_late = now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS
+        is_too_late = now - job.arrived_ms >= job.timeout_ms - RESULT_MARGIN_MS
         if len(job.tried) >= MAX_TRIES and result.code not in _GIVEN_BACK_CODES or is_too_late:
             self._finish(job, result)
             return
@@ -500,7 +500,9 @@
         job.tried.add(HERE)
         job.owner = job.owner_peer = None
         age_ms = self._clock.now() - job.arrived_ms
-        submitted = self._dispatcher.submit(job.spec, job.queue, job.wait_ms, job.version, age_ms)
+        submitted = self._dispatcher.submit(
+            job.spec, job.queue, job.timeout_ms, job.version, age_ms
+        )
         if isinstance(submitted, JobResult):
             self._retry(job, submitted)
             return
@@ -544,11 +546,11 @@
         local = job.local
         self._finish(job, result)
         if local is not None:
-            self._dispatcher.leave_job(local)
+            self._dispatcher.remove_waiter(local)
 
     def _check_deadline_and_owner(self, job: ForwardedJob, now: float) -> None:
         """Answer a job whose deadline has passed, and retry one whose owner is lost."""
-        if now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS / 2:
+        if now - job.arrived_ms >= job.timeout_ms - RESULT_MARGIN_MS / 2:
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "deadline"))
             return
         view = job.owner
@@ -559,7 +561,9 @@
             job.heard_ms = max(job.heard_ms, view.heard_ms)
             if view.is_alive(now):
                 return
-        lost_after_ms = LOST_MS if is_replaced else DISPATCHER_LEASE_MS + LOST_MS
+        lost_after_ms = (
+            RUNS_LOST_AFTER_MS if is_replaced else DISPATCHER_LEASE_MS + RUNS_LOST_AFTER_MS
+        )
         if now - job.heard_ms <= lost_after_ms:
             return
         del self._unanswered[job.number]
@@ -577,7 +581,7 @@
         """
         loads = self._dispatcher.describe_loads()
         evacuation_news = self._evacuations.tell()
-        unlisted = self._dispatcher.fleet.list_unlisted()
+        unlisted = self._dispatcher.fleet.list_unregistered()
         has_changed_loads = bool(loads) != self._had_loads
         self._had_loads = bool(loads)
         numbers_by_peer: dict[Peer, list[int]] = {}
@@ -599,7 +603,7 @@
             report = DispatcherReport(
                 now, view.echo_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
             )
-            if view.silent_ms(now) > RESET_MS and now - view.reset_ms > RESET_MS:
+            if view.silent_ms(now) > LINK_RESET_MS and now - view.reset_ms > LINK_RESET_MS:
                 view.reset_ms = now
                 self.reset_link(view.peer)
             self._send(view.peer, report)
@@ -641,7 +645,7 @@
         if has_changed:
             domains = {address: record.domain for address, record in directory.workers.items()}
             self._dispatcher.fleet.set_owned(self.peers.owned, directory.listed, domains)
-            self._dispatcher.return_unowned()
+            self._dispatcher.refuse_without_workers()
 
     def _find_capacity(self, service: str) -> float:
         """Return the processor room of a service at other owners, in thousandths of a core."""
@@ -656,9 +660,9 @@
     return job.arrived_ms if isinstance(job, ForwardedJob) else job.timing.arrived_ms
 
 
-def _has_room(option: Option, job: ForwardedJob) -> bool:
+def _has_room(option: OwnerOption, job: ForwardedJob) -> bool:
     request = owner_choice.describe_job(job.spec, job.queue)
-    return owner_choice.predict_wait(option, request) <= 0
+    return owner_choice.predict_wait_ms(option, request) <= 0
 
 
 def _ignore_reset(_peer: Peer) -> None:
--- a/geraniumspool/job_specs.py
+++ b/geraniumspool/job_specs.py
@@ -3,7 +3,7 @@
 import enum
 from typing import NamedTuple
 
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 
 
 class StepSpec(NamedTuple):
@@ -20,7 +20,7 @@
     """
 
     count: int
-    need: Room
+    need: Resources
     declared_ms: float = 0.0
     after: tuple[int, ...] = ()
     label: str = ""
--- a/geraniumspool/link.py
+++ b/geraniumspool/link.py
@@ -125,7 +125,7 @@
         self._socket.close()
 
     @property
-    def is_broken(self) -> bool:
+    def is_connection_closed(self) -> bool:
         """Whether it was connected and is not any more."""
         is_open = bool(self._socket.pipes)
         self._was_open = self._was_open or is_open
@@ -268,10 +268,10 @@
             link.close()
             self._counters.add("links_reset")
 
-    def is_broken(self, peer: Peer) -> bool:
+    def is_connection_closed(self, peer: Peer) -> bool:
         """Return whether the connection to a peer is closed; see :class:`~contracts.Messenger`."""
         link = self._links.get(peer.address)
-        return link is not None and link.is_broken
+        return link is not None and link.is_connection_closed
 
     def stop(self) -> None:
         """Close inbox and links, after queued messages had time to leave."""
@@ -450,7 +450,7 @@
         """Take a message that the process sent to itself."""
         eventlet.spawn_n(self._inbound.receive, delivery)
 
-    def is_broken(self, peer: Peer) -> bool:
+    def is_connection_closed(self, peer: Peer) -> bool:
         """Return whether the process of a peer has ended."""
         return self._network.has_left(peer.address)
 
--- a/geraniumspool/memory_minion.py
+++ b/geraniumspool/memory_minion.py
@@ -15,11 +15,11 @@
     StartOutcome,
 )
 from geraniumspool.errors import Fenced, MinionDown, MinionReplaced, MinionSilent
-from geraniumspool.rooms import NO_ROOM, Room
+from geraniumspool.rooms import NO_RESOURCES, Resources
 from geraniumspool.run_leases import LONGEST_LEASE_MS
 from geraniumspool.run_messages import RUN_DONE, RUN_FAILED, RUN_LAPSED, RUN_STOPPED
 
-DEFAULT_ROOM = Room(10_000, 10_000)
+DEFAULT_CAPACITY = Resources(10_000, 10_000)
 # Interval at which a waiting poll checks for ended runs.
 LOOK_STEP_MS = 5.0
 STOP_MS = 20.0
@@ -65,7 +65,7 @@
 
 
 class _Running:
-    def __init__(self, key: RunKey, need: Room, run_ms: float, now: float):
+    def __init__(self, key: RunKey, need: Resources, run_ms: float, now: float):
         self.key = key
         self.need = need
         self.run_ms = run_ms
@@ -103,7 +103,7 @@
         self,
         clock: Clock,
         instance: str = "i-1",
-        room: Room = DEFAULT_ROOM,
+        resources: Resources = DEFAULT_CAPACITY,
         seed: int = 1,
         longest_stop_ms: float | None = None,
     ):
@@ -111,7 +111,7 @@
 
         :param clock: source of time
         :param instance: name of the minion
-        :param room: total capacity
+        :param resources: total capacity
         :param seed: seed for lost calls and, with ``longest_stop_ms``, for the duration of stops
         :param longest_stop_ms: if given, each stop takes a random time up to this
         """
@@ -120,7 +120,7 @@
         self._random = random.Random(seed)
         labels, started_unix_ms = ("a", "r1"), round(clock.now())
         self.life = MinionLife(
-            instance, "fitting", "127.0.0.1:1", room, labels, False, 1, started_unix_ms
+            instance, "fitting", "127.0.0.1:1", resources, labels, False, 1, started_unix_ms
         )
         self._running: dict[RunKey, _Running] = {}
         self._ended: list[ListedEnd] = []
@@ -132,7 +132,7 @@
         self._scripted: list[Scripted] = []
         self.silent = False
         self.slow_factor = 1.0
-        self.most_used = NO_ROOM
+        self.most_used = NO_RESOURCES
         self.started: list[RunKey] = []
         self.spent: dict[str, float] = {}
         self.loss = 0.0
@@ -159,10 +159,10 @@
         """Whether the minion has crashed and has not restarted yet."""
         return self._clock.now() < self._restart_ms
 
-    def resize(self, room: Room) -> None:
+    def resize(self, resources: Resources) -> None:
         """Change the total capacity at once, even below what is in use."""
         self._resized_ms = self._clock.now()
-        self.life = self.life._replace(room=room, sequence=self.life.sequence + 1)
+        self.life = self.life._replace(resources=resources, sequence=self.life.sequence + 1)
 
     @property
     def clock_ms(self) -> float:
@@ -324,7 +324,7 @@
             return StartAnswer(StartOutcome.LATE, self.clock_ms)
         self._extend(lease_until_ms)
         cpu, run_ms, *behavior = payload.split(":")
-        run = _Running(key, Room(int(cpu)), float(run_ms) * self.slow_factor, now)
+        run = _Running(key, Resources(int(cpu)), float(run_ms) * self.slow_factor, now)
         if behavior == ["fail"]:
             run.how = RUN_FAILED
         elif self.fails_all:
@@ -337,9 +337,9 @@
             self._clock.after(CRASH_AFTER_MS, lambda: self._crash(key))
         self._running[key] = run
         self.started.append(key)
-        used = Room(sum(other.need.cpu for other in self._running.values()))
+        used = Resources(sum(other.need.cpu for other in self._running.values()))
         self.most_used = max(self.most_used, used)
-        if not self.life.room.fits(used) and now - self._resized_ms > TOLD_MS:
+        if not self.life.resources.fits(used) and now - self._resized_ms > TOLD_MS:
             self.crowded.append(key)
         return StartAnswer(StartOutcome.STARTED, self.clock_ms)
 
--- a/geraniumspool/minion_lives.py
+++ b/geraniumspool/minion_lives.py
@@ -219,15 +219,15 @@
             life.is_described = True
             self._reporter.tell_all()
             eventlet.spawn_n(self.on_life, report)
-        if report.draining != previous.draining or report.room != previous.room:
+        if report.draining != previous.draining or report.resources != previous.resources:
             _LOG.info(
                 "minion changed",
                 extra={
                     "fields": (
                         *_life_fields(report),
                         ("draining", report.draining),
-                        ("cpu", report.room.cpu),
-                        ("memory_mb", report.room.memory_mb),
+                        ("cpu", report.resources.cpu),
+                        ("memory_mb", report.resources.memory_mb),
                         ("used_cpu", self._table.used.cpu),
                     )
                 },
@@ -243,7 +243,7 @@
             # report.
             eventlet.spawn_n(self.on_life, report)
         for run in self._table.waiting():
-            if not report.room.fits(run.order.need):
+            if not report.resources.fits(run.order.need):
                 self._ends.refuse(run, "too_large")
         self.starts.fill()
 
--- a/geraniumspool/open_claim.py
+++ b/geraniumspool/open_claim.py
@@ -16,7 +16,7 @@
     def claim_id(self) -> str:
         """Return the job's id."""
 
-    def claim_left_ms(self, now: float) -> float:
+    def remaining_claim_ms(self, now: float) -> float:
         """Return the time within which every run of the job will have ended, in milliseconds."""
 
 
--- a/geraniumspool/owner_choice.py
+++ b/geraniumspool/owner_choice.py
@@ -16,20 +16,20 @@
 
 # Number of owners that are drawn at random, weighted by free capacity, and compared. If the best
 # of all were chosen, every dispatcher would choose the same one until its next load report.
-CHOICES = 2
+SAMPLE_SIZE = 2
 # Time of a message to the owner and back, including decoding at both ends.
-HOP_MS = 2.0
+FORWARD_ROUND_TRIP_MS = 2.0
 # An owner in another failure domain is chosen only if its wait is shorter by this: traffic between
 # failure domains is the most expensive.
-CROSS_MS = 15.0
+CROSS_DOMAIN_PENALTY_MS = 15.0
 # Run time saved near the data: away from it, jobs take at least twice as long, which makes this
 # difference for a typical job.
-AWAY_MS = 100.0
+REMOTE_DATA_PENALTY_MS = 100.0
 # Upper bound of predicted waits.
-FAR_OFF_MS = 60_000.0
+MAX_PREDICTED_WAIT_MS = 60_000.0
 
 
-class Option(NamedTuple):
+class OwnerOption(NamedTuple):
     """A dispatcher that a job may be assigned to.
 
     :param owner: object by which the caller identifies the dispatcher, None for this process
@@ -44,7 +44,7 @@
     sent_work: float = 0.0
 
 
-class Request(NamedTuple):
+class AssignmentRequest(NamedTuple):
     """Properties of a job that decide which dispatcher it is assigned to.
 
     :param level: priority level of its queue; 0 is the most urgent
@@ -57,15 +57,17 @@
     racks: frozenset[str]
 
 
-def describe_job(spec: JobSpec, queue: Queue) -> Request:
+def describe_job(spec: JobSpec, queue: Queue) -> AssignmentRequest:
     """Return the properties of a job that decide which dispatcher it is assigned to."""
     first_steps = [step for step in spec.steps if not step.after]
     cpu = sum(step.count * step.need.cpu for step in first_steps)
     racks = frozenset(step.rack for step in spec.steps if step.rack)
-    return Request(level_of(queue.priority), cpu, racks)
+    return AssignmentRequest(level_of(queue.priority), cpu, racks)
 
 
-def choose_option(options: Sequence[Option], request: Request, domain: str) -> Option | None:
+def choose_owner(
+    options: Sequence[OwnerOption], request: AssignmentRequest, domain: str
+) -> OwnerOption | None:
     """Return the best of the compared dispatchers by predicted wait and other costs.
 
     Return None if no dispatcher has workers.
@@ -82,7 +84,7 @@
     return min(compared, key=lambda option: _cost(option, request, domain), default=None)
 
 
-def predict_wait(option: Option, request: Request) -> float:
+def predict_wait_ms(option: OwnerOption, request: AssignmentRequest) -> float:
     """Return the predicted wait in ms until all first tasks of a job have started there."""
     load = option.load
     queued = load.queued
@@ -93,32 +95,32 @@
     if not missing_cpu and not ahead:
         return 0.0
     work = ahead + option.sent_work + missing_cpu * load.run_ms
-    return min(FAR_OFF_MS, work / load.room_cpu)
+    return min(MAX_PREDICTED_WAIT_MS, work / load.room_cpu)
 
 
-def _cost(option: Option, request: Request, domain: str) -> float:
+def _cost(option: OwnerOption, request: AssignmentRequest, domain: str) -> float:
     """Return the predicted wait in ms plus penalties for distance."""
-    cost = predict_wait(option, request)
+    cost = predict_wait_ms(option, request)
     if option.owner is not None:
-        cost += HOP_MS
+        cost += FORWARD_ROUND_TRIP_MS
     if option.domain != domain:
-        cost += CROSS_MS
+        cost += CROSS_DOMAIN_PENALTY_MS
     if request.racks and not request.racks & set(option.load.racks):
-        cost += AWAY_MS
+        cost += REMOTE_DATA_PENALTY_MS
     return cost
 
 
-def _sample(options: Iterable[Option]) -> list[Option]:
-    """Return a random sample of at most :data:`CHOICES` options.
+def _sample(options: Iterable[OwnerOption]) -> list[OwnerOption]:
+    """Return a random sample of at most :data:`SAMPLE_SIZE` options.
 
-    Options are weighted by free CPU, or by total CPU if fewer than :data:`CHOICES` options have
+    Options are weighted by free CPU, or by total CPU if fewer than :data:`SAMPLE_SIZE` options have
     any free CPU.
     """
     left = list(options)
-    if len(left) <= CHOICES:
+    if len(left) <= SAMPLE_SIZE:
         return left
     weights = [max(0.0, option.load.free_cpu) for option in left]
-    if sum(1 for weight in weights if weight) < CHOICES:
+    if sum(1 for weight in weights if weight) < SAMPLE_SIZE:
         weights = [option.load.room_cpu for option in left]
     first = random.choices(left, weights)[0]
     index = left.index(first)
--- a/geraniumspool/packing.py
+++ b/geraniumspool/packing.py
@@ -10,17 +10,17 @@
 from typing import NamedTuple, Protocol
 
 from geraniumspool.job_specs import StepSpec
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 
 # Round trip between failure domains; one way takes about 1 ms.
-REMOTE_MS = 2.0
+CROSS_DOMAIN_ROUND_TRIP_MS = 2.0
 # Factor by which a task takes longer outside the rack near its data.
-FAR_FACTOR = 1.5
-# A full worker is scored as slower than an idle one by FULL_SHARE, and a random share of up to
-# SPREAD_SHARE is added, so that dispatchers with the same information don't all fill the fastest
-# workers.
-FULL_SHARE = 0.5
-SPREAD_SHARE = 0.1
+REMOTE_DATA_FACTOR = 1.5
+# A full worker is scored as slower than an idle one by UTILIZATION_PENALTY, and a random share of
+# up to JITTER_SHARE is added, so that dispatchers with the same information don't all fill the
+# fastest workers.
+UTILIZATION_PENALTY = 0.5
+JITTER_SHARE = 0.1
 # A worker that would be left with less than CONFLICT_SHARE of its CPU may be full already, because
 # its last report is some tens of ms old. It would then refuse the run, which costs about
 # CONFLICT_MS.
@@ -32,14 +32,14 @@
     """Properties of a worker that placement depends on.
 
     :ivar free: free capacity
-    :ivar room: total capacity
+    :ivar capacity: total capacity
     :ivar pace: ratio of actual to expected run times there
     :ivar domain: failure domain
     :ivar is_usable: whether it accepts new runs
     """
 
-    free: Room
-    room: Room
+    free: Resources
+    capacity: Resources
     pace: float
     domain: str
     rack: str
@@ -47,43 +47,43 @@
     is_usable: bool
 
 
-class PlaceRequest(NamedTuple):
+class PlacementRequest(NamedTuple):
     """Requirements of a task that is to be placed.
 
     :param expected_ms: expected run time
-    :param within_ms: longest run time that is still useful; slower workers are skipped
+    :param max_run_ms: longest run time that is still useful; slower workers are skipped
     :param domain: failure domain of the dispatcher
-    :param taken: number of open runs of the step by worker, keyed by the worker's ``id``
+    :param runs_by_worker: number of open runs of the step by worker, keyed by the worker's ``id``
     """
 
     step: StepSpec
     expected_ms: float
-    within_ms: float
+    max_run_ms: float
     domain: str
-    taken: dict[int, int]
+    runs_by_worker: dict[int, int]
 
 
-class Place(NamedTuple):
+class WorkerChoice(NamedTuple):
     """A chosen worker and the predicted run time of the task there in ms."""
 
     worker: Candidate
     run_ms: float
 
 
-def predict_run(worker: Candidate, step: StepSpec, expected_ms: float) -> float:
+def predict_run_ms(worker: Candidate, step: StepSpec, expected_ms: float) -> float:
     """Return the predicted run time in ms of a task on a worker."""
-    locality_factor = FAR_FACTOR if step.rack and step.rack != worker.rack else 1.0
+    locality_factor = REMOTE_DATA_FACTOR if step.rack and step.rack != worker.rack else 1.0
     return expected_ms * worker.pace * locality_factor
 
 
-def may_run(worker: Candidate, step: StepSpec) -> bool:
+def can_run(worker: Candidate, step: StepSpec) -> bool:
     """Return whether an idle worker could run a task of a step."""
-    if not worker.room.fits(step.need):
+    if not worker.capacity.fits(step.need):
         return False
     return not step.label or step.label in worker.labels
 
 
-def choose(workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+def choose_worker(workers: Iterable[Candidate], request: PlacementRequest) -> WorkerChoice | None:
     """Return the best worker with free capacity for one task, or None.
 
     Tasks aren't sent to workers in advance, before capacity is free: a more urgent task
@@ -93,29 +93,29 @@
     best = None
     best_score = -math.inf
     for worker in workers:
-        if not worker.free.fits(step.need) or not _accepts(worker, step, request.taken):
+        if not worker.free.fits(step.need) or not _accepts(worker, step, request.runs_by_worker):
             continue
-        run_ms = predict_run(worker, step, request.expected_ms)
-        if run_ms > request.within_ms:
+        run_ms = predict_run_ms(worker, step, request.expected_ms)
+        if run_ms > request.max_run_ms:
             continue
         score = -_placement_cost(worker, step, run_ms, request.domain)
         if score > best_score:
-            best, best_score = Place(worker, run_ms), score
+            best, best_score = WorkerChoice(worker, run_ms), score
     return best
 
 
 def _accepts(worker: Candidate, step: StepSpec, taken: dict[int, int]) -> bool:
-    if not worker.is_usable or not may_run(worker, step):
+    if not worker.is_usable or not can_run(worker, step):
         return False
     return not step.per_worker or taken.get(id(worker), 0) < step.per_worker
 
 
 def _placement_cost(worker: Candidate, step: StepSpec, run_ms: float, domain: str) -> float:
     """Return the cost of a placement in ms; the least is the best."""
-    used_share = 1 - worker.free.cpu / max(1, worker.room.cpu)
-    cost = run_ms * (1 + FULL_SHARE * used_share + SPREAD_SHARE * random.random())
-    if worker.free.cpu - step.need.cpu < CONFLICT_SHARE * worker.room.cpu:
+    used_share = 1 - worker.free.cpu / max(1, worker.capacity.cpu)
+    cost = run_ms * (1 + UTILIZATION_PENALTY * used_share + JITTER_SHARE * random.random())
+    if worker.free.cpu - step.need.cpu < CONFLICT_SHARE * worker.capacity.cpu:
         cost += CONFLICT_MS
     if worker.domain != domain:
-        cost += REMOTE_MS
+        cost += CROSS_DOMAIN_ROUND_TRIP_MS
     return cost
--- a/geraniumspool/platform/dispatcher_program.py
+++ b/geraniumspool/platform/dispatcher_program.py
@@ -7,7 +7,7 @@
 from geraniumspool.clock import SystemClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import DispatcherSettings, load_settings
-from geraniumspool.dispatch_entry import DispatchEntry
+from geraniumspool.dispatch_entry import DispatcherProcess
 from geraniumspool.link import NngMessenger
 from geraniumspool.metrics_page import serve_metrics
 from geraniumspool.platform.configuration import OPERATOR_KEYS, decode_configuration
@@ -17,7 +17,7 @@
 from geraniumspool.webserver import WebServer
 
 
-def build(path: str) -> DispatchEntry:
+def build(path: str) -> DispatcherProcess:
     """Return the dispatcher application, not yet started.
 
     :param path: path of its settings file
@@ -29,7 +29,7 @@
     metrics = MemoryCounters()
     messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
     store = KeyValueStore(settings.store, clock, metrics)
-    entry = DispatchEntry(
+    entry = DispatcherProcess(
         settings,
         clock,
         metrics,
@@ -44,5 +44,5 @@
     )
     ready = WebServer(ReadyCheck(lambda: entry.is_ready, metrics), settings.ready_listen, clock)
     pages = serve_metrics(metrics, "dispatcher", settings.domain, settings.metrics_listen, clock)
-    entry.serve(callers, [ready, *pages])
+    entry.set_servers(callers, [ready, *pages])
     return entry
--- a/geraniumspool/platform/executor_program.py
+++ b/geraniumspool/platform/executor_program.py
@@ -7,7 +7,7 @@
 from geraniumspool.clock import SystemClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings, load_settings
-from geraniumspool.dispatch_agent import DispatchAgent
+from geraniumspool.dispatch_agent import ExecutorProcess
 from geraniumspool.link import NngMessenger
 from geraniumspool.metrics_page import serve_metrics
 from geraniumspool.platform.configuration import OPERATOR_KEYS
@@ -18,7 +18,7 @@
 from geraniumspool.webserver import WebServer
 
 
-def build(path: str) -> DispatchAgent:
+def build(path: str) -> ExecutorProcess:
     """Return the executor application, not yet started.
 
     :param path: path of its settings file
@@ -31,7 +31,7 @@
     messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
     store = KeyValueStore(settings.store, clock, metrics)
     control = HttpMinionControl(clock, metrics)
-    agent = DispatchAgent(
+    agent = ExecutorProcess(
         settings,
         clock,
         metrics,
--- a/geraniumspool/platform/ingress.py
+++ b/geraniumspool/platform/ingress.py
@@ -14,7 +14,7 @@
 from geraniumspool.job_specs import JobOutcome, JobResult, JobSpec, StepSpec
 from geraniumspool.queues import Queue, QueueConfiguration
 from geraniumspool.reply import Reply, reply_json, reply_problem
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.routes import Request, Route
 from geraniumspool.units import MS_PER_SECOND
 from geraniumspool.web import Application
@@ -123,8 +123,8 @@
         except msgspec.MsgspecError as error:
             return reply_problem(400, "invalid_input", str(error))
         spec = _job_spec(job_id, job_body, queue)
-        wait_ms = _parse_wait(environ.get("HTTP_DEADLINE_MS"))
-        submitted = self._router.submit(spec, queue, wait_ms, version)
+        timeout_ms = _parse_wait(environ.get("HTTP_DEADLINE_MS"))
+        submitted = self._router.submit(spec, queue, timeout_ms, version)
         if not isinstance(submitted, JobResult):
             submitted = self._wait_for_result(environ, submitted)
         return _reply(submitted)
@@ -164,7 +164,7 @@
 def _step_spec(step: StepBody) -> StepSpec:
     return StepSpec(
         step.count,
-        Room(step.cpu, step.mem_mb, step.gpu),
+        Resources(step.cpu, step.mem_mb, step.gpu),
         step.estimate_ms,
         tuple(step.after),
         step.required_label,
@@ -199,11 +199,11 @@
     :param text: value of the ``Deadline-Ms`` header, None if there is none
     """
     try:
-        wait_ms = float(text or 0.0)
+        timeout_ms = float(text or 0.0)
     except ValueError:
         _LOG.info("invalid Deadline-Ms header", extra={"fields": (("text", text),)})
         return 0.0
-    return wait_ms if math.isfinite(wait_ms) and wait_ms > 0 else 0.0
+    return timeout_ms if math.isfinite(timeout_ms) and timeout_ms > 0 else 0.0
 
 
 def _reply(result: JobResult) -> Reply:
--- a/geraniumspool/platform/reports.py
+++ b/geraniumspool/platform/reports.py
@@ -9,7 +9,7 @@
 from geraniumspool.contracts import Counters, MinionLife
 from geraniumspool.executor import Executor
 from geraniumspool.reply import Reply, reply_json, reply_problem
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.routes import Request, Route
 from geraniumspool.web import Application
 
@@ -91,7 +91,7 @@
             request.parameters[0],
             body.service,
             body.addr,
-            Room(body.room.cpu, body.room.mem_mb, body.room.gpu),
+            Resources(body.room.cpu, body.room.mem_mb, body.room.gpu),
             tuple(body.labels),
             body.state == "draining",
             body.seq,
--- a/geraniumspool/queued_work.py
+++ b/geraniumspool/queued_work.py
@@ -12,10 +12,10 @@
 # Time constant of the average of recent arrivals: long compared with the interval between two
 # jobs of one dispatcher, 20 ms to 200 ms, and short compared with a burst, which lasts some
 # seconds.
-RECENT_MS = 2_000.0
+RECENT_AVERAGE_MS = 2_000.0
 # Time constant of the average of usual arrivals: it spans several bursts and the calm between
 # them.
-USUAL_MS = 20_000.0
+USUAL_AVERAGE_MS = 20_000.0
 
 _NO_LEVEL_WORK = (0.0,) * LEVELS
 
@@ -52,7 +52,7 @@
         self._started_ms = now
         self._updated_ms = now
 
-    def note(self, level: int, work: float, now: float) -> None:
+    def record_arrival(self, level: int, work: float, now: float) -> None:
         """Record the arrival of a job.
 
         :param work: its work in thousandths of a core times ms
@@ -64,7 +64,7 @@
     def rates(self, now: float) -> tuple[float, ...]:
         """Return the arrival rate in work per ms, by priority level."""
         self._decay(now)
-        age_ms = max(RECENT_MS, now - self._started_ms)
+        age_ms = max(RECENT_AVERAGE_MS, now - self._started_ms)
         span_ms = self._memory_ms * (1 - math.exp(-age_ms / self._memory_ms))
         return tuple(total / span_ms for total in self._sums)
 
@@ -82,8 +82,8 @@
 
         :param now: clock time in ms
         """
-        self._recent = ArrivalMeter(now, RECENT_MS)
-        self._usual = ArrivalMeter(now, USUAL_MS)
+        self._recent = ArrivalMeter(now, RECENT_AVERAGE_MS)
+        self._usual = ArrivalMeter(now, USUAL_AVERAGE_MS)
 
     def note(self, level: int, work: float, now: float) -> None:
         """Record the arrival of a job.
@@ -91,8 +91,8 @@
         :param work: its work in thousandths of a core times ms
         :param now: clock time in ms
         """
-        self._recent.note(level, work, now)
-        self._usual.note(level, work, now)
+        self._recent.record_arrival(level, work, now)
+        self._usual.record_arrival(level, work, now)
 
     def add_to(self, waiting: QueuedWork, now: float) -> QueuedWork:
         """Return queued work with its arrival rates set."""
--- a/geraniumspool/queues.py
+++ b/geraniumspool/queues.py
@@ -71,7 +71,7 @@
         """Start without a configuration."""
         self.table: QueueTable | None = None
 
-    def take(self, table: QueueTable) -> bool:
+    def apply(self, table: QueueTable) -> bool:
         """Apply a version if it is newer than the one in use; return whether it was applied."""
         if self.table is not None and table.version <= self.table.version:
             return False
--- a/geraniumspool/rooms.py
+++ b/geraniumspool/rooms.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Room(NamedTuple):
+class Resources(NamedTuple):
     """Amounts of CPU, memory and accelerators.
 
     :param cpu: CPU in thousandths of a core
@@ -15,7 +15,7 @@
     memory_mb: int = 0
     accelerators: int = 0
 
-    def fits(self, need: "Room") -> bool:
+    def fits(self, need: "Resources") -> bool:
         """Return whether ``need`` exceeds no amount of this one."""
         return (
             need.cpu <= self.cpu
@@ -23,21 +23,21 @@
             and need.accelerators <= self.accelerators
         )
 
-    def plus(self, other: "Room") -> "Room":
+    def add(self, other: "Resources") -> "Resources":
         """Return the sum of both amounts."""
-        return Room(
+        return Resources(
             self.cpu + other.cpu,
             self.memory_mb + other.memory_mb,
             self.accelerators + other.accelerators,
         )
 
-    def minus(self, other: "Room") -> "Room":
+    def subtract(self, other: "Resources") -> "Resources":
         """Return the difference of both amounts; single resources may become negative."""
-        return Room(
+        return Resources(
             self.cpu - other.cpu,
             self.memory_mb - other.memory_mb,
             self.accelerators - other.accelerators,
         )
 
 
-NO_ROOM = Room()
+NO_RESOURCES = Resources()
--- a/geraniumspool/run_messages.py
+++ b/geraniumspool/run_messages.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from geraniumspool.rooms import NO_ROOM, Room
+from geraniumspool.rooms import NO_RESOURCES, Resources
 
 RUN_DONE = "done"
 RUN_FAILED = "failed"
@@ -54,7 +54,7 @@
     task: str
     attempt: int
     payload: str
-    need: Room
+    need: Resources
     expected_ms: float
     slack_ms: float
     patience_ms: float
@@ -152,15 +152,15 @@
     rack: str = ""
     labels: tuple[str, ...] = ()
     accepts: bool = False
-    room: Room = NO_ROOM
-    used: Room = NO_ROOM
-    reserved: Room = NO_ROOM
+    room: Resources = NO_RESOURCES
+    used: Resources = NO_RESOURCES
+    reserved: Resources = NO_RESOURCES
     pace: float = 1.0
 
     @property
-    def free(self) -> Room:
+    def free(self) -> Resources:
         """Return the capacity that is neither used nor reserved; negative if overcommitted."""
-        return self.room.minus(self.used).minus(self.reserved)
+        return self.room.subtract(self.used).subtract(self.reserved)
 
 
 class WorkerReport(NamedTuple):
--- a/geraniumspool/run_starts.py
+++ b/geraniumspool/run_starts.py
@@ -67,7 +67,7 @@
         for run in self._table.waiting():
             if self._refuse_unleased(run):
                 continue
-            free = life.told.room.minus(self._table.used)
+            free = life.told.resources.subtract(self._table.used)
             if not free.fits(run.order.need):
                 break
             self._table.reserve(run)
--- a/geraniumspool/run_table.py
+++ b/geraniumspool/run_table.py
@@ -5,7 +5,7 @@
 
 from geraniumspool.contracts import ListedEnd, RunKey
 from geraniumspool.messages import Peer
-from geraniumspool.rooms import NO_ROOM, Room
+from geraniumspool.rooms import NO_RESOURCES, Resources
 from geraniumspool.run_messages import RunEnd, RunOrder
 
 # Outcomes are kept per dispatcher so that they can be reported again if a report was lost.
@@ -129,8 +129,8 @@
         self.customers: dict[Peer, Customer] = {}
         self._by_key: dict[RunKey, Run] = {}
         self._by_task: dict[str, Run] = {}
-        self.used: Room = NO_ROOM
-        self.queued: Room = NO_ROOM
+        self.used: Resources = NO_RESOURCES
+        self.queued: Resources = NO_RESOURCES
 
     def __iter__(self) -> Iterator[Run]:
         """Iterate over a snapshot of all runs."""
@@ -160,12 +160,12 @@
         self.customer(run.home).runs[run.order.number] = run
         self._by_key[run.key] = run
         self._by_task[run.order.task] = run
-        self.queued = self.queued.plus(run.order.need)
+        self.queued = self.queued.add(run.order.need)
 
     def reserve(self, run: Run) -> None:
         """Reserve capacity for a queued run, which is about to start."""
-        self.queued = self.queued.minus(run.order.need)
-        self.used = self.used.plus(run.order.need)
+        self.queued = self.queued.subtract(run.order.need)
+        self.used = self.used.add(run.order.need)
         run.state = RunState.STARTING
 
     def rename(self, run: Run, key: RunKey) -> None:
@@ -184,9 +184,9 @@
         if dispatcher is not None:
             dispatcher.runs.pop(run.order.number, None)
         if run.state is RunState.QUEUED:
-            self.queued = self.queued.minus(run.order.need)
+            self.queued = self.queued.subtract(run.order.need)
         else:
-            self.used = self.used.minus(run.order.need)
+            self.used = self.used.subtract(run.order.need)
 
     def waiting(self) -> list[Run]:
         """Return the queued runs, those with the earliest latest start time first."""
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -72,8 +72,8 @@
         run so far.
         """
         elapsed_ms = now - self.started_ms
-        remaining_ms = self.estimate_ms - elapsed_ms
-        return remaining_ms if remaining_ms > 0 else elapsed_ms
+        remainder_ms = self.estimate_ms - elapsed_ms
+        return remainder_ms if remainder_ms > 0 else elapsed_ms
 
 
 class Runner:
--- a/geraniumspool/urgency.py
+++ b/geraniumspool/urgency.py
@@ -28,17 +28,17 @@
 # Width and offset, in latency objectives, of the logistic curve that gives the probability of
 # being in time. Predicted waits are off by about a fifth of the objective, and are too short
 # by somewhat less because jobs that arrive later overtake.
-CHANCE_SPREAD = 0.12
-CHANCE_SHIFT = 0.15
+PROBABILITY_WIDTH = 0.12
+PROBABILITY_OFFSET = 0.15
 LARGEST_EXPONENT = 50.0
 # A job with at least this share of its tasks done isn't moved to the end of the order, however
 # late it is, while its caller waits: little more work completes it.
-FINISH_SHARE = 0.5
+FINISH_COMPLETED_SHARE = 0.5
 # The moving averages of predicted and actual waits cover about the last thirty jobs that had to
 # wait. A single job counts for at most a fourfold deviation in either direction. Waits shorter
 # than SHORTEST_WAIT_MS are network latency and are ignored.
 WAIT_WEIGHT = 0.03
-WAIT_PRIOR_MS = 100.0
+INITIAL_WAIT_MS = 100.0
 MAX_WAIT_FACTOR = 4.0
 SHORTEST_WAIT_MS = 10.0
 MIN_RETRY_MS = 200.0
@@ -55,40 +55,40 @@
 
     :param arrived_ms: clock time in ms at which the caller's request was read
     :param objective_ms: latency objective in ms, counted from the arrival
-    :param limit_ms: timeout in ms, counted from the arrival, after which the caller is gone
+    :param timeout_ms: timeout in ms, counted from the arrival, after which the caller is gone
     """
 
     arrived_ms: float
     objective_ms: float
-    limit_ms: float
+    timeout_ms: float
 
-    def latest_start(self, left_ms: float) -> float:
+    def latest_start(self, remaining_run_ms: float) -> float:
         """Return the latest clock time at which a job can start and still be in time.
 
-        :param left_ms: expected time of its longest remaining chain of steps
+        :param remaining_run_ms: expected time of its longest remaining chain of steps
         """
-        return self.arrived_ms + self.objective_ms - left_ms
+        return self.arrived_ms + self.objective_ms - remaining_run_ms
 
-    def last_use(self, left_ms: float) -> float:
+    def latest_useful_start(self, remaining_run_ms: float) -> float:
         """Return the latest clock time at which a job can start and still be useful.
 
-        :param left_ms: expected time of its longest remaining chain of steps
+        :param remaining_run_ms: expected time of its longest remaining chain of steps
         """
-        useful_ms = min(LATE_FACTOR * self.objective_ms, self.limit_ms)
-        return self.arrived_ms + useful_ms - left_ms
+        useful_ms = min(LATE_FACTOR * self.objective_ms, self.timeout_ms)
+        return self.arrived_ms + useful_ms - remaining_run_ms
 
 
 class Rank(NamedTuple):
     """Sort key for the order of service; the least is served first.
 
-    :param is_past_use: whether the job's result is no longer useful to the caller
+    :param is_useless: whether the job's result is no longer useful to the caller
     :param is_new: whether none of its tasks has started
     :param level: priority level of its queue; 0 is the most urgent
     :param lateness: :data:`IN_TIME`, :data:`LATE` or :data:`TOO_LATE`
     :param latest_start_ms: latest clock time at which it can start and still be in time
     """
 
-    is_past_use: bool
+    is_useless: bool
     is_new: bool
     level: int
     lateness: int
@@ -106,7 +106,7 @@
 
 def rank(
     timing: Timing,
-    left_ms: float,
+    remaining_run_ms: float,
     now: float,
     has_started: bool,
     level: int = 0,
@@ -118,20 +118,20 @@
     time as long as its result is useful: the work done so far is lost unless the rest follows.
     Under overload the least urgent queue waits, as long as its callers' timeouts allow.
 
-    :param left_ms: expected time of its longest remaining chain of steps
+    :param remaining_run_ms: expected time of its longest remaining chain of steps
     :param now: clock time in ms
     :param has_started: whether some of its tasks have started
     :param level: priority level of its queue; 0 is the most urgent
     :param done_share: fraction of its tasks that have succeeded
     """
-    latest_start_ms = timing.latest_start(left_ms)
-    lateness = _find_lateness(timing, left_ms, now, has_started)
-    is_past_use = lateness == TOO_LATE and done_share < FINISH_SHARE
+    latest_start_ms = timing.latest_start(remaining_run_ms)
+    lateness = _find_lateness(timing, remaining_run_ms, now, has_started)
+    is_past_use = lateness == TOO_LATE and done_share < FINISH_COMPLETED_SHARE
     return Rank(is_past_use, not has_started, level, lateness, latest_start_ms)
 
 
 def _find_lateness(timing: Timing, left_ms: float, now: float, has_started: bool) -> int:
-    if now > timing.last_use(left_ms):
+    if now > timing.latest_useful_start(left_ms):
         return TOO_LATE
     if has_started:
         return IN_TIME
@@ -139,16 +139,16 @@
     return IN_TIME if now <= timing.latest_start(left_ms) - margin else LATE
 
 
-def allowed_end(timing: Timing, lateness: int, has_started: bool = False) -> float:
+def allowed_end_ms(timing: Timing, lateness: int, has_started: bool = False) -> float:
     """Return the time in ms after a job's arrival by which its runs have to end to be useful.
 
     A started job gets the longer limit of a late one: otherwise its last tasks would wait
     although workers have free capacity.
     """
     if lateness == TOO_LATE:
-        return timing.limit_ms
+        return timing.timeout_ms
     factor = LATE_FACTOR if has_started or lateness == LATE else 1.0
-    return min(factor * timing.objective_ms, timing.limit_ms)
+    return min(factor * timing.objective_ms, timing.timeout_ms)
 
 
 class Outlook(NamedTuple):
@@ -188,11 +188,11 @@
         return self.factor * (_divide(self.late_ahead, self.late_spare) + self.opening_ms)
 
 
-class Chances(NamedTuple):
+class Probabilities(NamedTuple):
     """Probabilities that a job is in time, and that its result is useful, in time or late."""
 
     in_time: float
-    of_use: float
+    useful: float
 
 
 class WaitLearner:
@@ -200,8 +200,8 @@
 
     def __init__(self):
         """Start with a ratio of 1."""
-        self._predicted_ms = WAIT_PRIOR_MS
-        self._actual_ms = WAIT_PRIOR_MS
+        self._predicted_ms = INITIAL_WAIT_MS
+        self._actual_ms = INITIAL_WAIT_MS
 
     @property
     def factor(self) -> float:
@@ -209,7 +209,7 @@
         return self._actual_ms / self._predicted_ms
 
     def note(self, predicted_ms: float, actual_ms: float) -> None:
-        """Record the wait of a job until all its tasks were started or it was given up."""
+        """Record the wait of a job until all its tasks were started or it was shed."""
         if max(predicted_ms, actual_ms) < SHORTEST_WAIT_MS:
             return
         predicted_ms = max(predicted_ms, actual_ms / MAX_WAIT_FACTOR)
@@ -218,19 +218,25 @@
         self._actual_ms += WAIT_WEIGHT * (actual_ms - self._actual_ms)
 
 
-def predict_chances(timing: Timing, left_ms: float, outlook: Outlook, now: float) -> Chances:
+def predict_probabilities(
+    timing: Timing, remaining_run_ms: float, outlook: Outlook, now: float
+) -> Probabilities:
     """Return the probabilities that a queued job is in time and that its result is useful."""
-    in_time = predict_chance(timing, timing.latest_start(left_ms) - now, outlook.wait_ms)
-    late = predict_chance(timing, timing.last_use(left_ms) - now, outlook.late_wait_ms)
-    return Chances(in_time, in_time + (1 - in_time) * late)
+    in_time = predict_probability(
+        timing, timing.latest_start(remaining_run_ms) - now, outlook.wait_ms
+    )
+    late = predict_probability(
+        timing, timing.latest_useful_start(remaining_run_ms) - now, outlook.late_wait_ms
+    )
+    return Probabilities(in_time, in_time + (1 - in_time) * late)
 
 
-def predict_chance(timing: Timing, slack_ms: float, wait_ms: float) -> float:
+def predict_probability(timing: Timing, slack_ms: float, wait_ms: float) -> float:
     """Return the probability that a wait ends within the available slack."""
     if math.isinf(wait_ms):
         return 0.0
-    margin = (slack_ms - wait_ms) / timing.objective_ms - CHANCE_SHIFT
-    exponent = max(-LARGEST_EXPONENT, min(LARGEST_EXPONENT, -margin / CHANCE_SPREAD))
+    margin = (slack_ms - wait_ms) / timing.objective_ms - PROBABILITY_OFFSET
+    exponent = max(-LARGEST_EXPONENT, min(LARGEST_EXPONENT, -margin / PROBABILITY_WIDTH))
     return 1 / (1 + math.exp(exponent))
 
 
@@ -240,7 +246,7 @@
     return work / capacity if capacity > 0 else math.inf
 
 
-def choose_retry(wait_ms: float) -> float:
+def choose_retry_delay(wait_ms: float) -> float:
     """Return the retry delay for a refused caller in ms, with random jitter.
 
     :param wait_ms: predicted wait
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -35,11 +35,11 @@
     WorkerRecord,
     encode_record,
 )
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_messages import RenewRuns, StartRuns, StopRuns, WorkerReport
 
 QUEUE = Queue("scan", "h.example", "/scan/", "fitting", 0, 2, 1.6, 60.0)
-WORKER_ROOM = Room(10_000, 10_000)
+WORKER_RESOURCES = Resources(10_000, 10_000)
 EVACUATIONS_PREFIX = "op/evacuate/"
 EVACUATION_MS = 5_000.0
 LONG_AGO_MS = 60_000.0
@@ -58,7 +58,7 @@
     """
     payload = f"{cpu}:{run_ms}" + (f":{how}" if how else "")
     declared = run_ms if declared_ms is None else declared_ms
-    return JobSpec(job_id, payload, (StepSpec(count, Room(cpu), declared, **step),))
+    return JobSpec(job_id, payload, (StepSpec(count, Resources(cpu), declared, **step),))
 
 
 class OperatorList:
@@ -89,7 +89,7 @@
     )
 
 
-class Worker:
+class SimulatedWorker:
     """An executor with its minion, messenger and green threads.
 
     :ivar is_cut_off: whether it can't reach the store
@@ -102,14 +102,14 @@
         incarnation=1,
         minion=None,
         fence=1,
-        room=WORKER_ROOM,
+        resources=WORKER_RESOURCES,
         domain="north",
     ):
         self.world = world
         self.name = name
         self.domain = domain
         self.is_cut_off = False
-        self.minion = minion or MemoryMinion(world.clock, f"i-{name}", room)
+        self.minion = minion or MemoryMinion(world.clock, f"i-{name}", resources)
         self.counters = MemoryCounters()
         me = Peer(f"tcp://{name}", incarnation)
         self.messenger = MemoryMessenger(world.network, me, self.counters)
@@ -143,7 +143,7 @@
         self.guard.check()
         self.tasks = [
             eventlet.spawn(self.executor.run_looks),
-            eventlet.spawn(self.executor.run_ticks),
+            eventlet.spawn(self.executor.run_periodic_checks),
         ]
         eventlet.spawn_n(self.executor.take_life, self.minion.life)
 
@@ -163,7 +163,7 @@
         self.messenger.stop()
 
 
-class Home:
+class SimulatedDispatcher:
     """A dispatcher process with its messenger and green threads.
 
     :ivar is_cut_off: whether it can't reach the store
@@ -201,8 +201,8 @@
             self.claims,
             policy,
         )
-        self.peers.is_broken = self.messenger.is_broken
-        self.dispatcher.fleet.is_broken = self.messenger.is_broken
+        self.peers.is_connection_closed = self.messenger.is_connection_closed
+        self.dispatcher.fleet.is_connection_closed = self.messenger.is_connection_closed
         self.router = JobRouter(
             world.clock,
             self.messenger.send,
@@ -215,7 +215,7 @@
         )
         self.read_operators()
         handlers = {
-            WorkerReport: self.dispatcher.take_report,
+            WorkerReport: self.dispatcher.handle_report,
             ForwardJob: self.router.take_forward,
             ForwardedEnd: self.router.take_end,
             DropJobs: self.router.forwarded.take_drop,
@@ -233,7 +233,7 @@
             self.list_member(
                 WORKER_PREFIX + worker.address, WorkerRecord(worker.domain, worker.minion.life)
             )
-        for other in (*world.homes, self):
+        for other in (*world.dispatchers, self):
             self.list_member(DISPATCHER_PREFIX + other.address, other.record)
             other.list_member(DISPATCHER_PREFIX + self.address, self.record)
         self.router.take_members()
@@ -242,23 +242,25 @@
     def address(self):
         return self.messenger.me.address
 
-    def submit(self, spec, queue=QUEUE, wait_ms=3_000.0):
+    def submit(self, spec, queue=QUEUE, timeout_ms=3_000.0):
         """Submit a job; return its caller, who gets the result once there is one."""
         caller = Caller()
-        answer = self.router.submit(spec, queue, wait_ms)
+        answer = self.router.submit(spec, queue, timeout_ms)
         if isinstance(answer, JobResult):
-            caller.take(answer, self.world.clock.now())
+            caller.set_result(answer, self.world.clock.now())
         else:
             caller.job = answer
-            eventlet.spawn_n(lambda: caller.take(self.router.wait(answer), self.world.clock.now()))
+            eventlet.spawn_n(
+                lambda: caller.set_result(self.router.wait(answer), self.world.clock.now())
+            )
         return caller
 
-    def place(self, spec, queue=QUEUE, wait_ms=3_000.0):
+    def submit_locally(self, spec, queue=QUEUE, timeout_ms=3_000.0):
         """Submit a job to this dispatcher itself, without forwarding to another one."""
         caller = Caller()
-        caller.job = self.dispatcher.submit(spec, queue, wait_ms)
+        caller.job = self.dispatcher.submit(spec, queue, timeout_ms)
         eventlet.spawn_n(
-            lambda: caller.take(self.dispatcher.wait(caller.job), self.world.clock.now())
+            lambda: caller.set_result(self.dispatcher.wait(caller.job), self.world.clock.now())
         )
         return caller
 
@@ -272,11 +274,15 @@
 
     def note_written(self, address):
         """Notify the dispatcher, as its watch does, that an executor has written its key."""
-        self.dispatcher.fleet.note_written(address)
+        self.dispatcher.fleet.handle_key_written(address)
         self.claims.take_worker(address)
 
     def _spawn_ticks(self):
-        tasks = (self.dispatcher.run_ticks, self.router.run_ticks, self._watch_operators)
+        tasks = (
+            self.dispatcher.run_periodic_checks,
+            self.router.run_periodic_checks,
+            self._watch_operators,
+        )
         return [eventlet.spawn(task) for task in tasks]
 
     def read_operators(self):
@@ -296,12 +302,12 @@
         self.dispatcher.fleet.take_rejection(sender)
         self.router.take_rejection(sender)
 
-    def freeze(self):
-        """Stop the green threads until :meth:`thaw`, as a paused process does."""
+    def pause(self):
+        """Stop the green threads until :meth:`resume`, as a paused process does."""
         for task in self.tasks:
             task.kill()
 
-    def thaw(self):
+    def resume(self):
         """Restart the green threads."""
         self.tasks = self._spawn_ticks()
 
@@ -325,7 +331,7 @@
         self.result = None
         self.at_ms = None
 
-    def take(self, result, now):
+    def set_result(self, result, now):
         self.result = result
         self.at_ms = now
 
@@ -337,16 +343,16 @@
 class DispatchWorld:
     """Dispatchers and workers on a simulated network.
 
-    :ivar homes: the dispatchers
+    :ivar dispatchers: the dispatchers
     :ivar domains: failure domains, to which processes are assigned in turn
     """
 
     def __init__(
         self,
         workers=3,
-        homes=1,
+        dispatchers=1,
         policy=None,
-        rooms=None,
+        worker_resources=None,
         group_workers=GROUP_WORKERS,
         capacities=(),
         domains=("north",),
@@ -357,43 +363,47 @@
         self.domains = domains
         self.policy = policy
         self.group_workers = group_workers
-        self.homes = []
+        self.dispatchers = []
         self.clock = ManualClock()
         self.network = MemoryNetwork(self.clock, delay_ms=1.0)
-        rooms = rooms or [WORKER_ROOM] * workers
+        worker_resources = worker_resources or [WORKER_RESOURCES] * workers
         self.workers = [
-            Worker(self, f"w{number}", room=room, domain=domains[number % len(domains)])
-            for number, room in enumerate(rooms)
+            SimulatedWorker(
+                self, f"w{number}", resources=resources, domain=domains[number % len(domains)]
+            )
+            for number, resources in enumerate(worker_resources)
         ]
         self.clock.advance(20)
-        for number in range(homes):
+        for number in range(dispatchers):
             capacity = capacities[number] if number < len(capacities) else 1.0
             domain = domains[number % len(domains)]
-            self.homes.append(Home(self, f"h{number}", capacity=capacity, domain=domain))
-        for home in self.homes:
-            home.router.take_members()
+            self.dispatchers.append(
+                SimulatedDispatcher(self, f"h{number}", capacity=capacity, domain=domain)
+            )
+        for dispatcher in self.dispatchers:
+            dispatcher.router.take_members()
         self.clock.advance(200)
 
     @property
-    def home(self):
-        return self.homes[0]
+    def dispatcher(self):
+        return self.dispatchers[0]
 
     def evacuate(self, *domains):
         """Set the evacuated failure domains, as operators do."""
         self.operators.change(*domains)
-        for home in self.homes:
-            home.read_operators()
+        for dispatcher in self.dispatchers:
+            dispatcher.read_operators()
 
     def close(self):
         """Stop all green threads."""
-        for part in (*self.workers, *self.homes):
+        for part in (*self.workers, *self.dispatchers):
             part.kill()
 
-    def started(self, task):
+    def start_count(self, task):
         """Return how many times a task was started on any minion."""
         return sum(key.task == task for worker in self.workers for key in worker.minion.started)
 
-    def running_twice(self):
+    def find_duplicate_runs(self):
         """Return the tasks that are running on two minions at the same time."""
         running = [task for worker in self.workers for task in worker.minion.running]
         return {task for task in running if running.count(task) > 1}
--- a/tests/storm_callers.py
+++ b/tests/storm_callers.py
@@ -34,20 +34,20 @@
     """One request with a job, sent to one dispatcher.
 
     :ivar spec: the job
-    :ivar home: the dispatcher
+    :ivar dispatcher: the dispatcher
     :ivar answer: the pending or received answer, None until the dispatcher has read the request
     :ivar has_left: whether the caller has hung up, or lost the dispatcher
     :ivar is_hang_up_known: whether the dispatcher was told that the caller has hung up
     :ivar is_answer_handled: whether the caller has acted on the answer
     """
 
-    def __init__(self, spec, home):
+    def __init__(self, spec, dispatcher):
         """Record a request that is being sent.
 
-        :param home: the dispatcher
+        :param dispatcher: the dispatcher
         """
         self.spec = spec
-        self.home = home
+        self.dispatcher = dispatcher
         self.answer = None
         self.has_left = False
         self.is_hang_up_known = False
@@ -106,17 +106,25 @@
 
     def hand_in(self, spec):
         """Send a job to a random running dispatcher; a frozen one reads it after thawing."""
-        homes = [home for home in self.storm.world.homes if self.storm.is_up(home)]
-        if not homes:
+        dispatchers = [
+            dispatcher
+            for dispatcher in self.storm.world.dispatchers
+            if self.storm.is_up(dispatcher)
+        ]
+        if not dispatchers:
             self._schedule(NO_DISPATCHER_RETRY_MS, lambda: self.hand_in(spec))
             return
-        self._send(spec, self.random.choice(homes))
+        self._send(spec, self.random.choice(dispatchers))
 
     def hand_in_twice(self, spec):
         """Send one job to two dispatchers at the same time."""
-        homes = [home for home in self.storm.world.homes if self.storm.is_up(home)]
-        for home in self.random.sample(homes, min(2, len(homes))):
-            self._send(spec, home)
+        dispatchers = [
+            dispatcher
+            for dispatcher in self.storm.world.dispatchers
+            if self.storm.is_up(dispatcher)
+        ]
+        for dispatcher in self.random.sample(dispatchers, min(2, len(dispatchers))):
+            self._send(spec, dispatcher)
 
     def hang_up(self):
         """Let a random waiting caller hang up and send its job again."""
@@ -124,39 +132,39 @@
         if not waiting:
             return
         attempt = self.random.choice(waiting)
-        self.storm.note(f"{attempt.spec.job_id} hung up at {attempt.home.address}")
+        self.storm.note(f"{attempt.spec.job_id} hung up at {attempt.dispatcher.address}")
         self._hang_up(attempt)
         self._send_again_later(attempt)
 
-    def lose(self, home):
+    def lose(self, dispatcher):
         """Let all callers of a dispatcher that has died send their jobs again."""
         for attempt in self._list_attempts():
-            if attempt.home is home and attempt.is_open:
+            if attempt.dispatcher is dispatcher and attempt.is_open:
                 attempt.has_left = True
                 self._send_again_later(attempt)
 
-    def desert(self, home):
+    def desert(self, dispatcher):
         """Let about half of the callers of a frozen dispatcher leave and send their jobs again."""
         for attempt in self._list_attempts():
-            if attempt.home is home and attempt.is_open and self.random.random() < 0.5:
+            if attempt.dispatcher is dispatcher and attempt.is_open and self.random.random() < 0.5:
                 attempt.has_left = True
                 self._send_again_later(attempt)
 
-    def thaw(self, home):
-        """Let a thawed dispatcher read the requests sent to it, and that callers have hung up."""
+    def resume(self, dispatcher):
+        """Let a resumed dispatcher read the requests sent to it, and that callers have hung up."""
         for attempt in self._list_attempts():
-            if attempt.home is not home:
+            if attempt.dispatcher is not dispatcher:
                 continue
             if attempt.answer is None:
-                attempt.answer = home.submit(attempt.spec, wait_ms=WAIT_MS)
+                attempt.answer = dispatcher.submit(attempt.spec, timeout_ms=WAIT_MS)
             if attempt.has_left:
                 self._schedule(0, lambda attempt=attempt: self._notify_hang_up(attempt))
 
     def calm(self):
         """Note that the faults have ended, and send a new job to each dispatcher."""
         self._faults_ended_ms = self._now
-        for number, home in enumerate(self.storm.world.homes):
-            self._send_probe(make_spec(f"fresh{number}", 1, TASK_CPU, 60), home)
+        for number, dispatcher in enumerate(self.storm.world.dispatchers):
+            self._send_probe(make_spec(f"fresh{number}", 1, TASK_CPU, 60), dispatcher)
         self._schedule(RESEND_LEFT_MS, self._resend_left_jobs)
 
     def _resend_left_jobs(self):
@@ -168,11 +176,11 @@
             if attempt.has_left and attempt.spec.job_id not in crashing
         ]
         for spec in list(dict.fromkeys(left_specs))[-MAX_RESENT_LEFT:]:
-            self._send_probe(spec, self.random.choice(self.storm.world.homes))
+            self._send_probe(spec, self.random.choice(self.storm.world.dispatchers))
 
-    def _send_probe(self, spec, home):
+    def _send_probe(self, spec, dispatcher):
         self._probes[spec.job_id] = Probe(spec)
-        self._send(spec, home)
+        self._send(spec, dispatcher)
 
     def step(self):
         """Send the jobs that are due, and let callers act on their answers."""
@@ -193,7 +201,7 @@
     @staticmethod
     def _has_room(minion):
         used = TASK_CPU * len(minion.running)
-        return not minion.is_down and minion.life.room.cpu - used >= TASK_CPU
+        return not minion.is_down and minion.life.resources.cpu - used >= TASK_CPU
 
     def check(self):
         """Check all answers, and add violations to the storm's list."""
@@ -214,27 +222,29 @@
     def _list_attempts(self):
         return [attempt for attempts in self.attempts.values() for attempt in attempts]
 
-    def _send(self, spec, home):
-        attempt = Attempt(spec, home)
+    def _send(self, spec, dispatcher):
+        attempt = Attempt(spec, dispatcher)
         self.attempts.setdefault(spec.job_id, []).append(attempt)
         if spec.job_id in self._probes:
             self._probes[spec.job_id].attempts.append(attempt)
-        if not self.storm.is_frozen(home):
-            attempt.answer = home.submit(spec, wait_ms=WAIT_MS)
+        if not self.storm.is_paused(dispatcher):
+            attempt.answer = dispatcher.submit(spec, timeout_ms=WAIT_MS)
 
     def _hang_up(self, attempt):
         attempt.has_left = True
-        if not self.storm.is_frozen(attempt.home):
+        if not self.storm.is_paused(attempt.dispatcher):
             self._notify_hang_up(attempt)
 
     def _notify_hang_up(self, attempt):
         """Tell a dispatcher that a caller has hung up, unless it is stopped or frozen."""
-        is_awake = self.storm.is_up(attempt.home) and not self.storm.is_frozen(attempt.home)
+        is_awake = self.storm.is_up(attempt.dispatcher) and not self.storm.is_paused(
+            attempt.dispatcher
+        )
         if not is_awake or attempt.is_hang_up_known:
             return
         attempt.is_hang_up_known = True
         if attempt.answer.job and attempt.outcome is None:
-            eventlet.spawn_n(attempt.home.router.leave_job, attempt.answer.job)
+            eventlet.spawn_n(attempt.dispatcher.router.leave_job, attempt.answer.job)
 
     def _handle_answer(self, attempt):
         """Let a caller send its job again if it was refused or left unfinished."""
--- a/tests/test_claim_gaps.py
+++ b/tests/test_claim_gaps.py
@@ -17,9 +17,9 @@
 from geraniumspool.job_router import ForwardedJob
 from geraniumspool.job_specs import JobOutcome, JobResult
 from geraniumspool.messages import Peer
-from geraniumspool.owner_choice import Option
+from geraniumspool.owner_choice import OwnerOption
 from geraniumspool.registrations import DISPATCHER_PREFIX, WORKER_PREFIX, WorkerRecord
-from tests.dispatch_world import QUEUE, Caller, DispatchWorld, Worker, make_spec
+from tests.dispatch_world import QUEUE, Caller, DispatchWorld, SimulatedWorker, make_spec
 
 STEP_MS = 5
 # By then the first runs have started.
@@ -39,23 +39,23 @@
     def setUp(self):
         self.world = DispatchWorld(self.workers, self.dispatchers, group_workers=1)
         self.addCleanup(self.world.close)
-        self.homes = self.world.homes
+        self.all_dispatchers = self.world.dispatchers
         self.ran_twice = set()
 
     def advance(self, total_ms):
         """Let time pass, and collect the tasks that run twice at the same time."""
         for _ in range(int(total_ms // STEP_MS)):
             self.world.clock.advance(STEP_MS)
-            self.ran_twice |= self.world.running_twice()
+            self.ran_twice |= self.world.find_duplicate_runs()
 
     def place(self, index, spec, wait_ms=WAIT_MS):
         """Have a dispatcher place a job on its own workers; fail if it refuses the job."""
-        submitted = self.homes[index].dispatcher.submit(spec, PATIENT, wait_ms)
+        submitted = self.all_dispatchers[index].dispatcher.submit(spec, PATIENT, wait_ms)
         self.assertNotIsInstance(submitted, JobResult, submitted)
         request = Caller()
         request.job = submitted
-        wait = self.homes[index].dispatcher.wait
-        eventlet.spawn_n(lambda: request.take(wait(submitted), self.world.clock.now()))
+        wait = self.all_dispatchers[index].dispatcher.wait
+        eventlet.spawn_n(lambda: request.set_result(wait(submitted), self.world.clock.now()))
         return request
 
     def partition(self, address, others):
@@ -79,8 +79,8 @@
             spec = make_spec(name, count=3, cpu=4_000, run_ms=4_500, declared_ms=100)
             first = self.place(0, spec, 1_000.0)
             self.advance(START_MS)
-            self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
-            self.homes[0].dispatcher.leave_job(first.job)
+            self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
+            self.all_dispatchers[0].dispatcher.remove_waiter(first.job)
             self.advance(10)
             self.place(0, spec)
             self.advance(3_000)
@@ -94,12 +94,14 @@
         spec = make_spec("j", count=3, cpu=4_000, run_ms=300)
         self.place(0, spec)
         self.advance(START_MS)
-        self.assertEqual(1, self.world.started("j.0.0.0"))
-        other = self.homes[1].messenger.me
-        self.homes[0].claims.take_claims(other, ClaimJobs((Claim(1, "j", 3_000.0, 99),), (), 1))
+        self.assertEqual(1, self.world.start_count("j.0.0.0"))
+        other = self.all_dispatchers[1].messenger.me
+        self.all_dispatchers[0].claims.take_claims(
+            other, ClaimJobs((Claim(1, "j", 3_000.0, 99),), (), 1)
+        )
         request = self.place(0, spec, 8_000.0)
         # The other dispatcher releases its claim at once.
-        self.homes[0].claims.take_claims(other, ClaimJobs((), (1,), 2))
+        self.all_dispatchers[0].claims.take_claims(other, ClaimJobs((), (1,), 2))
         self.advance(3_000)
         self.assertIs(request.outcome, JobOutcome.SUCCEEDED)
 
@@ -112,8 +114,8 @@
             spec = make_spec(name, count=3, cpu=4_000, run_ms=9_000, declared_ms=500)
             self.place(0, spec)
             self.advance(START_MS)
-            self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
-            holder, stopped, remaining = self.homes
+            self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
+            holder, stopped, remaining = self.all_dispatchers
             self.partition(holder.address, [remaining.address, stopped.address])
             stopped.kill()
             for gone in (holder, stopped):
@@ -132,23 +134,25 @@
     def partition_holder_side(self, name):
         """Partition the holder and its arbiters from the other dispatchers and from the store."""
         spec = make_spec(name, count=3, cpu=4_000, run_ms=9_000, declared_ms=500)
-        members = {home.address: "north" for home in self.homes}
+        members = {simulated.address: "north" for simulated in self.all_dispatchers}
         arbiters = set(choose_arbiters(name, members))
         self.place(0, spec)
         self.advance(START_MS)
-        self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
+        self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
         holder_side = [
             dispatcher
-            for dispatcher in self.homes
-            if dispatcher is self.homes[0] or dispatcher.address in arbiters
+            for dispatcher in self.all_dispatchers
+            if dispatcher is self.all_dispatchers[0] or dispatcher.address in arbiters
+        ]
+        other_side = [
+            dispatcher for dispatcher in self.all_dispatchers if dispatcher not in holder_side
         ]
-        other_side = [dispatcher for dispatcher in self.homes if dispatcher not in holder_side]
-        for home in holder_side:
-            self.partition(home.address, [other.address for other in other_side])
+        for simulated in holder_side:
+            self.partition(simulated.address, [other.address for other in other_side])
             for other in other_side:
-                other.unlist_member(DISPATCHER_PREFIX + home.address)
+                other.unlist_member(DISPATCHER_PREFIX + simulated.address)
         self.advance(5_500)
-        other_side[0].place(spec, PATIENT, 8_000.0)
+        other_side[0].submit_locally(spec, PATIENT, 8_000.0)
         self.advance(2_000)
         self.assertEqual(set(), self.ran_twice)
 
@@ -161,7 +165,7 @@
         spec = make_spec(name, count=1, cpu=6_000, run_ms=3_500, declared_ms=200)
         self.place(0, spec)
         self.advance(START_MS)
-        first, fencing, third = self.homes
+        first, fencing, third = self.all_dispatchers
         self.partition(fencing.address, [first.address, third.address])
         for worker in self.world.workers:
             if "full1.0.0.0" in worker.minion.running:
@@ -171,10 +175,10 @@
         self.advance(PEERS_SILENT_MS)
         self.place(1, spec)
         self.advance(1_000)
-        self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
+        self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
         replaced.kill()
         self.advance(20)
-        again = Worker(self.world, replaced.name, 2, replaced.minion, fence=100)
+        again = SimulatedWorker(self.world, replaced.name, 2, replaced.minion, fence=100)
         self.world.workers[self.world.workers.index(replaced)] = again
         self.advance(1_500)
         self.assertEqual(set(), self.ran_twice)
@@ -197,10 +201,10 @@
             spec = make_spec(name, count=4, cpu=3_000, run_ms=5_000, declared_ms=500)
             self.place(0, spec)
             self.advance(START_MS)
-            self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
-            other_addresses = [home.address for home in self.homes[1:]]
+            self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
+            other_addresses = [dispatcher.address for dispatcher in self.all_dispatchers[1:]]
             worker = next(w for w in self.world.workers if f"{name}.0.0.0" in w.minion.running)
-            self.partition(self.homes[0].address, other_addresses)
+            self.partition(self.all_dispatchers[0].address, other_addresses)
             self.partition(worker.address, other_addresses)
             self.advance(PEERS_SILENT_MS)
             self.place(1, spec)
@@ -224,21 +228,24 @@
             spec = make_spec(name, count=1, cpu=6_000, run_ms=2_500, declared_ms=200)
             self.place(0, spec)
             self.advance(START_MS)
-            self.partition(self.homes[0].address, [home.address for home in self.homes[1:]])
+            self.partition(
+                self.all_dispatchers[0].address,
+                [dispatcher.address for dispatcher in self.all_dispatchers[1:]],
+            )
             full_worker = next(w for w in self.world.workers if "full1.0.0.0" in w.minion.running)
-            self.partition(self.homes[0].address, [full_worker.address])
+            self.partition(self.all_dispatchers[0].address, [full_worker.address])
             self.advance(PEERS_SILENT_MS)
             self.place(1, spec)
             self.advance(1_000)
-            self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
-            worker = Worker(self.world, "w9")
+            self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
+            worker = SimulatedWorker(self.world, "w9")
             self.world.workers.append(worker)
-            for home in self.homes:
-                home.list_member(
+            for dispatcher in self.all_dispatchers:
+                dispatcher.list_member(
                     WORKER_PREFIX + worker.address,
                     WorkerRecord(worker.domain, worker.minion.life),
                 )
-                home.router.take_members()
+                dispatcher.router.take_members()
             self.advance(1_500)
             self.assertEqual(set(), self.ran_twice)
 
@@ -253,10 +260,10 @@
             spec = make_spec(name, count=3, cpu=4_000, run_ms=5_000, declared_ms=500)
             self.place(0, spec)
             self.advance(START_MS)
-            self.assertEqual(1, self.world.started(f"{name}.0.0.0"))
-            former = Peer(self.homes[0].address, 77)
-            for home in self.homes[1:]:
-                home.claims.take_claims(former, ClaimJobs((), (), 1))
+            self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
+            former = Peer(self.all_dispatchers[0].address, 77)
+            for dispatcher in self.all_dispatchers[1:]:
+                dispatcher.claims.take_claims(former, ClaimJobs((), (), 1))
             self.advance(2_000)
             self.place(1, spec)
             self.advance(1_000)
@@ -273,12 +280,15 @@
         spec = make_spec("j", count=3, cpu=4_000, run_ms=1_500)
         one = self.place(0, spec)
         self.advance(START_MS)
-        self.partition(self.homes[0].address, [home.address for home in self.homes[1:]])
+        self.partition(
+            self.all_dispatchers[0].address,
+            [dispatcher.address for dispatcher in self.all_dispatchers[1:]],
+        )
         self.advance(PEERS_SILENT_MS)
         other = self.place(1, spec)
         self.advance(6_000)
         self.assertEqual(set(), self.ran_twice)
-        started = self.world.started("j.0.0.0")
+        started = self.world.start_count("j.0.0.0")
         self.assertIn(JobOutcome.SUCCEEDED, (one.outcome, other.outcome), f"{started} starts")
         self.assertLessEqual(started, 4)
 
@@ -316,7 +326,7 @@
 
     claim_id: str
 
-    def claim_left_ms(self, _now):
+    def remaining_claim_ms(self, _now):
         return 10_000.0
 
 
@@ -403,12 +413,16 @@
 
     def test_an_expired_lease_removes_only_the_entry_dispatchers_caller(self):
         spec = make_spec("j", count=3, cpu=4_000, run_ms=1_500, declared_ms=500)
-        entry, owner, _ = self.homes
-        option = Option(entry.peers.views[owner.address], "north", ServiceLoad("fitting", 0, 0, 0))
+        entry, owner, _ = self.all_dispatchers
+        option = OwnerOption(
+            entry.peers.views[owner.address], "north", ServiceLoad("fitting", 0, 0, 0)
+        )
         job = ForwardedJob(spec, PATIENT, WAIT_MS, 0, self.world.clock.now())
         entry.router._forward(job, option)
         self.advance(START_MS)
         joined = owner.submit(spec, PATIENT, WAIT_MS)
-        self.partition(entry.address, [home.address for home in self.homes[1:]])
+        self.partition(
+            entry.address, [dispatcher.address for dispatcher in self.all_dispatchers[1:]]
+        )
         self.advance(3_000)
         self.assertIs(joined.outcome, JobOutcome.SUCCEEDED)
--- a/tests/test_crash_blame.py
+++ b/tests/test_crash_blame.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from geraniumspool.crash_blame import MOST_SUSPECTS, TOGETHER_MS, CrashBlame
+from geraniumspool.crash_blame import MAX_SUSPECTS, SIMULTANEOUS_MS, CrashBlame
 
 
 class CrashBlameTest(unittest.TestCase):
@@ -15,7 +15,7 @@
     def crash(self, *tasks, after_ms=1_000.0):
         """Record a minion crash under some tasks; return the blamed ones."""
         self.now += after_ms
-        return self.blame.note_crash(tasks, self.now)
+        return self.blame.record_crash(tasks, self.now)
 
     def test_the_only_suspect_in_a_second_crash_is_blamed(self):
         self.assertEqual(set(), self.crash("bad", "a", "b"))
@@ -34,18 +34,18 @@
 
     def test_simultaneous_crashes_make_no_suspects(self):
         self.crash("a", "b")
-        self.assertEqual(set(), self.crash("c", "d", after_ms=TOGETHER_MS / 2))
-        self.assertEqual(set(), self.crash("e", after_ms=TOGETHER_MS / 2))
+        self.assertEqual(set(), self.crash("c", "d", after_ms=SIMULTANEOUS_MS / 2))
+        self.assertEqual(set(), self.crash("e", after_ms=SIMULTANEOUS_MS / 2))
         self.assertEqual([False] * 5, [self.blame.is_suspect(name) for name in "abcde"])
 
     def test_a_crash_under_a_suspect_counts_even_if_simultaneous(self):
         self.crash("bad", "a")
-        self.assertEqual({"bad"}, self.crash("bad", "b", after_ms=TOGETHER_MS / 2))
+        self.assertEqual({"bad"}, self.crash("bad", "b", after_ms=SIMULTANEOUS_MS / 2))
 
     def test_the_number_of_suspects_is_bounded(self):
-        self.crash(*(f"t{number}" for number in range(MOST_SUSPECTS + 5)))
+        self.crash(*(f"t{number}" for number in range(MAX_SUSPECTS + 5)))
         self.assertFalse(self.blame.is_suspect("t0"))
-        self.assertTrue(self.blame.is_suspect(f"t{MOST_SUSPECTS + 4}"))
+        self.assertTrue(self.blame.is_suspect(f"t{MAX_SUSPECTS + 4}"))
 
 
 if __name__ == "__main__":
--- a/tests/test_dispatch_agent.py
+++ b/tests/test_dispatch_agent.py
@@ -7,7 +7,7 @@
 from geraniumspool.clock import ManualClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings
-from geraniumspool.dispatch_agent import DispatchAgent
+from geraniumspool.dispatch_agent import ExecutorProcess
 from geraniumspool.link import MemoryMessenger, MemoryNetwork
 from geraniumspool.memory_minion import MemoryMinion
 from geraniumspool.memory_store import MemoryStore
@@ -35,7 +35,7 @@
         )
         counters = MemoryCounters()
         messenger = MemoryMessenger(self.network, Peer(ADDRESS, incarnation), counters)
-        agent = DispatchAgent(
+        agent = ExecutorProcess(
             settings, self.clock, counters, messenger, self.store, self.minion, EVACUATIONS_PREFIX
         )
         agent.start()
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -10,8 +10,8 @@
 from geraniumspool.clock import ManualClock
 from geraniumspool.job_specs import JobOutcome
 from geraniumspool.memory_minion import MemoryMinion
-from geraniumspool.rooms import Room
-from tests.dispatch_world import DispatchWorld, Home, Worker, make_spec
+from geraniumspool.rooms import Resources
+from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, SimulatedWorker, make_spec
 from tests.storm_callers import EarlyCallers
 
 # The last four guard against tasks that run twice: a dispatcher that resumed from a pause started
@@ -100,7 +100,7 @@
     :ivar jobs: specification, dispatcher and caller of each job by id; None for jobs that
         :class:`EarlyCallers` handles
     :ivar resubmissions: pairs of due time and specification of jobs to resubmit
-    :ivar thaws: pairs of due time and dispatcher to resume
+    :ivar resumptions: pairs of due time and dispatcher to resume
     :ivar minion_starts: pairs of due time and minion to start anew
     :ivar replacements: pairs of due time and index of the dispatcher to replace
     """
@@ -126,7 +126,7 @@
         # In storms with odd seeds one dispatcher owns all workers.
         self.world = DispatchWorld(
             workers=4,
-            homes=3,
+            dispatchers=3,
             group_workers=4 if seed % 2 else 2,
             domains=DOMAINS if evacuates else DOMAINS[:1],
             evacuation_ms=EVACUATION_MS,
@@ -140,7 +140,7 @@
         self.crashing = set()
         self.resubmitted = set()
         self.resubmissions = []
-        self.thaws = []
+        self.resumptions = []
         self.minion_starts = []
         self.steps = 0
         self.callers = EarlyCallers(self)
@@ -166,7 +166,7 @@
             self.crash_minion,
             self.replace_executor,
             self.kill_home,
-            self.freeze_home,
+            self.pause_dispatcher,
             self.silence_minion,
             self.mute_minion,
         )
@@ -208,16 +208,16 @@
             self.resubmissions.remove((due_ms, spec))
             self.resubmitted.add(spec.job_id)
             self.submit_anywhere(spec)
-        for due_ms, home in [entry for entry in self.thaws if entry[0] <= now]:
-            self.thaws.remove((due_ms, home))
-            self.thaw_home(home)
+        for due_ms, dispatcher in [entry for entry in self.resumptions if entry[0] <= now]:
+            self.resumptions.remove((due_ms, dispatcher))
+            self.resume_dispatcher(dispatcher)
         for due_ms, minion in [entry for entry in self.minion_starts if entry[0] <= now]:
             self.minion_starts.remove((due_ms, minion))
             minion.reborn(f"{minion.life.instance}+")
         if self.returns_early:
             self.replace_homes(now)
             self.callers.step()
-        duplicates = self.world.running_twice()
+        duplicates = self.world.find_duplicate_runs()
         if duplicates:
             self.violations.append(f"{now}: tasks run twice: {sorted(duplicates)}")
         for worker in self.world.workers:
@@ -245,9 +245,9 @@
 
     def resize_minion(self):
         worker = self.pick_worker()
-        worker.minion.resize(Room(self.draw.choice(MINION_CPUS), 10_000))
+        worker.minion.resize(Resources(self.draw.choice(MINION_CPUS), 10_000))
         eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
-        self.note(f"{worker.name} resized to CPU {worker.minion.life.room.cpu}")
+        self.note(f"{worker.name} resized to CPU {worker.minion.life.resources.cpu}")
 
     def evacuate(self):
         if self.evacuated_ms and self.draw.random() < 0.5:
@@ -259,13 +259,16 @@
         self.note(f"evacuated {domains}")
 
     def cut_off(self):
-        members = [*self.world.homes, *self.world.workers]
+        members = [*self.world.dispatchers, *self.world.workers]
         # Mostly keep dispatchers cut off for longer: while none of them knows the evacuated
         # domains, only executors enforce the evacuation.
-        if any(home.is_cut_off for home in self.world.homes) and self.draw.random() < 0.7:
+        if (
+            any(dispatcher.is_cut_off for dispatcher in self.world.dispatchers)
+            and self.draw.random() < 0.7
+        ):
             return
-        homes = self.world.homes
-        chosen = self.draw.choice((homes, homes, self.draw.sample(members, 3), []))
+        dispatchers = self.world.dispatchers
+        chosen = self.draw.choice((dispatchers, dispatchers, self.draw.sample(members, 3), []))
         for member in members:
             member.is_cut_off = member in chosen
         self.note(
@@ -296,9 +299,11 @@
             self.jobs[spec.job_id] = None
             self.callers.hand_in(spec)
             return
-        home = self.draw.choice([home for home in self.world.homes if not self.is_frozen(home)])
-        caller = home.submit(spec, wait_ms=5_000.0)
-        self.jobs[spec.job_id] = (spec, home, caller)
+        dispatcher = self.draw.choice(
+            [dispatcher for dispatcher in self.world.dispatchers if not self.is_paused(dispatcher)]
+        )
+        caller = dispatcher.submit(spec, timeout_ms=5_000.0)
+        self.jobs[spec.job_id] = (spec, dispatcher, caller)
 
     def pick_worker(self):
         return self.draw.choice(self.world.workers)
@@ -316,10 +321,10 @@
         self.note(f"{worker.name} loses a share of {worker.minion.loss} of the minion's calls")
 
     def part(self):
-        home = self.draw.choice(self.world.homes)
-        other_homes = [other for other in self.world.homes if other is not home]
+        dispatcher = self.draw.choice(self.world.dispatchers)
+        other_homes = [other for other in self.world.dispatchers if other is not dispatcher]
         peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_homes)])
-        pair = self.draw.sample([home.address, peer.address], 2)
+        pair = self.draw.sample([dispatcher.address, peer.address], 2)
         self.world.network.cut.add(tuple(pair))
         if self.draw.random() < 0.5:
             self.world.network.cut.add(tuple(reversed(pair)))
@@ -370,7 +375,7 @@
         worker.kill()
         index = self.world.workers.index(worker)
         incarnation = worker.messenger.me.incarnation + 1
-        self.world.workers[index] = Worker(
+        self.world.workers[index] = SimulatedWorker(
             self.world,
             worker.name,
             incarnation,
@@ -380,35 +385,39 @@
         )
         self.note(f"executor of {worker.name} replaced")
 
-    def is_frozen(self, home):
-        return any(frozen is home for _, frozen in self.thaws)
+    def is_paused(self, dispatcher):
+        return any(paused is dispatcher for _, paused in self.resumptions)
 
-    def freeze_home(self):
-        home = self.draw.choice(self.world.homes)
-        if self.thaws or not self.is_up(home) or home.address in self.world.network.frozen:
+    def pause_dispatcher(self):
+        dispatcher = self.draw.choice(self.world.dispatchers)
+        if (
+            self.resumptions
+            or not self.is_up(dispatcher)
+            or dispatcher.address in self.world.network.frozen
+        ):
             return
-        self.world.network.freeze(home.address)
-        home.freeze()
-        self.thaws.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), home))
-        self.note(f"{home.address} paused")
+        self.world.network.freeze(dispatcher.address)
+        dispatcher.pause()
+        self.resumptions.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), dispatcher))
+        self.note(f"{dispatcher.address} paused")
         if self.returns_early:
-            self.callers.desert(home)
+            self.callers.desert(dispatcher)
 
-    def thaw_home(self, home):
-        home.thaw()
+    def resume_dispatcher(self, dispatcher):
+        dispatcher.resume()
         network = self.world.network
         if not self.returns_early:
-            network.thaw(home.address)
+            network.thaw(dispatcher.address)
             return
-        self.note(f"{home.address} resumes")
+        self.note(f"{dispatcher.address} resumes")
         delay_ms = self.draw.choice((0, READS_LATE_MS))
-        self.world.clock.after(delay_ms, lambda: network.thaw(home.address))
-        self.callers.thaw(home)
+        self.world.clock.after(delay_ms, lambda: network.thaw(dispatcher.address))
+        self.callers.resume(dispatcher)
 
     def kill_home(self):
-        index = self.draw.randrange(len(self.world.homes))
-        old = self.world.homes[index]
-        if self.is_frozen(old) or not self.is_up(old):
+        index = self.draw.randrange(len(self.world.dispatchers))
+        old = self.world.dispatchers[index]
+        if self.is_paused(old) or not self.is_up(old):
             return
         old.kill()
         if self.returns_early:
@@ -418,34 +427,34 @@
             return
         self.replace_home(index)
         due_ms = self.world.clock.now() + RESEND_MS
-        for spec, home, caller in self.jobs.values():
-            if home is old and caller.result is None:
+        for spec, dispatcher, caller in self.jobs.values():
+            if dispatcher is old and caller.result is None:
                 self.resubmissions.append((due_ms, spec))
         self.note(f"{old.address} replaced")
 
     def kill_all_homes(self):
         """Kill all dispatchers at once, including paused ones."""
         due_ms = self.world.clock.now() + self.draw.choice(DOWN_MS)
-        self.thaws.clear()
-        for index, home in enumerate(self.world.homes):
-            self.world.network.frozen.pop(home.address, None)
-            if self.is_up(home):
-                home.kill()
+        self.resumptions.clear()
+        for index, dispatcher in enumerate(self.world.dispatchers):
+            self.world.network.frozen.pop(dispatcher.address, None)
+            if self.is_up(dispatcher):
+                dispatcher.kill()
                 self.replacements.append((due_ms, index))
         self.note("all dispatchers killed")
-        for home in self.world.homes:
-            self.callers.lose(home)
+        for dispatcher in self.world.dispatchers:
+            self.callers.lose(dispatcher)
 
     def replace_homes(self, now):
         for due_ms, index in [entry for entry in self.replacements if entry[0] <= now]:
             self.replacements.remove((due_ms, index))
             self.replace_home(index)
-            self.note(f"{self.world.homes[index].address} replaced")
+            self.note(f"{self.world.dispatchers[index].address} replaced")
 
     def replace_home(self, index):
-        old = self.world.homes[index]
+        old = self.world.dispatchers[index]
         name = old.messenger.me.address.removeprefix("tcp://")
-        self.world.homes[index] = Home(
+        self.world.dispatchers[index] = SimulatedDispatcher(
             self.world,
             name,
             len(self.actions) + 2,
@@ -453,11 +462,13 @@
             is_cut_off=old.is_cut_off,
         )
 
-    def is_up(self, home):
+    def is_up(self, dispatcher):
         """Return whether a dispatcher process exists; it may be paused."""
         down = {index for _, index in self.replacements}
         return any(
-            other is home for index, other in enumerate(self.world.homes) if index not in down
+            other is dispatcher
+            for index, other in enumerate(self.world.dispatchers)
+            if index not in down
         )
 
     def change_stop_time(self):
@@ -474,8 +485,8 @@
     def draw_delays(self, sender, receiver):
         """Return the delay of each copy of a message; only dispatchers' messages are disturbed."""
         delay_ms = self.world.network.delay_ms
-        homes = {home.address for home in self.world.homes}
-        if not {sender, receiver} <= homes:
+        dispatchers = {dispatcher.address for dispatcher in self.world.dispatchers}
+        if not {sender, receiver} <= dispatchers:
             return (delay_ms,)
         loss_share, duplicate_share, extra_ms = self.message_faults
         if self.message_draw.random() < loss_share:
@@ -488,7 +499,7 @@
         self.heal()
         if self.returns_early:
             self.calm_early()
-        for member in (*self.world.homes, *self.world.workers):
+        for member in (*self.world.dispatchers, *self.world.workers):
             member.is_cut_off = False
         self.world.evacuate()
         self.evacuated_ms = {}
@@ -499,9 +510,9 @@
         self.message_faults = (0.0, 0.0, 0.0)
         now = self.world.clock.now()
         self.replace_homes(max((due for due, _ in self.replacements), default=now))
-        for _, home in self.thaws:
-            self.thaw_home(home)
-        self.thaws.clear()
+        for _, dispatcher in self.resumptions:
+            self.resume_dispatcher(dispatcher)
+        self.resumptions.clear()
         self.note("end of faults")
         self.callers.calm()
 
@@ -516,7 +527,7 @@
 
     def check_refusal(self, name, spec):
         for index in range(spec.steps[0].count):
-            if self.world.started(f"{name}.0.0.{index}"):
+            if self.world.start_count(f"{name}.0.0.{index}"):
                 self.violations.append(f"{name}: refused, but task {index} was started")
 
     def check_crashes(self):
@@ -533,7 +544,7 @@
 
     def check_success(self, name, spec):
         for index in range(spec.steps[0].count):
-            if not self.world.started(f"{name}.0.0.{index}"):
+            if not self.world.start_count(f"{name}.0.0.{index}"):
                 self.violations.append(f"{name}: succeeded, but task {index} was never started")
 
 
