--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import DispatcherSettings
-from geraniumspool.dispatch_entry import DispatchEntry
+from geraniumspool.dispatch_entry import DispatcherProcess
 from geraniumspool.job_specs import JobOutcome, JobSpec, StepSpec
 from geraniumspool.link import MemoryMessenger, MemoryNetwork
 from geraniumspool.memory_minion import CallFault, Scripted
@@ -15,10 +15,16 @@
 from geraniumspool.operator_keys import OperatorKeys
 from geraniumspool.queued_work import NO_WORK
 from geraniumspool.registrations import WORKER_PREFIX
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS, MINION_LEASE_MS
 from geraniumspool.run_messages import RenewRuns
-from tests.dispatch_world import QUEUE, DispatchWorld, Home, Worker, make_spec
+from tests.dispatch_world import (
+    QUEUE,
+    DispatchWorld,
+    SimulatedDispatcher,
+    SimulatedWorker,
+    make_spec,
+)
 
 KEYS = OperatorKeys("op/", "op/config", "op/evacuate/")
 
@@ -31,21 +37,21 @@
     """A simulation of one dispatcher and three workers, unless overridden."""
 
     workers = 3
-    homes = 1
+    dispatchers = 1
     # The first dispatcher is the fastest and therefore owns all workers.
     capacities = (2.0,)
 
     def setUp(self):
-        self.world = DispatchWorld(self.workers, self.homes, capacities=self.capacities)
+        self.world = DispatchWorld(self.workers, self.dispatchers, capacities=self.capacities)
         self.addCleanup(self.world.close)
         self.clock = self.world.clock
-        self.home = self.world.home
+        self.dispatcher = self.world.dispatcher
 
     def advance(self, total_ms, step_ms=10):
         """Advance the clock and check that no task ever runs twice at the same time."""
         for _ in range(int(total_ms // step_ms)):
             self.clock.advance(step_ms)
-            self.assertEqual(set(), self.world.running_twice())
+            self.assertEqual(set(), self.world.find_duplicate_runs())
 
     def find_worker(self, task):
         """Return the worker that is running a task."""
@@ -56,57 +62,59 @@
     """Results that callers get."""
 
     def test_a_job_succeeds_when_all_tasks_are_done(self):
-        caller = self.home.submit(make_spec("j1", count=5))
+        caller = self.dispatcher.submit(make_spec("j1", count=5))
         self.advance(50)
         self.assertIsNone(caller.outcome)
         self.advance(200)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
-        self.assertEqual([1] * 5, [self.world.started(f"j1.0.0.{index}") for index in range(5)])
-        self.assertTrue(self.home.dispatcher.is_idle)
+        self.assertEqual([1] * 5, [self.world.start_count(f"j1.0.0.{index}") for index in range(5)])
+        self.assertTrue(self.dispatcher.dispatcher.is_idle)
 
     def test_a_step_starts_only_after_its_preceding_steps(self):
-        steps = (StepSpec(2, Room(4_000), 100.0), StepSpec(2, Room(4_000), 100.0, (0,)))
-        caller = self.home.submit(JobSpec("j1", "4000:100", steps))
+        steps = (StepSpec(2, Resources(4_000), 100.0), StepSpec(2, Resources(4_000), 100.0, (0,)))
+        caller = self.dispatcher.submit(JobSpec("j1", "4000:100", steps))
         self.advance(90)
-        self.assertEqual(0, self.world.started("j1.0.1.0"))
+        self.assertEqual(0, self.world.start_count("j1.0.1.0"))
         self.advance(200)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_job_fails_once_a_task_has_used_its_attempts(self):
-        caller = self.home.submit(make_spec("j1", how="fail"))
+        caller = self.dispatcher.submit(make_spec("j1", how="fail"))
         self.advance(300)
         self.assertEqual((JobOutcome.FAILED, "attempts_used"), caller.result[:2])
-        self.assertEqual(QUEUE.attempts, self.world.started(TASK))
+        self.assertEqual(QUEUE.attempts, self.world.start_count(TASK))
 
     def test_a_failed_task_is_retried_on_another_worker(self):
-        caller = self.home.submit(make_spec("j1", how="fail"), QUEUE._replace(attempts=3))
+        caller = self.dispatcher.submit(make_spec("j1", how="fail"), QUEUE._replace(attempts=3))
         self.advance(600)
         self.assertEqual(JobOutcome.FAILED, caller.outcome)
         used_workers = [w for w in self.world.workers if w.minion.started]
         self.assertGreater(len(used_workers), 1)
 
     def test_a_started_job_ends_unfinished_at_its_callers_timeout(self):
-        caller = self.home.submit(make_spec("j1", run_ms=5_000, declared_ms=300), wait_ms=1_000.0)
+        caller = self.dispatcher.submit(
+            make_spec("j1", run_ms=5_000, declared_ms=300), timeout_ms=1_000.0
+        )
         self.advance(1_000)
         self.assertEqual((JobOutcome.UNFINISHED, "deadline"), caller.result[:2])
         self.advance(100)
         self.assertEqual([set()] * 3, [w.minion.running for w in self.world.workers])
 
     def test_a_resubmitted_job_joins_the_running_one(self):
-        first = self.home.submit(make_spec("j1"))
-        second = self.home.submit(make_spec("j1"))
+        first = self.dispatcher.submit(make_spec("j1"))
+        second = self.dispatcher.submit(make_spec("j1"))
         self.advance(200)
         self.assertEqual([JobOutcome.SUCCEEDED] * 2, [first.outcome, second.outcome])
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_runs_are_stopped_when_the_last_caller_disconnects(self):
-        first = self.home.submit(make_spec("j1", run_ms=2_000))
-        second = self.home.submit(make_spec("j1", run_ms=2_000))
+        first = self.dispatcher.submit(make_spec("j1", run_ms=2_000))
+        second = self.dispatcher.submit(make_spec("j1", run_ms=2_000))
         self.advance(50)
-        self.home.dispatcher.leave_job(first.job)
+        self.dispatcher.dispatcher.remove_waiter(first.job)
         self.advance(100)
         self.assertEqual(1, len(self.find_worker(TASK).minion.running))
-        self.home.dispatcher.leave_job(second.job)
+        self.dispatcher.dispatcher.remove_waiter(second.job)
         self.advance(100)
         self.assertEqual([set()] * 3, [w.minion.running for w in self.world.workers])
 
@@ -121,19 +129,21 @@
         }
         for code, (spec, queue) in cases.items():
             with self.subTest(code=code):
-                caller = self.home.submit(spec, queue)
+                caller = self.dispatcher.submit(spec, queue)
                 self.assertEqual((JobOutcome.REFUSED, code), caller.result[:2])
                 self.assertGreater(caller.result.retry_after_ms, 0)
                 self.advance(50)
-                self.assertEqual(0, self.world.started(f"{spec.job_id}.0.0.0"))
+                self.assertEqual(0, self.world.start_count(f"{spec.job_id}.0.0.0"))
 
     def test_labels_and_limits_of_tasks_per_worker_are_respected(self):
-        caller = self.home.submit(make_spec("j1", count=3, cpu=1_000, per_worker=1, label="a"))
+        caller = self.dispatcher.submit(
+            make_spec("j1", count=3, cpu=1_000, per_worker=1, label="a")
+        )
         self.advance(50)
         self.assertEqual([1, 1, 1], [len(w.minion.running) for w in self.world.workers])
         self.advance(200)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
-        refused = self.home.submit(make_spec("j2", label="z"))
+        refused = self.dispatcher.submit(make_spec("j2", label="z"))
         self.assertEqual("no_capacity", refused.result.code)
 
 
@@ -143,7 +153,9 @@
     workers = 2
 
     def test_jobs_that_cannot_be_in_time_are_refused_at_once_with_a_retry_delay(self):
-        callers = [self.home.submit(make_spec(f"j{n}", count=2, cpu=5_000)) for n in range(40)]
+        callers = [
+            self.dispatcher.submit(make_spec(f"j{n}", count=2, cpu=5_000)) for n in range(40)
+        ]
         refused = [caller for caller in callers if caller.outcome is JobOutcome.REFUSED]
         self.assertGreater(len(refused), 20)
         self.assertEqual({"overload"}, {caller.result.code for caller in refused})
@@ -152,12 +164,14 @@
         self.advance(1_500)
         for number, caller in enumerate(callers):
             if caller.outcome is JobOutcome.REFUSED:
-                self.assertEqual(0, self.world.started(f"j{number}.0.0.0"))
+                self.assertEqual(0, self.world.start_count(f"j{number}.0.0.0"))
 
     def test_jobs_accepted_at_twice_the_capacity_are_mostly_in_time(self):
         callers = []
         for number in range(100):
-            callers.append((self.clock.now(), self.home.submit(make_spec(f"j{number}", cpu=5_000))))
+            callers.append(
+                (self.clock.now(), self.dispatcher.submit(make_spec(f"j{number}", cpu=5_000)))
+            )
             self.clock.advance(12)
         self.advance(1_000)
         served = [
@@ -171,24 +185,26 @@
         self.assertGreater(in_time, 0.8 * len(served))
 
     def test_the_job_with_less_slack_is_served_first(self):
-        blocker = self.home.submit(make_spec("b", count=4, cpu=5_000, run_ms=150))
+        blocker = self.dispatcher.submit(make_spec("b", count=4, cpu=5_000, run_ms=150))
         self.advance(20)
-        loose = self.home.submit(make_spec("l", cpu=10_000, run_ms=400))
-        tight = self.home.submit(make_spec("t", cpu=10_000, run_ms=250))
+        loose = self.dispatcher.submit(make_spec("l", cpu=10_000, run_ms=400))
+        tight = self.dispatcher.submit(make_spec("t", cpu=10_000, run_ms=250))
         self.advance(200)
         self.assertEqual(JobOutcome.SUCCEEDED, blocker.outcome)
-        self.assertEqual((1, 1), (self.world.started("t.0.0.0"), self.world.started("l.0.0.0")))
+        self.assertEqual(
+            (1, 1), (self.world.start_count("t.0.0.0"), self.world.start_count("l.0.0.0"))
+        )
         self.advance(900)
         self.assertEqual([JobOutcome.SUCCEEDED] * 2, [loose.outcome, tight.outcome])
 
     def test_runs_refused_by_a_worker_that_another_dispatcher_filled_go_to_another_worker(self):
-        other = Home(self.world, "h9")
-        self.world.homes.append(other)
+        other = SimulatedDispatcher(self.world, "h9")
+        self.world.dispatchers.append(other)
         addresses = {worker.address for worker in self.world.workers}
         other.dispatcher.fleet.set_owned(addresses, addresses, dict.fromkeys(addresses, "north"))
         self.clock.advance(100)
-        callers = [self.home.submit(make_spec("a", count=3, cpu=5_000))]
-        callers.append(other.place(make_spec("b", count=1, cpu=5_000)))
+        callers = [self.dispatcher.submit(make_spec("a", count=3, cpu=5_000))]
+        callers.append(other.submit_locally(make_spec("b", count=1, cpu=5_000)))
         self.advance(400)
         self.assertEqual([JobOutcome.SUCCEEDED] * 2, [caller.outcome for caller in callers])
         for worker in self.world.workers:
@@ -199,16 +215,16 @@
     """Jobs that arrive while the process is shutting down."""
 
     def test_only_jobs_that_end_before_the_process_are_accepted(self):
-        self.home.dispatcher.ends_ms = self.clock.now() + 1_000
-        short = self.home.submit(make_spec("s", run_ms=200))
-        long = self.home.submit(make_spec("l", run_ms=600))
+        self.dispatcher.dispatcher.exit_ms = self.clock.now() + 1_000
+        short = self.dispatcher.submit(make_spec("s", run_ms=200))
+        long = self.dispatcher.submit(make_spec("l", run_ms=600))
         self.assertEqual((JobOutcome.REFUSED, "leaving"), (long.outcome, long.result.code))
         self.advance(1_000)
         self.assertEqual(JobOutcome.SUCCEEDED, short.outcome)
-        self.assertEqual(0, self.world.started("l.0.0.0"))
+        self.assertEqual(0, self.world.start_count("l.0.0.0"))
 
     def test_jobs_are_refused_once_the_listener_closes(self):
-        dispatcher = self.home.dispatcher
+        dispatcher = self.dispatcher.dispatcher
         answers = []
         entry = make_draining_entry(
             self.clock, dispatcher, lambda: answers.append(self.submit_late())
@@ -217,11 +233,11 @@
         self.advance(4_000)
         self.assertTrue(draining.wait())
         self.assertEqual([(JobOutcome.REFUSED, "leaving")], answers)
-        self.assertEqual(0, self.world.started("late.0.0.0"))
+        self.assertEqual(0, self.world.start_count("late.0.0.0"))
 
     def submit_late(self):
         """Submit a job that takes longer than the listener takes to close."""
-        late = self.home.submit(make_spec("late", run_ms=100))
+        late = self.dispatcher.submit(make_spec("late", run_ms=100))
         return late.outcome, late.result and late.result.code
 
 
@@ -229,17 +245,17 @@
     """Workers for which the jobs of several dispatchers wait."""
 
     workers = 2
-    homes = 2
+    dispatchers = 2
     urgent = QUEUE._replace(priority=0)
     less_urgent = QUEUE._replace(priority=1)
 
     def fill(self):
         """Fill all workers, queue a less urgent job, and submit urgent ones elsewhere."""
-        self.home.submit(make_spec("b", count=4, cpu=5_000, run_ms=300))
+        self.dispatcher.submit(make_spec("b", count=4, cpu=5_000, run_ms=300))
         spec = make_spec("l", count=2, cpu=5_000, run_ms=1_000)
-        caller = self.home.submit(spec, self.less_urgent, 9_000.0)
+        caller = self.dispatcher.submit(spec, self.less_urgent, 9_000.0)
         self.advance(20)
-        other = self.world.homes[1]
+        other = self.world.dispatchers[1]
         for number in range(3):
             other.submit(make_spec(f"u{number}", count=4, cpu=5_000, run_ms=300), self.urgent)
         self.advance(200)
@@ -248,25 +264,25 @@
     def test_less_urgent_jobs_wait_for_urgent_ones_of_another_dispatcher(self):
         caller = self.fill()
         self.advance(200)
-        self.assertEqual(1, self.world.started("u0.0.0.0"))
-        self.assertEqual(0, self.world.started("l.0.0.0"))
+        self.assertEqual(1, self.world.start_count("u0.0.0.0"))
+        self.assertEqual(0, self.world.start_count("l.0.0.0"))
         self.advance(4_000)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_queued_work_of_a_dead_dispatcher_delays_other_jobs_by_a_second_at_most(self):
         caller = self.fill()
-        self.world.homes.pop().kill()
+        self.world.dispatchers.pop().kill()
         self.advance(1_000)
-        self.assertEqual(1, self.world.started("l.0.0.0"))
+        self.assertEqual(1, self.world.start_count("l.0.0.0"))
         self.advance(1_500)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_load_report_leaves_out_the_work_of_other_services(self):
         self.fill()
-        loads = {load.service: load for load in self.home.dispatcher.describe_loads()}
+        loads = {load.service: load for load in self.dispatcher.dispatcher.describe_loads()}
         self.assertEqual({QUEUE.service}, loads.keys())
         self.assertGreater(loads[QUEUE.service].queued.in_time[0], 0.0)
-        self.assertEqual(NO_WORK, self.home.dispatcher.describe_load("other").queued)
+        self.assertEqual(NO_WORK, self.dispatcher.dispatcher.describe_load("other").queued)
 
 
 class ClosingListener:
@@ -298,73 +314,73 @@
     )
     messenger = MemoryMessenger(MemoryNetwork(clock), Peer("tcp://n", 1), MemoryCounters())
     store = MemoryStore(clock)
-    entry = DispatchEntry(settings, clock, MemoryCounters(), messenger, store, KEYS, bytes)
+    entry = DispatcherProcess(settings, clock, MemoryCounters(), messenger, store, KEYS, bytes)
     entry.dispatcher = dispatcher
-    entry.serve(ClosingListener(on_drain), [])
+    entry.set_servers(ClosingListener(on_drain), [])
     return entry
 
 
 class FaultsTest(DispatchCase):
     """Faults, during which no task may run twice at the same time."""
 
-    homes = 2
+    dispatchers = 2
 
     def test_runs_of_a_silent_worker_are_given_up_only_after_both_leases(self):
-        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+        caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.world.network.part(self.home.address, worker.address)
+        self.world.network.part(self.dispatcher.address, worker.address)
         self.advance(DISPATCHER_LEASE_MS + MINION_LEASE_MS)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
         self.advance(2_000)
-        self.assertEqual(2, self.world.started(TASK))
+        self.assertEqual(2, self.world.start_count(TASK))
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_worker_that_receives_no_messages_but_sends_them(self):
-        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+        caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.world.network.cut.add((self.home.address, worker.address))
+        self.world.network.cut.add((self.dispatcher.address, worker.address))
         self.advance(3_500)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_worker_whose_messages_are_lost_but_that_receives_them(self):
-        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+        caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.world.network.cut.add((worker.address, self.home.address))
+        self.world.network.cut.add((worker.address, self.dispatcher.address))
         self.advance(3_500)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_job_whose_dispatcher_died_is_resubmitted_to_another(self):
-        self.home.submit(make_spec("j1", run_ms=3_000), wait_ms=8_000.0)
+        self.dispatcher.submit(make_spec("j1", run_ms=3_000), timeout_ms=8_000.0)
         self.advance(50)
-        self.home.kill()
+        self.dispatcher.kill()
         self.advance(RESEND_MS)
-        caller = self.world.homes[1].submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
+        caller = self.world.dispatchers[1].submit(make_spec("j1", run_ms=300), timeout_ms=8_000.0)
         self.advance(600)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_job_is_resubmitted_after_its_executor_and_dispatcher_died(self):
-        self.home.submit(make_spec("j1", run_ms=3_000), wait_ms=8_000.0)
+        self.dispatcher.submit(make_spec("j1", run_ms=3_000), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.home.kill()
+        self.dispatcher.kill()
         self.advance(DISPATCHER_LEASE_MS - 60)
         worker.kill()
         self.advance(RESEND_MS - DISPATCHER_LEASE_MS + 60)
-        caller = self.world.homes[1].submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
+        caller = self.world.dispatchers[1].submit(make_spec("j1", run_ms=300), timeout_ms=8_000.0)
         self.advance(1_500)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
     def test_a_replaced_executor_first_stops_the_runs_of_its_minion(self):
-        caller = self.home.submit(make_spec("j1", run_ms=900), wait_ms=8_000.0)
+        caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         worker.kill()
         self.advance(200)
         index = self.world.workers.index(worker)
-        self.world.workers[index] = Worker(
+        self.world.workers[index] = SimulatedWorker(
             self.world, worker.name, incarnation=2, minion=worker.minion, fence=2
         )
         self.advance(3_000)
@@ -376,13 +392,13 @@
                 for worker in self.world.workers:
                     worker.minion.script(Scripted("start", fault))
                 job = f"j{number}"
-                caller = self.home.submit(make_spec(job, run_ms=300), wait_ms=8_000.0)
+                caller = self.dispatcher.submit(make_spec(job, run_ms=300), timeout_ms=8_000.0)
                 self.advance(2_500)
                 self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
                 self.advance(4_000)
 
     def test_runs_of_a_crashed_minion_are_restarted_on_other_workers(self):
-        caller = self.home.submit(make_spec("j1", run_ms=300), wait_ms=8_000.0)
+        caller = self.dispatcher.submit(make_spec("j1", run_ms=300), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
         worker.minion.reborn("i-new")
@@ -392,33 +408,33 @@
     def test_runs_sent_to_a_long_idle_worker_are_not_lost(self):
         for number in range(12):
             self.advance(437)
-            caller = self.home.submit(make_spec(f"j{number}", run_ms=300))
+            caller = self.dispatcher.submit(make_spec(f"j{number}", run_ms=300))
             self.advance(420)
             self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
-            self.assertEqual(1, self.world.started(f"j{number}.0.0.0"))
+            self.assertEqual(1, self.world.start_count(f"j{number}.0.0.0"))
 
     def test_idle_workers_do_not_count_as_silent(self):
         for _ in range(300):
             self.clock.advance(10)
-            usable = [view.is_usable for view in self.home.dispatcher.fleet.views]
+            usable = [view.is_usable for view in self.dispatcher.dispatcher.fleet.views]
             self.assertEqual([True] * 3, usable)
 
     def test_a_worker_missing_from_the_store_is_used_while_it_reports(self):
         for worker in self.world.workers:
-            self.home.unlist_member(WORKER_PREFIX + worker.address)
+            self.dispatcher.unlist_member(WORKER_PREFIX + worker.address)
         self.advance(5_000)
-        self.assertEqual(3, len(self.home.dispatcher.fleet.of_service("fitting")))
+        self.assertEqual(3, len(self.dispatcher.dispatcher.fleet.owned_workers("fitting")))
         self.world.workers[0].kill()
         self.advance(5_000)
-        self.assertEqual(2, len(self.home.dispatcher.fleet.of_service("fitting")))
+        self.assertEqual(2, len(self.dispatcher.dispatcher.fleet.owned_workers("fitting")))
 
     def test_a_worker_becomes_known_by_its_report_alone(self):
-        late = Worker(self.world, "w9")
+        late = SimulatedWorker(self.world, "w9")
         self.world.workers.append(late)
         self.clock.advance(50)
-        late.executor.take_renewal(Peer(self.home.address, 1), RenewRuns(self.clock.now()))
+        late.executor.take_renewal(Peer(self.dispatcher.address, 1), RenewRuns(self.clock.now()))
         self.advance(100)
-        self.assertEqual(4, len(self.home.dispatcher.fleet.of_service("fitting")))
+        self.assertEqual(4, len(self.dispatcher.dispatcher.fleet.owned_workers("fitting")))
 
 
 class ShrunkCapacityTest(DispatchCase):
@@ -429,23 +445,27 @@
     def shrink(self, cpu):
         for worker in self.world.workers:
             life = worker.minion.life
-            worker.minion.life = life._replace(room=Room(cpu, 10_000), sequence=life.sequence + 1)
+            worker.minion.life = life._replace(
+                resources=Resources(cpu, 10_000), sequence=life.sequence + 1
+            )
             worker.executor.take_life(worker.minion.life)
 
     def test_a_queued_job_that_no_longer_fits_on_any_worker_is_refused_at_once(self):
         for name in ("a", "b"):
-            self.home.submit(make_spec(name, cpu=8_000, run_ms=900))
-        waiting = self.home.submit(make_spec("c", cpu=8_000, run_ms=900), wait_ms=9_000.0)
+            self.dispatcher.submit(make_spec(name, cpu=8_000, run_ms=900))
+        waiting = self.dispatcher.submit(make_spec("c", cpu=8_000, run_ms=900), timeout_ms=9_000.0)
         self.advance(20)
         self.shrink(7_000)
         self.advance(100)
         self.assertEqual(JobOutcome.REFUSED, waiting.outcome)
         self.assertEqual("no_capacity", waiting.result.code)
         self.assertGreater(waiting.result.retry_after_ms, 0)
-        self.assertEqual(0, self.world.started("c.0.0.0"))
+        self.assertEqual(0, self.world.start_count("c.0.0.0"))
 
     def test_a_started_job_ends_unfinished_and_its_runs_are_stopped(self):
-        job = self.home.submit(make_spec("a", count=3, cpu=8_000, run_ms=900), wait_ms=9_000.0)
+        job = self.dispatcher.submit(
+            make_spec("a", count=3, cpu=8_000, run_ms=900), timeout_ms=9_000.0
+        )
         self.advance(50)
         self.shrink(7_000)
         self.advance(200)
@@ -454,11 +474,11 @@
 
     def test_a_job_that_fits_only_one_worker_waits_for_it(self):
         for name in ("a", "b"):
-            self.home.submit(make_spec(name, cpu=8_000, run_ms=300))
-        waiting = self.home.submit(make_spec("c", cpu=8_000, run_ms=300), wait_ms=9_000.0)
+            self.dispatcher.submit(make_spec(name, cpu=8_000, run_ms=300))
+        waiting = self.dispatcher.submit(make_spec("c", cpu=8_000, run_ms=300), timeout_ms=9_000.0)
         self.advance(20)
         life = self.world.workers[0].minion.life
-        shrunk = life._replace(room=Room(7_000, 10_000), sequence=life.sequence + 1)
+        shrunk = life._replace(resources=Resources(7_000, 10_000), sequence=life.sequence + 1)
         self.world.workers[0].executor.take_life(shrunk)
         self.advance(900)
         self.assertEqual(JobOutcome.SUCCEEDED, waiting.outcome)
@@ -474,7 +494,7 @@
         return [task for worker in self.world.workers for task in worker.minion.crashed_by]
 
     def test_its_job_fails_after_two_minion_crashes(self):
-        bad = self.home.submit(make_spec("bad", run_ms=400, how="crash"), wait_ms=9_000.0)
+        bad = self.dispatcher.submit(make_spec("bad", run_ms=400, how="crash"), timeout_ms=9_000.0)
         self.advance(1_500)
         self.assertEqual(JobOutcome.FAILED, bad.outcome)
         self.assertEqual("crashes_minions", bad.result.code)
@@ -482,23 +502,27 @@
         self.assertEqual(["bad.0.0.0"] * 2, self.crashes())
 
     def test_tasks_beside_it_are_completed(self):
-        bad = self.home.submit(make_spec("bad", cpu=1_000, run_ms=400, how="crash"))
-        others = [self.home.submit(make_spec(f"j{n}", 4, cpu=1_000, run_ms=200)) for n in range(8)]
+        bad = self.dispatcher.submit(make_spec("bad", cpu=1_000, run_ms=400, how="crash"))
+        others = [
+            self.dispatcher.submit(make_spec(f"j{n}", 4, cpu=1_000, run_ms=200)) for n in range(8)
+        ]
         self.advance(2_500)
         self.assertEqual("crashes_minions", bad.result.code)
         self.assertEqual(["bad.0.0.0"] * 2, self.crashes())
         self.assertEqual([JobOutcome.SUCCEEDED] * 8, [other.outcome for other in others])
 
     def test_resubmitting_it_costs_one_more_minion_crash(self):
-        self.home.submit(make_spec("bad", run_ms=400, how="crash"), wait_ms=9_000.0)
+        self.dispatcher.submit(make_spec("bad", run_ms=400, how="crash"), timeout_ms=9_000.0)
         self.advance(1_500)
-        again = self.home.submit(make_spec("bad", run_ms=400, how="crash"), wait_ms=9_000.0)
+        again = self.dispatcher.submit(
+            make_spec("bad", run_ms=400, how="crash"), timeout_ms=9_000.0
+        )
         self.advance(1_500)
         self.assertEqual(JobOutcome.FAILED, again.outcome)
         self.assertEqual(["bad.0.0.0"] * 3, self.crashes())
 
     def test_a_power_loss_of_several_minions_blames_no_task(self):
-        job = self.home.submit(make_spec("j", 6, run_ms=400), wait_ms=9_000.0)
+        job = self.dispatcher.submit(make_spec("j", 6, run_ms=400), timeout_ms=9_000.0)
         self.advance(50)
         for worker in self.world.workers[:3]:
             worker.minion.crash(1_000)
@@ -509,7 +533,7 @@
         self.assertNotEqual(JobOutcome.FAILED, job.outcome)
 
     def test_a_silent_minion_blames_no_task(self):
-        job = self.home.submit(make_spec("j", run_ms=3_000), wait_ms=9_000.0)
+        job = self.dispatcher.submit(make_spec("j", run_ms=3_000), timeout_ms=9_000.0)
         for _ in range(2):
             self.advance(100)
             worker = self.find_worker("j.0.0.0")
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -3,7 +3,7 @@
 import unittest
 
 from geraniumspool.job_specs import JobOutcome
-from tests.dispatch_world import DispatchWorld, Home, make_spec
+from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, make_spec
 
 # Shorter than it takes to stop a run, so that overlapping runs are seen.
 STEP_MS = 5
@@ -19,7 +19,7 @@
     def setUp(self):
         self.world = DispatchWorld(3, 3, group_workers=1)
         self.addCleanup(self.world.close)
-        self.homes = self.world.homes
+        self.dispatchers = self.world.dispatchers
         self.dead = set()
         self.ran_twice = set()
 
@@ -27,51 +27,53 @@
         """Let time pass, and collect the tasks that run twice at the same time."""
         for _ in range(int(total_ms // STEP_MS)):
             self.world.clock.advance(STEP_MS)
-            self.ran_twice |= self.world.running_twice()
+            self.ran_twice |= self.world.find_duplicate_runs()
 
-    def start_job(self, home):
+    def start_job(self, dispatcher):
         """Submit a job and let it run for a while."""
         self.spec = make_spec("j", count=3, cpu=4_000, run_ms=RUN_MS)
-        request = home.submit(self.spec)
+        request = dispatcher.submit(self.spec)
         self.advance(RESEND_MS)
-        self.assertEqual(1, self.world.started("j.0.0.0"))
+        self.assertEqual(1, self.world.start_count("j.0.0.0"))
         return request
 
-    def hang_up(self, home):
-        request = self.start_job(home)
-        home.router.leave_job(request.job)
+    def hang_up(self, dispatcher):
+        request = self.start_job(dispatcher)
+        dispatcher.router.leave_job(request.job)
 
-    def kill_dispatcher(self, home):
-        self.start_job(home)
-        home.kill()
-        self.dead.add(home)
+    def kill_dispatcher(self, dispatcher):
+        self.start_job(dispatcher)
+        dispatcher.kill()
+        self.dead.add(dispatcher)
 
-    def restart_dispatcher(self, home):
-        self.kill_dispatcher(home)
-        index = self.homes.index(home)
-        self.homes[index] = Home(self.world, f"h{index}", incarnation=2)
+    def restart_dispatcher(self, dispatcher):
+        self.kill_dispatcher(dispatcher)
+        index = self.dispatchers.index(dispatcher)
+        self.dispatchers[index] = SimulatedDispatcher(self.world, f"h{index}", incarnation=2)
 
     def restart_all(self, _home):
-        self.start_job(self.homes[0])
-        for home in self.homes:
-            home.kill()
-        self.homes[:] = [Home(self.world, f"h{index}", incarnation=2) for index in range(3)]
+        self.start_job(self.dispatchers[0])
+        for dispatcher in self.dispatchers:
+            dispatcher.kill()
+        self.dispatchers[:] = [
+            SimulatedDispatcher(self.world, f"h{index}", incarnation=2) for index in range(3)
+        ]
 
-    def keep_waiting(self, home):
-        self.start_job(home)
+    def keep_waiting(self, dispatcher):
+        self.start_job(dispatcher)
 
-    def abandon_jobs(self, home):
+    def abandon_jobs(self, dispatcher):
         """Have the dispatcher report the job as unfinished, so its caller may send it again."""
-        self.start_job(home)
-        home.router.abandon()
+        self.start_job(dispatcher)
+        dispatcher.router.abandon()
 
-    def partition(self, home):
+    def partition(self, dispatcher):
         """Lose all messages between a dispatcher and the others; its caller hangs up."""
-        request = self.start_job(home)
-        for other in self.homes:
-            if other is not home:
-                self.world.network.part(home.address, other.address)
-        home.router.leave_job(request.job)
+        request = self.start_job(dispatcher)
+        for other in self.dispatchers:
+            if other is not dispatcher:
+                self.world.network.part(dispatcher.address, other.address)
+        dispatcher.router.leave_job(request.job)
 
     def test_a_job_sent_again_at_once_has_no_task_run_twice(self):
         faults = (
@@ -88,9 +90,9 @@
                 with self.subTest(fault.__name__, index=index):
                     self.doCleanups()
                     self.setUp()
-                    fault(self.homes[0])
-                    if self.homes[index] not in self.dead:
-                        request = self.homes[index].submit(self.spec, wait_ms=WAIT_MS)
+                    fault(self.dispatchers[0])
+                    if self.dispatchers[index] not in self.dead:
+                        request = self.dispatchers[index].submit(self.spec, timeout_ms=WAIT_MS)
                         self.advance(WAIT_MS)
                         self.assertIn(request.outcome, (JobOutcome.SUCCEEDED, JobOutcome.REFUSED))
                     self.assertEqual(set(), self.ran_twice)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -10,7 +10,13 @@
 from geraniumspool.job_specs import JobOutcome
 from geraniumspool.registrations import DISPATCHER_PREFIX
 from geraniumspool.run_messages import EvacuationNews
-from tests.dispatch_world import EVACUATION_MS, DispatchWorld, Home, Worker, make_spec
+from tests.dispatch_world import (
+    EVACUATION_MS,
+    DispatchWorld,
+    SimulatedDispatcher,
+    SimulatedWorker,
+    make_spec,
+)
 
 DOMAINS = ("north", "south", "east")
 
@@ -67,14 +73,14 @@
 class EvacuationCase(unittest.TestCase):
     """Three domains with a dispatcher and two workers each."""
 
-    homes = 3
+    dispatchers = 3
     workers = 6
     group_workers = 2
 
     def setUp(self):
         self.world = DispatchWorld(
             workers=self.workers,
-            homes=self.homes,
+            dispatchers=self.dispatchers,
             group_workers=self.group_workers,
             domains=DOMAINS,
         )
@@ -86,10 +92,10 @@
         for _ in range(total_ms // step_ms):
             self.clock.advance(step_ms)
 
-    def submit(self, home=0, count=1, **step):
+    def submit(self, dispatcher=0, count=1, **step):
         self.number += 1
         spec = make_spec(f"j{self.number}", count, **step)
-        return self.world.homes[home].submit(spec)
+        return self.world.dispatchers[dispatcher].submit(spec)
 
     def count_starts(self, domain):
         """Return the number of runs started so far at all minions of a domain."""
@@ -107,7 +113,7 @@
         """Submit jobs to the dispatchers in turn; return their callers."""
         callers = []
         for turn in range(total_ms // every_ms):
-            callers.append(self.submit(turn % len(self.world.homes), **step))
+            callers.append(self.submit(turn % len(self.world.dispatchers), **step))
             self.advance(every_ms)
         self.advance(600)
         return callers
@@ -128,7 +134,7 @@
         self.assertEqual(0, self.count_refused())
 
     def test_started_runs_are_not_stopped(self):
-        callers = [self.submit(home, 4, run_ms=700) for home in range(3)]
+        callers = [self.submit(dispatcher, 4, run_ms=700) for dispatcher in range(3)]
         self.advance(60)
         started = self.count_starts("south")
         self.assertGreater(started, 0)
@@ -163,7 +169,7 @@
         self.advance(60)
         self.assertEqual(JobOutcome.REFUSED, caller.outcome)
         self.assertGreater(caller.result.retry_after_ms, 0)
-        self.assertTrue(self.world.home.router.has_workers)
+        self.assertTrue(self.world.dispatcher.router.has_workers)
         self.world.evacuate()
         self.advance(60)
         caller = self.submit()
@@ -210,10 +216,10 @@
     """A dispatcher with a half-finished job, all of whose own workers are evacuated."""
 
     def test_the_waiting_tasks_run_on_workers_of_other_dispatchers(self):
-        caller = self.world.homes[1].place(make_spec("half", 8, run_ms=400))
+        caller = self.world.dispatchers[1].submit_locally(make_spec("half", 8, run_ms=400))
         self.advance(60)
         self.assertGreater(self.count_starts("south"), 0)
-        owned = [v for v in self.world.homes[1].dispatcher.fleet.views if v.is_owned]
+        owned = [v for v in self.world.dispatchers[1].dispatcher.fleet.views if v.is_owned]
         self.assertEqual({"south"}, {view.domain for view in owned})
         self.world.evacuate("south")
         self.advance(20)
@@ -229,19 +235,19 @@
     workers = 12
     group_workers = 2.8
 
-    def owned(self, home):
-        views = [view for view in home.dispatcher.fleet.views if view.is_owned]
+    def owned(self, dispatcher):
+        views = [view for view in dispatcher.dispatcher.fleet.views if view.is_owned]
         return [view.domain for view in views if not view.is_evacuated]
 
     def test_a_dispatcher_in_the_domain_owns_its_share_of_the_other_workers(self):
         self.world.evacuate("south")
         self.advance(100)
-        shares = [self.owned(home) for home in self.world.homes]
+        shares = [self.owned(dispatcher) for dispatcher in self.world.dispatchers]
         self.assertEqual([2, 3, 3], sorted(map(len, shares)))
         self.assertNotIn("south", sum(shares, []))
         self.world.evacuate()
         self.advance(100)
-        self.assertEqual(["south"] * 4, self.owned(self.world.homes[1]))
+        self.assertEqual(["south"] * 4, self.owned(self.world.dispatchers[1]))
 
 
 class RestartTest(EvacuationCase):
@@ -249,28 +255,30 @@
 
     def test_jobs_submitted_there_do_not_wait_for_evacuated_workers(self):
         self.world.evacuate("south")
-        for home in self.world.homes[:]:
-            home.kill()
-        old, self.world.homes[:] = self.world.homes[:], []
+        for dispatcher in self.world.dispatchers[:]:
+            dispatcher.kill()
+        old, self.world.dispatchers[:] = self.world.dispatchers[:], []
         for worker in self.world.workers:
             worker.kill()
         # Dispatchers restart before executors.
-        for home in old:
-            name = home.address.removeprefix("tcp://")
-            self.world.homes.append(Home(self.world, name, 2, domain=home.record.domain))
-        for home in self.world.homes:
+        for dispatcher in old:
+            name = dispatcher.address.removeprefix("tcp://")
+            self.world.dispatchers.append(
+                SimulatedDispatcher(self.world, name, 2, domain=dispatcher.record.domain)
+            )
+        for dispatcher in self.world.dispatchers:
             for other in old:
-                home.list_member(DISPATCHER_PREFIX + other.address, other.record)
-            home.router.take_members()
+                dispatcher.list_member(DISPATCHER_PREFIX + other.address, other.record)
+            dispatcher.router.take_members()
         callers = [self.submit(1) for _ in range(3)]
         self.advance(40)
         for index, worker in enumerate(self.world.workers):
-            self.world.workers[index] = Worker(
+            self.world.workers[index] = SimulatedWorker(
                 self.world, worker.name, 2, worker.minion, fence=100_000, domain=worker.domain
             )
-            for home in self.world.homes:
+            for dispatcher in self.world.dispatchers:
                 # The store watch reports the executor's new key.
-                home.dispatcher.fleet.note_written(worker.address)
+                dispatcher.dispatcher.fleet.handle_key_written(worker.address)
         before = self.count_starts("south")
         self.advance(600)
         self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
@@ -285,7 +293,7 @@
             part.is_cut_off = True
 
     def test_one_dispatcher_with_access_to_the_store_informs_the_others(self):
-        self.cut_off(*self.world.homes[1:], *self.world.workers)
+        self.cut_off(*self.world.dispatchers[1:], *self.world.workers)
         self.world.evacuate("south")
         self.advance(400)
         before = self.count_starts("south")
@@ -294,7 +302,7 @@
         self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
 
     def test_executors_read_the_store_when_all_dispatchers_are_cut_off(self):
-        self.cut_off(*self.world.homes)
+        self.cut_off(*self.world.dispatchers)
         self.world.evacuate("south")
         self.advance(round(EVACUATION_MS))
         before = self.count_starts("south")
@@ -302,16 +310,16 @@
         self.assertEqual(before, self.count_starts("south"))
 
     def test_executors_use_the_last_known_list_when_all_processes_are_cut_off(self):
-        self.cut_off(*self.world.homes, *self.world.workers)
+        self.cut_off(*self.world.dispatchers, *self.world.workers)
         callers = self.load(8_000, every_ms=200)
         self.assertEqual({JobOutcome.SUCCEEDED}, {caller.outcome for caller in callers})
 
     def test_a_new_executor_starts_nothing_in_the_evacuated_domain(self):
-        self.cut_off(*self.world.homes)
+        self.cut_off(*self.world.dispatchers)
         self.world.evacuate("south")
         worker = next(each for each in self.world.workers if each.domain == "south")
         worker.kill()
-        successor = Worker(
+        successor = SimulatedWorker(
             self.world, worker.name, 2, worker.minion, fence=100_000, domain=worker.domain
         )
         self.world.workers[self.world.workers.index(worker)] = successor
@@ -320,30 +328,33 @@
         self.assertEqual(before, len(worker.minion.started))
 
     def test_a_new_dispatcher_places_nothing_before_it_has_the_list(self):
-        old = self.world.homes[1]
+        old = self.world.dispatchers[1]
         self.world.evacuate("south")
         self.advance(400)
         old.kill()
-        self.world.homes.remove(old)
+        self.world.dispatchers.remove(old)
         before = self.count_starts("south")
-        Home.read_operators, original = (lambda home: None), Home.read_operators
-        self.addCleanup(setattr, Home, "read_operators", original)
-        home = Home(self.world, "h1", 2, domain="south")
-        self.world.homes.append(home)
-        self.assertFalse(home.evacuations.is_known)
+        SimulatedDispatcher.read_operators, original = (
+            (lambda dispatcher: None),
+            SimulatedDispatcher.read_operators,
+        )
+        self.addCleanup(setattr, SimulatedDispatcher, "read_operators", original)
+        dispatcher = SimulatedDispatcher(self.world, "h1", 2, domain="south")
+        self.world.dispatchers.append(dispatcher)
+        self.assertFalse(dispatcher.evacuations.is_known)
         self.load(600)
         self.assertEqual(before, self.count_starts("south"))
-        self.assertTrue(home.evacuations.covers("south"))
+        self.assertTrue(dispatcher.evacuations.covers("south"))
 
     def test_a_dispatcher_that_was_frozen_does_not_use_its_outdated_list(self):
-        home = self.world.homes[1]
-        home.freeze()
-        self.world.network.freeze(home.address)
-        self.cut_off(home)
+        dispatcher = self.world.dispatchers[1]
+        dispatcher.pause()
+        self.world.network.freeze(dispatcher.address)
+        self.cut_off(dispatcher)
         self.world.evacuate("south")
         self.advance(round(EVACUATION_MS) + 1_000)
-        home.thaw()
-        self.world.network.thaw(home.address)
+        dispatcher.resume()
+        self.world.network.thaw(dispatcher.address)
         before = self.count_starts("south")
         eventlet.sleep(0)
         self.load(800)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -8,12 +8,12 @@
 from geraniumspool.contracts import RunKey, StartOutcome
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.executor import Executor
-from geraniumspool.fleet import LOST_MS
+from geraniumspool.fleet import RUNS_LOST_AFTER_MS
 from geraniumspool.memory_minion import CallFault, MemoryMinion, Scripted
 from geraniumspool.messages import Peer
 from geraniumspool.minion_watch import LOOK_AGAIN_MS, LOOK_WAIT_MS
 from geraniumspool.platform.minion import LOOK_ANSWER_MS
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS, LONGEST_LEASE_MS, MINION_LEASE_MS
 from geraniumspool.run_messages import (
     RUN_DONE,
@@ -40,7 +40,7 @@
         "task": task,
         "attempt": 1,
         "payload": payload,
-        "need": Room(cpu),
+        "need": Resources(cpu),
         "expected_ms": run_ms,
         "slack_ms": 500.0,
         "patience_ms": 60.0,
@@ -74,7 +74,10 @@
         )
         for green_thread in self.tasks:
             green_thread.kill()
-        self.tasks = [eventlet.spawn(executor.run_looks), eventlet.spawn(executor.run_ticks)]
+        self.tasks = [
+            eventlet.spawn(executor.run_looks),
+            eventlet.spawn(executor.run_periodic_checks),
+        ]
         executor.take_life(self.minion.life)
         self.clock.advance(50)
         return executor
@@ -286,7 +289,7 @@
         # Stops are lost while polls are answered, so the minion's lease must end the runs.
         self.start(make_order(1, run_ms=5_000))
         self.minion.deaf_to = {"stop"}
-        self.clock.advance(LOST_MS)
+        self.clock.advance(RUNS_LOST_AFTER_MS)
         self.assertEqual(set(), self.minion.running)
 
     def test_lost_stop_ends_no_other_run(self):
@@ -469,7 +472,9 @@
 
     def resize(self, cpu):
         life = self.minion.life
-        self.minion.life = life._replace(room=Room(cpu, 10_000), sequence=life.sequence + 1)
+        self.minion.life = life._replace(
+            resources=Resources(cpu, 10_000), sequence=life.sequence + 1
+        )
         self.executor.take_life(self.minion.life)
         self.clock.settle()
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from geraniumspool.groups import Owner, Site, choose_owners, divide
+from geraniumspool.groups import Owner, WorkerLocation, assign_workers, choose_owners
 
 DOMAINS = ("north", "east", "south")
 
@@ -19,7 +19,7 @@
     :param rack: number of workers per rack
     """
     return {
-        f"w{n}": Site("fitting", DOMAINS[n % 3], f"r{n % 3}-{n // 3 // rack}")
+        f"w{n}": WorkerLocation("fitting", DOMAINS[n % 3], f"r{n % 3}-{n // 3 // rack}")
         for n in range(number)
     }
 
@@ -30,7 +30,7 @@
     def test_each_worker_has_an_owner_and_no_owner_exceeds_its_share(self):
         for members, workers in ((1, 5), (3, 36), (10, 62), (35, 160)):
             with self.subTest(members=members, workers=workers):
-                groups = divide(make_members(members), make_workers(workers))
+                groups = assign_workers(make_members(members), make_workers(workers))
                 self.assertEqual(workers, len(groups))
                 sizes = Counter(groups.values())
                 self.assertLessEqual(max(sizes.values()), -(-workers // len(sizes)))
@@ -38,29 +38,31 @@
     def test_the_order_of_members_and_workers_does_not_matter(self):
         members, workers = make_members(10), make_workers(62)
         reversed_workers = dict(reversed(workers.items()))
-        self.assertEqual(divide(members, workers), divide(members[::-1], reversed_workers))
+        self.assertEqual(
+            assign_workers(members, workers), assign_workers(members[::-1], reversed_workers)
+        )
 
     def test_without_dispatchers_no_worker_has_an_owner(self):
-        self.assertEqual({}, divide([], make_workers(5)))
+        self.assertEqual({}, assign_workers([], make_workers(5)))
 
     def test_most_owners_are_in_the_failure_domain_of_their_workers(self):
         members, workers = make_members(9), make_workers(108)
         domains = {member.address: member.domain for member in members}
-        groups = divide(members, workers)
+        groups = assign_workers(members, workers)
         local = sum(domains[owner] == workers[address].domain for address, owner in groups.items())
         self.assertGreaterEqual(local, 100)
 
     def test_most_workers_keep_their_owner_when_another_owner_is_lost(self):
         members, workers = make_members(10), make_workers(120)
-        before = divide(members, workers)
-        after = divide(members[1:], workers)
+        before = assign_workers(members, workers)
+        after = assign_workers(members[1:], workers)
         lost = sum(owner == "h0" for owner in before.values())
         moved = sum(before[address] != after[address] for address in workers)
         self.assertLessEqual(moved, 3 * lost)
 
     def test_a_faster_dispatcher_owns_more_workers(self):
         members = [Owner("slow", "north", 0.25), Owner("fast", "north", 2.0)]
-        sizes = Counter(divide(members, make_workers(24)).values())
+        sizes = Counter(assign_workers(members, make_workers(24)).values())
         self.assertGreaterEqual(sizes["fast"], 2.5 * sizes["slow"])
 
 
--- a/tests/test_job_admission.py
+++ b/tests/test_job_admission.py
@@ -3,12 +3,12 @@
 import unittest
 
 from geraniumspool import job_admission
-from geraniumspool.dispatch_job import DispatchJob, make_steps, measure_objective
-from geraniumspool.dispatch_policy import ExpectedUse
+from geraniumspool.dispatch_job import DispatchJob, compute_objective_ms, make_steps
+from geraniumspool.dispatch_policy import UsefulnessPolicy
 from geraniumspool.fleet import WorkerView
 from geraniumspool.job_admission import Backlog
-from geraniumspool.queued_work import LEVELS, USUAL_MS, ArrivalMeter, level_of
-from geraniumspool.rooms import Room
+from geraniumspool.queued_work import LEVELS, USUAL_AVERAGE_MS, ArrivalMeter, level_of
+from geraniumspool.rooms import Resources
 from geraniumspool.run_messages import WorkerState
 from geraniumspool.urgency import MAX_RETRY_MS, Timing
 from tests.dispatch_world import QUEUE, make_spec
@@ -23,8 +23,10 @@
     :param used: CPU in use
     """
     view = WorkerView(f"tcp://{name}", NOW)
-    room = Room(cpu, 10_000)
-    view.state = WorkerState(name, QUEUE.service, accepts=True, room=room, used=Room(used))
+    resources = Resources(cpu, 10_000)
+    view.state = WorkerState(
+        name, QUEUE.service, accepts=True, room=resources, used=Resources(used)
+    )
     view.free = view.state.free
     view.is_usable = True
     return view
@@ -34,7 +36,7 @@
     """Return a job that arrives at :data:`NOW`."""
     spec = make_spec(name, **fields)
     job = DispatchJob(spec, queue, make_steps(spec, 1.0))
-    objective = measure_objective(job.steps, queue, 1_000_000)
+    objective = compute_objective_ms(job.steps, queue, 1_000_000)
     job.timing = Timing(NOW, objective, wait_ms)
     return job
 
@@ -46,11 +48,11 @@
     :param arriving: arrival rates of work, by priority level
     :param backlog_fields: further fields of the :class:`Backlog`
     """
-    policy = ExpectedUse()
+    policy = UsefulnessPolicy()
     queued = job_admission.sum_work(others, policy, NOW)
     queued = queued._replace(arriving=arriving, usual=arriving)
     backlog = Backlog(list(others), list(others), workers, False, queued, **backlog_fields)
-    return job_admission.judge(job, backlog, policy, NOW)
+    return job_admission.check_admission(job, backlog, policy, NOW)
 
 
 def make_waiting(work, run_ms=400):
@@ -139,12 +141,12 @@
             self.assertEqual(level, level_of(priority), priority)
 
     def test_the_average_follows_a_steady_rate_and_decays_without_arrivals(self):
-        meter = ArrivalMeter(0.0, USUAL_MS)
+        meter = ArrivalMeter(0.0, USUAL_AVERAGE_MS)
         for now in range(0, 6_000, 20):
-            meter.note(1, 400.0, float(now))
+            meter.record_arrival(1, 400.0, float(now))
         self.assertAlmostEqual(20.0, meter.rates(6_000.0)[1], delta=1.0)
         self.assertEqual(0.0, meter.rates(6_000.0)[0])
-        self.assertLess(meter.rates(6_000.0 + 10 * USUAL_MS)[1], 0.01)
+        self.assertLess(meter.rates(6_000.0 + 10 * USUAL_AVERAGE_MS)[1], 0.01)
 
 
 if __name__ == "__main__":
--- a/tests/test_job_claims.py
+++ b/tests/test_job_claims.py
@@ -11,7 +11,7 @@
 from geraniumspool.job_claims import HEDGE_MS, PAUSE_MS, JobClaims
 from geraniumspool.messages import Peer
 from geraniumspool.run_messages import StartRuns
-from tests.dispatch_world import DispatchWorld, Home, make_spec
+from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, make_spec
 
 ME, ONE, OTHER = (Peer(f"tcp://{name}", 1) for name in "abc")
 WORKERS = ("tcp://w0", "tcp://w1")
@@ -37,7 +37,7 @@
     claim_id: str
     incarnation: int = 1
 
-    def claim_left_ms(self, _now):
+    def remaining_claim_ms(self, _now):
         return 1_000.0
 
 
@@ -151,12 +151,14 @@
     def test_a_start_order_names_the_rank_of_the_fence_that_it_relies_on(self):
         world = DispatchWorld(2, 2, group_workers=1)
         self.addCleanup(world.close)
-        for home in world.homes:
-            home.kill()
-        world.homes[:] = [Home(world, f"h{index}", incarnation=2) for index in range(2)]
+        for dispatcher in world.dispatchers:
+            dispatcher.kill()
+        world.dispatchers[:] = [
+            SimulatedDispatcher(world, f"h{index}", incarnation=2) for index in range(2)
+        ]
         world.clock.advance(100)
         world.network.sent.clear()
-        world.homes[0].submit(make_spec("j"))
+        world.dispatchers[0].submit(make_spec("j"))
         world.clock.advance(300)
         ranks = [
             order.fence_rank
--- a/tests/test_job_fences.py
+++ b/tests/test_job_fences.py
@@ -8,7 +8,7 @@
 from geraniumspool.link import MemoryMessenger
 from geraniumspool.messages import Peer
 from geraniumspool.run_messages import FENCED, RUN_STOPPED
-from tests.dispatch_world import DispatchWorld, Worker, make_spec
+from tests.dispatch_world import DispatchWorld, SimulatedWorker, make_spec
 
 JOB, TASK = "j", "j.0.0.0"
 RANK = 100
@@ -47,7 +47,7 @@
         (messenger or self.requester).send(peer, FenceJobs((job_id,), rank))
 
     def start_run(self):
-        request = self.world.home.place(make_spec(JOB, run_ms=RUN_MS))
+        request = self.world.dispatcher.submit_locally(make_spec(JOB, run_ms=RUN_MS))
         self.world.clock.advance(30)
         self.assertIn(TASK, self.worker.minion.running)
         return request
@@ -63,7 +63,7 @@
         while not self.results:
             self.world.clock.advance(1)
         self.assertEqual(set(), self.worker.minion.running)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_request_is_answered_at_once_while_runs_are_being_stopped(self):
         self.start_run()
@@ -82,7 +82,7 @@
     def test_a_fence_refuses_runs_of_another_dispatcher(self):
         self.request_fence()
         self.world.clock.advance(5)
-        self.world.home.place(make_spec(JOB, run_ms=RUN_MS))
+        self.world.dispatcher.submit_locally(make_spec(JOB, run_ms=RUN_MS))
         self.world.clock.advance(10)
         refused = self.worker.counters.get("runs_refused", reason=FENCED)
         self.assertEqual(1, refused)
@@ -90,10 +90,10 @@
     def test_a_refused_dispatcher_that_holds_the_claim_runs_the_job_in_the_end(self):
         self.request_fence()
         self.world.clock.advance(5)
-        request = self.world.home.place(make_spec(JOB, run_ms=RUN_MS))
+        request = self.world.dispatcher.submit_locally(make_spec(JOB, run_ms=RUN_MS))
         self.world.clock.advance(RUN_MS + 200)
         self.assertEqual("succeeded", request.outcome.value)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_fence_is_replaced_by_one_of_higher_rank_only(self):
         second = self.connect("late")
@@ -110,7 +110,7 @@
         self.start_run()
         minion = self.worker.minion
         self.worker.kill()
-        self.worker = self.world.workers[0] = Worker(
+        self.worker = self.world.workers[0] = SimulatedWorker(
             self.world, self.worker.name, 2, minion, fence=100_000
         )
         self.request_fence()
--- a/tests/test_job_router.py
+++ b/tests/test_job_router.py
@@ -3,13 +3,13 @@
 import unittest
 
 from geraniumspool.dispatcher_peers import PEER_SILENT_MS
-from geraniumspool.fleet import LOST_MS
+from geraniumspool.fleet import RUNS_LOST_AFTER_MS
 from geraniumspool.forwarded_jobs import KEPT_ENDS, NOT_RECEIVED
 from geraniumspool.forwarded_jobs import Entry as ForwardedEntry
 from geraniumspool.job_specs import JobOutcome, JobResult
 from geraniumspool.messages import Peer
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS
-from tests.dispatch_world import DispatchWorld, Home, make_spec
+from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, make_spec
 
 TASK = "j.0.0.0"
 
@@ -20,13 +20,13 @@
     def setUp(self):
         self.world = DispatchWorld(2, 3, capacities=(2.0,))
         self.addCleanup(self.world.close)
-        self.owner, self.entry, self.other = self.world.homes
+        self.owner, self.entry, self.other = self.world.dispatchers
 
     def advance(self, total_ms, step_ms=10):
         """Let time pass, and check that no task runs twice at the same time."""
         for _ in range(int(total_ms // step_ms)):
             self.world.clock.advance(step_ms)
-            self.assertEqual(set(), self.world.running_twice())
+            self.assertEqual(set(), self.world.find_duplicate_runs())
 
     def partition(self, one, other):
         """Lose all messages between two processes."""
@@ -53,10 +53,13 @@
         self.assertTrue(self.entry.router.is_idle and self.owner.router.is_idle)
 
     def test_callers_at_all_dispatchers_share_one_job(self):
-        requests = [home.submit(make_spec("j", run_ms=300)) for home in self.world.homes * 2]
+        requests = [
+            dispatcher.submit(make_spec("j", run_ms=300))
+            for dispatcher in self.world.dispatchers * 2
+        ]
         self.advance(500)
         self.assertEqual({JobOutcome.SUCCEEDED}, {request.outcome for request in requests})
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_refusal_reaches_the_caller_with_its_retry_time(self):
         request = self.entry.submit(make_spec("j", cpu=99_000))
@@ -90,7 +93,7 @@
     """Faults of the entry dispatcher, of the owner, and of messages between them."""
 
     def test_runs_for_a_dead_entry_dispatcher_stop_when_its_lease_expires(self):
-        self.entry.submit(make_spec("j", run_ms=5_000), wait_ms=9_000.0)
+        self.entry.submit(make_spec("j", run_ms=5_000), timeout_ms=9_000.0)
         self.advance(200)
         self.entry.kill()
         self.advance(DISPATCHER_LEASE_MS + 150)
@@ -100,13 +103,13 @@
         self.assertEqual(JobOutcome.SUCCEEDED, second_request.outcome)
 
     def test_a_job_of_a_dead_owner_starts_again_only_after_its_runs_have_ended(self):
-        request = self.entry.submit(make_spec("j", run_ms=900), wait_ms=9_000.0)
+        request = self.entry.submit(make_spec("j", run_ms=900), timeout_ms=9_000.0)
         self.advance(100)
         self.owner.kill()
-        self.advance(LOST_MS)
-        self.assertEqual(1, self.world.started(TASK))
+        self.advance(RUNS_LOST_AFTER_MS)
+        self.assertEqual(1, self.world.start_count(TASK))
         self.advance(3_000)
-        self.assertEqual(2, self.world.started(TASK))
+        self.assertEqual(2, self.world.start_count(TASK))
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
 
     def test_nothing_is_forwarded_to_an_owner_whose_process_has_exited(self):
@@ -118,15 +121,15 @@
         self.assertEqual(0.0, self.entry.counters.get("owners_lost"))
 
     def test_a_restart_of_the_owner_does_not_start_its_job_again_early(self):
-        request = self.entry.submit(make_spec("j", run_ms=900), wait_ms=9_000.0)
+        request = self.entry.submit(make_spec("j", run_ms=900), timeout_ms=9_000.0)
         self.advance(10)
         self.owner.kill()
         self.entry.router.take_rejection(Peer(self.owner.address, 7))
-        self.world.homes[0] = Home(self.world, "h0", 7, capacity=2.0)
-        self.advance(LOST_MS - 100)
-        self.assertEqual(1, self.world.started(TASK))
+        self.world.dispatchers[0] = SimulatedDispatcher(self.world, "h0", 7, capacity=2.0)
+        self.advance(RUNS_LOST_AFTER_MS - 100)
+        self.assertEqual(1, self.world.start_count(TASK))
         self.advance(2_500)
-        self.assertEqual(2, self.world.started(TASK))
+        self.assertEqual(2, self.world.start_count(TASK))
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
 
     def test_workers_of_a_dead_owner_are_used_again_within_half_a_second(self):
@@ -137,7 +140,7 @@
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
 
     def test_a_job_that_may_have_run_is_not_reported_as_refused(self):
-        request = self.entry.submit(make_spec("j", run_ms=400), wait_ms=2_400.0)
+        request = self.entry.submit(make_spec("j", run_ms=400), timeout_ms=2_400.0)
         self.advance(100)
         self.owner.kill()
         for worker in self.world.workers:
@@ -146,23 +149,23 @@
         self.assertEqual(JobOutcome.UNFINISHED, request.outcome)
 
     def test_a_job_of_a_dead_owner_is_unfinished_if_the_next_one_refuses_it(self):
-        request = self.entry.submit(make_spec("j", run_ms=300), wait_ms=9_000.0)
+        request = self.entry.submit(make_spec("j", run_ms=300), timeout_ms=9_000.0)
         self.advance(100)
         self.owner.kill()
         self.advance(3_000)
         self.assertEqual(
             (JobOutcome.UNFINISHED, "overload"), (request.outcome, request.result.code)
         )
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_forwarded_job_whose_message_is_lost_is_sent_again(self):
         self.world.network.lose_kinds.add("ForwardJob")
-        request = self.entry.submit(make_spec("j"), wait_ms=3_000.0)
+        request = self.entry.submit(make_spec("j"), timeout_ms=3_000.0)
         self.advance(20)
         self.world.network.lose_kinds.clear()
         self.advance(1_000)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_lost_answer_is_sent_again(self):
         request = self.entry.submit(make_spec("j"))
@@ -172,20 +175,20 @@
         self.world.network.lose_kinds.clear()
         self.advance(500)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_resumed_owner_starts_nothing_of_a_job_that_was_forwarded_again(self):
         blockers = [self.owner.submit(make_spec(f"b{n}", cpu=10_000, run_ms=400)) for n in range(2)]
-        request = self.entry.submit(make_spec("j", run_ms=900), wait_ms=9_000.0)
+        request = self.entry.submit(make_spec("j", run_ms=900), timeout_ms=9_000.0)
         self.advance(50)
         self.world.network.freeze(self.owner.address)
-        self.owner.freeze()
+        self.owner.pause()
         self.advance(2_600)
-        self.owner.thaw()
+        self.owner.resume()
         self.world.network.thaw(self.owner.address)
         self.advance(3_000)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
         self.assertEqual(2, len(blockers))
 
     def test_callers_are_served_while_entry_dispatcher_and_owner_are_partitioned(self):
@@ -202,23 +205,23 @@
     def setUp(self):
         self.world = DispatchWorld(2, 3, capacities=(2.0, 2.0), group_workers=1)
         self.addCleanup(self.world.close)
-        self.entry = self.world.homes[2]
+        self.entry = self.world.dispatchers[2]
 
     def test_a_job_is_not_started_again_while_runs_from_its_expired_lease_continue(self):
-        request = self.entry.submit(make_spec("j", run_ms=3_000), wait_ms=9_000.0)
+        request = self.entry.submit(make_spec("j", run_ms=3_000), timeout_ms=9_000.0)
         self.advance(100)
         self.world.network.freeze(self.entry.address)
-        self.entry.freeze()
+        self.entry.pause()
         self.advance(400)
         worker = next(w for w in self.world.workers if TASK in w.minion.running)
-        for home in self.world.homes:
-            self.partition(home, worker)
+        for dispatcher in self.world.dispatchers:
+            self.partition(dispatcher, worker)
         self.advance(350)
-        self.entry.thaw()
+        self.entry.resume()
         self.world.network.thaw(self.entry.address)
         self.advance(1_000)
         self.assertEqual(JobOutcome.UNFINISHED, request.outcome)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
 
 class HeldJobTest(unittest.TestCase):
@@ -227,13 +230,15 @@
     def test_a_job_is_held_until_the_restarted_owner_has_heard_its_workers(self):
         world = DispatchWorld(2, 2, capacities=(2.0,))
         self.addCleanup(world.close)
-        for home in world.homes:
-            home.kill()
+        for dispatcher in world.dispatchers:
+            dispatcher.kill()
         world.clock.advance(100)
-        world.homes = []
+        world.dispatchers = []
         for number in range(2):
-            world.homes.append(Home(world, f"h{number}", 9, capacity=2.0 - number))
-        request = world.homes[1].submit(make_spec("j"))
+            world.dispatchers.append(
+                SimulatedDispatcher(world, f"h{number}", 9, capacity=2.0 - number)
+            )
+        request = world.dispatchers[1].submit(make_spec("j"))
         self.assertIsNone(request.outcome)
         world.clock.advance(400)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
@@ -241,7 +246,7 @@
     def test_a_held_job_is_refused_soon_if_no_owner_is_heard(self):
         world = DispatchWorld(0, 2)
         self.addCleanup(world.close)
-        request = world.homes[1].submit(make_spec("j"))
+        request = world.dispatchers[1].submit(make_spec("j"))
         world.clock.advance(320)
         self.assertEqual((JobOutcome.REFUSED, "no_worker"), (request.outcome, request.result.code))
 
@@ -276,8 +281,8 @@
     def test_queued_jobs_of_a_leaving_owner_are_placed_by_another(self):
         blocker = self.owner.submit(make_spec("b", count=2, cpu=10_000, run_ms=400))
         requests = [
-            home.submit(make_spec(f"j{n}", run_ms=300))
-            for n, home in enumerate((self.owner, self.entry))
+            dispatcher.submit(make_spec(f"j{n}", run_ms=300))
+            for n, dispatcher in enumerate((self.owner, self.entry))
         ]
         self.advance(50)
         self.owner.router.leave()
@@ -287,8 +292,8 @@
         self.assertTrue(self.owner.router.is_idle)
 
     def test_a_leaving_dispatcher_refuses_jobs_instead_of_holding_them(self):
-        for home in (self.owner, self.other):
-            home.kill()
+        for dispatcher in (self.owner, self.other):
+            dispatcher.kill()
         self.entry.router.leave()
         self.advance(600)
         request = self.entry.submit(make_spec("j"))
@@ -297,12 +302,12 @@
     def test_a_restarted_owner_gets_its_workers_back(self):
         self.owner.kill()
         self.advance(300)
-        self.world.homes[0] = Home(self.world, "h0", 7, capacity=2.0)
+        self.world.dispatchers[0] = SimulatedDispatcher(self.world, "h0", 7, capacity=2.0)
         self.advance(1_000)
         request = self.entry.submit(make_spec("j"))
         self.advance(300)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
-        self.assertTrue(self.world.homes[0].dispatcher.fleet.usable_of("fitting"))
+        self.assertTrue(self.world.dispatchers[0].dispatcher.fleet.usable_workers("fitting"))
 
 
 if __name__ == "__main__":
--- a/tests/test_joined_callers.py
+++ b/tests/test_joined_callers.py
@@ -20,7 +20,7 @@
     def setUp(self):
         self.world = DispatchWorld(1, 2, group_workers=1)
         self.addCleanup(self.world.close)
-        self.entry, self.owner = self.world.homes
+        self.entry, self.owner = self.world.dispatchers
         if not isinstance(self.entry.submit(make_spec("probe")).job, ForwardedJob):
             self.entry, self.owner = self.owner, self.entry
         self.advance(WAIT_MS)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -209,14 +209,14 @@
     def test_a_peer_that_ends_leaves_a_broken_link(self):
         """The link is broken from the end of a process until another one answers."""
         old = self.two.me
-        self.assertFalse(self.one.is_broken(old))
+        self.assertFalse(self.one.is_connection_closed(old))
         self.one.send(old, Inquire(1, "t"))
         self.wait(lambda: self.got[22])
-        self.assertFalse(self.one.is_broken(old))
+        self.assertFalse(self.one.is_connection_closed(old))
         self.two.stop()
-        self.wait(lambda: self.one.is_broken(old))
+        self.wait(lambda: self.one.is_connection_closed(old))
         self.start(23, old.address)
-        self.wait(lambda: not self.one.is_broken(old))
+        self.wait(lambda: not self.one.is_connection_closed(old))
 
     def test_restart_at_the_same_address(self):
         """The old life's messages are refused, the new one's arrive."""
--- a/tests/test_owner_choice.py
+++ b/tests/test_owner_choice.py
@@ -6,18 +6,18 @@
 
 from geraniumspool.job_messages import ServiceLoad
 from geraniumspool.owner_choice import (
-    CROSS_MS,
-    Option,
-    Request,
-    choose_option,
+    CROSS_DOMAIN_PENALTY_MS,
+    AssignmentRequest,
+    OwnerOption,
+    choose_owner,
     describe_job,
-    predict_wait,
+    predict_wait_ms,
 )
 from geraniumspool.queued_work import QueuedWork
 from tests.dispatch_world import QUEUE, make_spec
 
 TOTAL_CPU = 100_000.0
-JOB = Request(1, 20_000.0, frozenset())
+JOB = AssignmentRequest(1, 20_000.0, frozenset())
 
 
 def make_option(owner, free, domain="north", in_time=(0.0,) * 4, **fields):
@@ -27,14 +27,14 @@
     :param in_time: queued work of jobs in time, by priority level
     """
     load = ServiceLoad("fitting", TOTAL_CPU, free, 400.0, QueuedWork(in_time), ("r1",))
-    return Option(owner, domain, load, **fields)
+    return OwnerOption(owner, domain, load, **fields)
 
 
 class PredictTest(unittest.TestCase):
     """Waits predicted from load reports."""
 
     def test_free_capacity_means_no_wait(self):
-        self.assertEqual(0.0, predict_wait(make_option("a", 20_000.0), JOB))
+        self.assertEqual(0.0, predict_wait_ms(make_option("a", 20_000.0), JOB))
 
     def test_more_work_or_less_free_capacity_means_a_longer_wait(self):
         rows = [
@@ -43,20 +43,20 @@
             make_option("a", 0.0, in_time=(4e6, 0.0, 0.0, 0.0)),
             make_option("a", 0.0, in_time=(4e6, 4e6, 0.0, 0.0)),
         ]
-        waits = [predict_wait(option, JOB) for option in rows]
+        waits = [predict_wait_ms(option, JOB) for option in rows]
         self.assertEqual(sorted(waits), waits)
         self.assertEqual(4, len(set(waits)))
 
     def test_less_urgent_work_does_not_lengthen_the_wait(self):
         waits = [
-            predict_wait(make_option("a", 0.0, in_time=(0.0, 0.0, work, work)), JOB)
+            predict_wait_ms(make_option("a", 0.0, in_time=(0.0, 0.0, work, work)), JOB)
             for work in (0.0, 9e6)
         ]
         self.assertEqual(*waits)
 
     def test_work_forwarded_since_the_report_counts(self):
         sent = make_option("a", 20_000.0, sent_work=8e6)
-        self.assertGreater(predict_wait(sent, JOB), 0.0)
+        self.assertGreater(predict_wait_ms(sent, JOB), 0.0)
 
 
 class ChooseTest(unittest.TestCase):
@@ -66,26 +66,26 @@
         random.seed(1)
 
     def test_without_workers_no_dispatcher_is_chosen(self):
-        empty = Option("a", "north", ServiceLoad("fitting", 0.0, 0.0, 400.0))
-        self.assertIsNone(choose_option([empty], JOB, "north"))
-        self.assertIsNone(choose_option([], JOB, "north"))
+        empty = OwnerOption("a", "north", ServiceLoad("fitting", 0.0, 0.0, 400.0))
+        self.assertIsNone(choose_owner([empty], JOB, "north"))
+        self.assertIsNone(choose_owner([], JOB, "north"))
 
     def test_own_workers_go_before_those_of_other_dispatchers(self):
         options = [make_option("a", TOTAL_CPU), make_option(None, 30_000.0)]
-        self.assertIsNone(choose_option(options, JOB, "north").owner)
+        self.assertIsNone(choose_owner(options, JOB, "north").owner)
 
     def test_another_domain_is_chosen_only_for_a_much_shorter_wait(self):
         far = make_option("far", TOTAL_CPU, "south")
-        long_work = TOTAL_CPU * (CROSS_MS + 10.0)
+        long_work = TOTAL_CPU * (CROSS_DOMAIN_PENALTY_MS + 10.0)
         rows = [(0.0, "near"), (long_work, "far")]
         for work, expected in rows:
             with self.subTest(work=work):
                 near = make_option("near", 20_000.0, in_time=(work, 0.0, 0.0, 0.0))
-                self.assertEqual(expected, choose_option([near, far], JOB, "north").owner)
+                self.assertEqual(expected, choose_owner([near, far], JOB, "north").owner)
 
     def test_dispatchers_with_the_same_reports_do_not_all_choose_the_same_owner(self):
         options = [make_option(f"o{n}", 50_000.0 + n) for n in range(8)]
-        chosen = Counter(choose_option(options, JOB, "north").owner for _ in range(400))
+        chosen = Counter(choose_owner(options, JOB, "north").owner for _ in range(400))
         self.assertLess(max(chosen.values()), 150)
 
     def test_the_owner_of_the_rack_near_the_data_is_always_compared(self):
@@ -95,11 +95,11 @@
             for n, option in enumerate(options)
         ]
         near_data = JOB._replace(racks=frozenset({"r2"}))
-        self.assertEqual("o17", choose_option(options, near_data, "north").owner)
+        self.assertEqual("o17", choose_owner(options, near_data, "north").owner)
 
     def test_a_job_is_described_by_the_tasks_that_start_first(self):
         spec = make_spec("j", count=3, cpu=5_000, rack="r2")
-        self.assertEqual(Request(0, 15_000, frozenset({"r2"})), describe_job(spec, QUEUE))
+        self.assertEqual(AssignmentRequest(0, 15_000, frozenset({"r2"})), describe_job(spec, QUEUE))
 
 
 if __name__ == "__main__":
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -6,16 +6,16 @@
 
 from geraniumspool import packing
 from geraniumspool.job_specs import StepSpec
-from geraniumspool.packing import PlaceRequest
-from geraniumspool.rooms import Room
+from geraniumspool.packing import PlacementRequest
+from geraniumspool.rooms import Resources
 
 
 class FakeWorker(NamedTuple):
     """A candidate worker with fixed properties."""
 
     name: str = "w"
-    free: Room = Room(10_000, 1_000)
-    room: Room = Room(10_000, 1_000)
+    free: Resources = Resources(10_000, 1_000)
+    capacity: Resources = Resources(10_000, 1_000)
     pace: float = 1.0
     domain: str = "north"
     rack: str = "r1"
@@ -25,21 +25,21 @@
 
 def choose(workers, step=None, expected_ms=100.0, within_ms=1_000.0, taken=None):
     """Return the place chosen for a task, which needs 4 cores unless ``step`` is given."""
-    step = step or StepSpec(1, Room(4_000, 10))
-    request = PlaceRequest(step, expected_ms, within_ms, "north", taken or {})
-    return packing.choose(workers, request)
+    step = step or StepSpec(1, Resources(4_000, 10))
+    request = PlacementRequest(step, expected_ms, within_ms, "north", taken or {})
+    return packing.choose_worker(workers, request)
 
 
 class ChoiceTest(unittest.TestCase):
     """Choice of the worker for a task."""
 
     def test_workers_that_cannot_run_the_task_are_skipped(self):
-        step = StepSpec(1, Room(4_000, 10), label="a", per_worker=2)
+        step = StepSpec(1, Resources(4_000, 10), label="a", per_worker=2)
         full = FakeWorker()
         rows = [
             ("not usable", FakeWorker(is_usable=False), {}),
-            ("too small", FakeWorker(room=Room(3_000, 1_000)), {}),
-            ("too little memory", FakeWorker(room=Room(10_000, 5)), {}),
+            ("too small", FakeWorker(capacity=Resources(3_000, 1_000)), {}),
+            ("too little memory", FakeWorker(capacity=Resources(10_000, 5)), {}),
             ("without the label", FakeWorker(labels=("b",)), {}),
             ("too slow", FakeWorker(pace=11.0), {}),
             ("at the limit of tasks of the step", full, {id(full): 2}),
@@ -60,19 +60,19 @@
         self.assertGreater(min(chosen.values()), 120)
 
     def test_an_emptier_worker_goes_before_a_slightly_faster_one(self):
-        fast = FakeWorker("fast", pace=0.8, free=Room(4_500, 1_000))
+        fast = FakeWorker("fast", pace=0.8, free=Resources(4_500, 1_000))
         empty = FakeWorker("empty", pace=1.0)
         self.assertEqual("empty", choose([fast, empty]).worker.name)
 
     def test_a_task_goes_to_the_rack_of_its_data(self):
-        step = StepSpec(1, Room(4_000, 10), rack="r2")
+        step = StepSpec(1, Resources(4_000, 10), rack="r2")
         near = FakeWorker("near", rack="r2")
         self.assertEqual("near", choose([FakeWorker("far"), near], step).worker.name)
 
     def test_no_task_is_sent_to_a_worker_before_capacity_is_free(self):
-        busy = FakeWorker("busy", free=Room(3_500, 1_000))
+        busy = FakeWorker("busy", free=Resources(3_500, 1_000))
         self.assertIsNone(choose([busy]))
         self.assertEqual("free", choose([busy, FakeWorker("free")]).worker.name)
-        queued = FakeWorker("queued", free=Room(2_500, 1_000))
+        queued = FakeWorker("queued", free=Resources(2_500, 1_000))
         self.assertIsNone(choose([queued]))
         self.assertIsNone(choose([queued, busy]))
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -69,7 +69,7 @@
     def setUp(self):
         self.world = DispatchWorld(2)
         self.addCleanup(self.world.close)
-        self.dispatcher = self.world.home.dispatcher
+        self.dispatcher = self.world.dispatcher.dispatcher
         self.configuration = QueueConfiguration()
         ingress = Ingress(self.dispatcher, self.configuration, MemoryCounters())
         self.server = WebServer(ingress, "127.0.0.1:0", SystemClock())
@@ -80,7 +80,7 @@
 
     def configure(self, **changes):
         document = json.dumps(CONFIGURATION | changes).encode()
-        return self.configuration.take(decode_configuration(document))
+        return self.configuration.apply(decode_configuration(document))
 
     def run_clock(self):
         """Advance the world's clock in the background until the test ends."""
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -5,9 +5,9 @@
 from geraniumspool.dispatcher_peers import IDLE_SILENT_MS
 from geraniumspool.job_specs import JobOutcome
 from geraniumspool.registrations import DISPATCHER_PREFIX
-from tests.dispatch_world import DispatchWorld, Home, Worker, make_spec
+from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, SimulatedWorker, make_spec
 
-HOMES = 5
+DISPATCHERS = 5
 WORKERS = 20
 DOWN_MS = 600
 # Hosts start at different speeds: dispatchers restart spread over SPREAD_MS, and executors
@@ -21,41 +21,41 @@
     """Results of jobs submitted in the seconds after a power loss."""
 
     def setUp(self):
-        self.world = DispatchWorld(workers=WORKERS, homes=HOMES, group_workers=5)
+        self.world = DispatchWorld(workers=WORKERS, dispatchers=DISPATCHERS, group_workers=5)
         self.addCleanup(self.world.close)
         self.callers = []
 
     def lose_power(self):
         """Kill all processes; return pairs of restart time and process, sorted by time."""
         restarts = []
-        for number, home in enumerate(self.world.homes):
-            home.kill()
-            restarts.append((DOWN_MS + number * SPREAD_MS // HOMES, home))
+        for number, dispatcher in enumerate(self.world.dispatchers):
+            dispatcher.kill()
+            restarts.append((DOWN_MS + number * SPREAD_MS // DISPATCHERS, dispatcher))
         for number, worker in enumerate(self.world.workers):
             worker.kill()
             late_ms = EXECUTORS_LATER_MS + number * SPREAD_MS // WORKERS
             restarts.append((DOWN_MS + late_ms, worker))
         # The store keeps listing all of them: they restart before their keys expire.
-        self.listed = self.world.homes[:]
-        self.world.homes.clear()
+        self.listed = self.world.dispatchers[:]
+        self.world.dispatchers.clear()
         return sorted(restarts, key=lambda restart: restart[0])
 
     def start(self, process):
         """Start the replacement of a killed process."""
-        if isinstance(process, Home):
+        if isinstance(process, SimulatedDispatcher):
             name = process.address.removeprefix("tcp://")
-            home = Home(self.world, name, 2)
+            dispatcher = SimulatedDispatcher(self.world, name, 2)
             for other in self.listed:
-                home.list_member(DISPATCHER_PREFIX + other.address, other.record)
-            home.router.take_members()
-            self.world.homes.append(home)
+                dispatcher.list_member(DISPATCHER_PREFIX + other.address, other.record)
+            dispatcher.router.take_members()
+            self.world.dispatchers.append(dispatcher)
             return
         index = self.world.workers.index(process)
-        self.world.workers[index] = Worker(
+        self.world.workers[index] = SimulatedWorker(
             self.world, process.name, 2, process.minion, fence=100_000, domain=process.domain
         )
-        for home in self.world.homes:
-            home.note_written(process.address)
+        for dispatcher in self.world.dispatchers:
+            dispatcher.note_written(process.address)
 
     def run_under_load(self, total_ms):
         """Lose power and restart all processes while jobs are submitted."""
@@ -64,10 +64,10 @@
             while restarts and restarts[0][0] <= now:
                 self.start(restarts.pop(0)[1])
             self.world.clock.advance(STEP_MS)
-            if self.world.homes:
+            if self.world.dispatchers:
                 spec = make_spec(f"j{now}", 2, cpu=3_000, run_ms=100)
-                home = self.world.homes[now // STEP_MS % len(self.world.homes)]
-                self.callers.append(home.submit(spec))
+                dispatcher = self.world.dispatchers[now // STEP_MS % len(self.world.dispatchers)]
+                self.callers.append(dispatcher.submit(spec))
         self.world.clock.advance(2_000)
 
     def test_workers_refuse_few_runs(self):
@@ -91,13 +91,15 @@
         lost = restarts.pop(0)[1]
         for _restart_ms, process in restarts:
             self.start(process)
-        self.assertNotIn(lost.address, [home.address for home in self.world.homes])
+        self.assertNotIn(
+            lost.address, [dispatcher.address for dispatcher in self.world.dispatchers]
+        )
         for _ in range(round(IDLE_SILENT_MS / STEP_MS) + 10):
             self.world.clock.advance(STEP_MS)
         owned = [
             view.peer.address
-            for home in self.world.homes
-            for view in home.dispatcher.fleet.views
+            for dispatcher in self.world.dispatchers
+            for view in dispatcher.dispatcher.fleet.views
             if view.is_owned
         ]
         self.assertEqual(WORKERS, len(owned))
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -13,9 +13,9 @@
     decode_record,
     encode_record,
 )
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 
-LIFE = MinionLife("i-1", "fitting", "127.0.0.1:1", Room(1), ("a", "r1"))
+LIFE = MinionLife("i-1", "fitting", "127.0.0.1:1", Resources(1), ("a", "r1"))
 WORKER = WorkerRecord("north", LIFE)
 DISPATCHER = DispatcherRecord("north", 2.0)
 
--- a/tests/test_run_certainty.py
+++ b/tests/test_run_certainty.py
@@ -8,7 +8,7 @@
 
 from geraniumspool.contracts import RunKey
 from geraniumspool.executor import Executor
-from geraniumspool.fleet import LOST_MS
+from geraniumspool.fleet import RUNS_LOST_AFTER_MS
 from geraniumspool.memory_minion import LISTED_ENDS, CallFault, MemoryMinion, Scripted
 from geraniumspool.minion_life import LAPSE_MARGIN_MS
 from geraniumspool.minion_watch import IDLE_LOOK_WAIT_MS
@@ -178,7 +178,7 @@
     def test_queued_run_is_not_started_after_its_dispatcher_lease_expired(self):
         self.start(make_order(1, cpu=10_000, run_ms=300))
         self.start(make_order(2, "j.0.0.2", cpu=10_000, patience_ms=9_000.0))
-        self.suspend(LOST_MS)
+        self.suspend(RUNS_LOST_AFTER_MS)
         # On resumption, the answer of the minion is handled before the timers that are due.
         self.tasks = [eventlet.spawn(self.executor.run_looks)]
         self.clock.advance(STEP_MS)
--- a/tests/test_unheard_holder.py
+++ b/tests/test_unheard_holder.py
@@ -3,7 +3,7 @@
 import unittest
 
 from geraniumspool.registrations import WORKER_PREFIX
-from tests.dispatch_world import QUEUE, DispatchWorld, Home, make_spec
+from tests.dispatch_world import QUEUE, DispatchWorld, SimulatedDispatcher, make_spec
 
 STEP_MS = 5
 # Much longer than the jobs take, so that none is refused because it would be late.
@@ -24,7 +24,7 @@
     def setUp(self):
         self.world = DispatchWorld(3, 3, group_workers=1)
         self.addCleanup(self.world.close)
-        self.holder, *self.others = self.world.homes
+        self.holder, *self.others = self.world.dispatchers
         self.spec = make_spec("j", count=4, cpu=3_000, run_ms=RUN_MS)
         self.ran_twice = set()
 
@@ -32,12 +32,12 @@
         """Let time pass, and collect the tasks that run twice at the same time."""
         for _ in range(int(total_ms // STEP_MS)):
             self.world.clock.advance(STEP_MS)
-            self.ran_twice |= self.world.running_twice()
+            self.ran_twice |= self.world.find_duplicate_runs()
 
     def start_job(self):
-        self.holder.place(self.spec, PATIENT, WAIT_MS)
+        self.holder.submit_locally(self.spec, PATIENT, WAIT_MS)
         self.advance(CUT_MS)
-        self.assertEqual(1, self.world.started("j.0.0.0"))
+        self.assertEqual(1, self.world.start_count("j.0.0.0"))
 
     def partition(self):
         """Lose all messages between the holder and the other dispatchers."""
@@ -52,14 +52,16 @@
         self.start_job()
         self.partition()
         for other in self.others:
-            other.peers.is_broken = lambda peer: peer.address == self.holder.address
+            other.peers.is_connection_closed = lambda peer: peer.address == self.holder.address
 
     def restart_others(self):
         self.start_job()
         self.partition()
         for index in (1, 2):
-            self.world.homes[index].kill()
-            self.world.homes[index] = Home(self.world, f"h{index}", incarnation=2)
+            self.world.dispatchers[index].kill()
+            self.world.dispatchers[index] = SimulatedDispatcher(
+                self.world, f"h{index}", incarnation=2
+            )
 
     def cut_workers(self):
         """Cut the holder's workers off from the other dispatchers, but not from the holder."""
@@ -72,8 +74,8 @@
     def unlist_worker(self):
         """Let a worker's key in the store expire, while the holder still reaches the worker."""
         worker = next(iter(sorted(self.holder.peers.owned)))
-        for home in self.world.homes:
-            home.unlist_member(WORKER_PREFIX + worker)
+        for dispatcher in self.world.dispatchers:
+            dispatcher.unlist_member(WORKER_PREFIX + worker)
         self.advance(UNLISTED_MS)
         self.start_job()
         self.partition()
@@ -93,7 +95,7 @@
                     self.setUp()
                     fault()
                     self.advance(RESEND_MS)
-                    self.world.homes[index].submit(self.spec, PATIENT, WAIT_MS)
+                    self.world.dispatchers[index].submit(self.spec, PATIENT, WAIT_MS)
                     self.advance(WAIT_MS)
                     self.assertEqual(set(), self.ran_twice)
 
@@ -107,18 +109,20 @@
                 world = DispatchWorld(3, 3, group_workers=1)
                 self.addCleanup(world.close)
                 spec = make_spec("j", count=3, cpu=3_000, run_ms=RUN_MS)
-                world.homes[0].place(spec, PATIENT, WAIT_MS)
+                world.dispatchers[0].submit_locally(spec, PATIENT, WAIT_MS)
                 world.clock.advance(CUT_MS)
                 worker = next(candidate for candidate in world.workers if candidate.minion.running)
                 worker.minion.deaf_to = {"stop"} if fault == "stops not heard" else set()
                 worker.minion.mute = fault == "calls not answered"
                 worker.minion.silent = fault == "silent"
-                for home in world.homes:
-                    home.kill()
-                    world.network.part(worker.address, home.address)
-                world.homes[:] = [Home(world, f"h{index}", incarnation=2) for index in range(3)]
+                for dispatcher in world.dispatchers:
+                    dispatcher.kill()
+                    world.network.part(worker.address, dispatcher.address)
+                world.dispatchers[:] = [
+                    SimulatedDispatcher(world, f"h{index}", incarnation=2) for index in range(3)
+                ]
                 world.clock.advance(CUT_MS)
-                world.homes[1].submit(spec, PATIENT, WAIT_MS)
+                world.dispatchers[1].submit(spec, PATIENT, WAIT_MS)
                 for _ in range(int(WAIT_MS // STEP_MS)):
                     world.clock.advance(STEP_MS)
-                    self.assertEqual(set(), world.running_twice())
+                    self.assertEqual(set(), world.find_duplicate_runs())
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -28,7 +28,7 @@
             with self.subTest(now=now, has_started=has_started):
                 place = rank(TIMING, 100.0, now, has_started)
                 self.assertEqual(expected, place.lateness)
-                self.assertEqual(expected == TOO_LATE, place.is_past_use)
+                self.assertEqual(expected == TOO_LATE, place.is_useless)
 
     def test_less_slack_goes_first_and_late_jobs_go_after_all_in_time(self):
         short = rank(Timing(1_000.0, 250.0, 3_000.0), 120.0, 1_000.0, False)
@@ -55,14 +55,14 @@
             self.assertEqual(now >= 1_000.0, rank(long, 1_800.0, now, False) < short)
 
     def test_the_allowed_end_of_runs_depends_on_lateness(self):
-        ends = [urgency.allowed_end(TIMING, lateness) for lateness in (IN_TIME, LATE, TOO_LATE)]
+        ends = [urgency.allowed_end_ms(TIMING, lateness) for lateness in (IN_TIME, LATE, TOO_LATE)]
         self.assertEqual([400.0, 1_200.0, 3_000.0], ends)
-        self.assertEqual(300.0, urgency.allowed_end(Timing(0.0, 400.0, 300.0), LATE))
+        self.assertEqual(300.0, urgency.allowed_end_ms(Timing(0.0, 400.0, 300.0), LATE))
 
     def test_the_predicted_end_of_a_started_job_is_always_allowed(self):
         for now in range(1_000, 2_200, 10):
             place = rank(TIMING, 100.0, now, True)
-            end = TIMING.arrived_ms + urgency.allowed_end(TIMING, place.lateness, True)
+            end = TIMING.arrived_ms + urgency.allowed_end_ms(TIMING, place.lateness, True)
             self.assertLessEqual(now + 100.0, end, now)
 
 
@@ -96,11 +96,11 @@
         ]
         for outlook, least, most, of_use in rows:
             with self.subTest(outlook=outlook):
-                chances = urgency.predict_chances(TIMING, 100.0, outlook, 1_000.0)
+                chances = urgency.predict_probabilities(TIMING, 100.0, outlook, 1_000.0)
                 self.assertGreaterEqual(chances.in_time, least)
                 self.assertLessEqual(chances.in_time, most)
-                self.assertGreaterEqual(chances.of_use, max(of_use, chances.in_time))
-                self.assertLessEqual(chances.of_use, 1.0)
+                self.assertGreaterEqual(chances.useful, max(of_use, chances.in_time))
+                self.assertLessEqual(chances.useful, 1.0)
 
     def test_the_wait_factor_is_learnt_and_one_outlier_changes_it_little(self):
         learner = WaitLearner()
@@ -121,9 +121,9 @@
         self.assertEqual(1.0, learner.factor)
 
     def test_retry_delays_are_spread(self):
-        delays = [urgency.choose_retry(400.0) for _ in range(500)]
+        delays = [urgency.choose_retry_delay(400.0) for _ in range(500)]
         self.assertGreaterEqual(min(delays), 400.0)
         self.assertLessEqual(max(delays), 800.0)
         quarters = [sum(400 + 100 * k <= d < 500 + 100 * k for d in delays) for k in range(4)]
         self.assertGreater(min(quarters), 60)
-        self.assertGreaterEqual(urgency.choose_retry(0.0), urgency.MIN_RETRY_MS)
+        self.assertGreaterEqual(urgency.choose_retry_delay(0.0), urgency.MIN_RETRY_MS)
