--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -196,7 +196,7 @@
         clock = self.world.clock
         if sent.arrival.leaves and sent.caller.job is not None:
             after = LEAVE_AT * sent.objective_ms
-            clock.after(after, lambda: dispatcher.router.leave_job(sent.caller.job))
+            clock.after(after, lambda: dispatcher.router.remove_waiter(sent.caller.job))
         eventlet.spawn_n(self._watch, sent)
 
     def _watch(self, sent: _Sent) -> None:
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -277,7 +277,7 @@
             Revoke: self.runner.take_revoke,
             Revoked: self.home.take_revoked,
             HeartbeatReply: self._take_reply,
-            WrongIncarnation: self._take_rejection,
+            WrongIncarnation: self._handle_wrong_incarnation,
             Handover: self._handover.take,
             HandoverReceipt: self._handover.take_receipt,
             Drain: self._take_drain,
@@ -302,9 +302,9 @@
             self.decisions.record(code, domain, revision=self.configuration.revision)
             self.runner.set_evacuated(is_evacuated)
 
-    def _take_rejection(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        self.heartbeater.take_rejection(sender)
-        self.home.take_rejection(sender, rejection)
+    def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
+        self.heartbeater.handle_wrong_incarnation(sender)
+        self.home.handle_wrong_incarnation(sender, rejection)
         self.runner.forget_home(Peer(sender.address, rejection.meant))
 
     def _discover_entries(self) -> None:
--- a/geraniumspool/calls.py
+++ b/geraniumspool/calls.py
@@ -121,7 +121,7 @@
         call.answer = answer
         call.wake()
 
-    def take_rejection(self, sender: Peer, meant: int) -> None:
+    def handle_wrong_incarnation(self, sender: Peer, meant: int) -> None:
         """Learn that a home's address belongs to another process now."""
         gone = Peer(sender.address, meant)
         for call in self._calls.values():
--- a/geraniumspool/claim_table.py
+++ b/geraniumspool/claim_table.py
@@ -20,7 +20,7 @@
 _LOG = logging.getLogger(__name__)
 
 # Two of three arbiters are a majority, so claims are granted without delay if one fails.
-ARBITERS = 3
+ARBITER_COUNT = 3
 # Interval at which expired grants are removed.
 SWEEP_MS = 1_000.0
 
@@ -32,7 +32,7 @@
     leaves a quorum.
 
     :param members: failure domains of all dispatchers by address
-    :returns: ``ARBITERS`` addresses, or all if there are fewer dispatchers
+    :returns: ``ARBITER_COUNT`` addresses, or all if there are fewer dispatchers
     """
     ranked = sorted(members, key=lambda address: crc32(f"{job_id}|{address}".encode()))
     chosen: list[str] = []
@@ -44,9 +44,9 @@
             continue
         domains.add(members[address])
         chosen.append(address)
-        if len(chosen) == ARBITERS:
+        if len(chosen) == ARBITER_COUNT:
             return chosen
-    return (chosen + same_domain)[:ARBITERS]
+    return (chosen + same_domain)[:ARBITER_COUNT]
 
 
 class _Grant:
@@ -107,7 +107,7 @@
         """Return the number of granted jobs."""
         return len(self._grants)
 
-    def take_members(self, members: Mapping[str, str]) -> None:
+    def set_members(self, members: Mapping[str, str]) -> None:
         """Set the dispatchers that jobs' arbiters are chosen from.
 
         :param members: failure domains of all dispatchers by address, this one included
@@ -119,7 +119,7 @@
         elif self._membership_history[-1][1] != members:
             self._membership_history.append((now, members))
 
-    def forget_members(self) -> None:
+    def forget_former_members(self) -> None:
         """Forget former members whose grants have all expired."""
         now = self._clock.now()
         while (
@@ -136,13 +136,13 @@
         return self._is_settled
 
     @property
-    def clean(self) -> tuple[str, ...]:
+    def clean_exits(self) -> tuple[str, ...]:
         """Return the addresses of dispatchers whose last incarnation exited with no run left."""
         return tuple(self._clean_exits)
 
-    def end_cleanly(self, peer: Peer) -> None:
+    def note_clean_exit(self, peer: Peer) -> None:
         """Note that a dispatcher exits with no run left, and release its claims."""
-        self.take_life(peer)
+        self.note_incarnation(peer)
         self._clean_exits[peer.address] = peer
         for number in list(self._open_claims.get(peer, ())):
             self.release(peer, number)
@@ -152,7 +152,7 @@
         member = self._dispatchers.get(peer.address)
         return member is not None and member.peer == peer and member.is_synced
 
-    def take_life(self, peer: Peer) -> Peer | None:
+    def note_incarnation(self, peer: Peer) -> Peer | None:
         """Note a dispatcher's incarnation; any other one at its address counts as ended.
 
         A late message of a former incarnation may make that one current again for a short time.
@@ -171,21 +171,21 @@
             self._clean_exits.pop(peer.address, None)
         return member.peer
 
-    def take(self, sender: Peer, message: ClaimJobs) -> list[ClaimVerdict]:
+    def apply_claim_jobs(self, sender: Peer, message: ClaimJobs) -> list[ClaimVerdict]:
         """Apply a dispatcher's claims and releases; return the answers to the claims."""
-        self.take_life(sender)
+        self.note_incarnation(sender)
         for number in message.released:
             self.release(sender, number)
         for number in [n for n in self._open_claims.get(sender, ()) if n < message.oldest]:
             self.release(sender, number)
         return [self.decide(sender, claim) for claim in message.claims]
 
-    def take_all(self, sender: Peer, message: OpenClaims) -> list[ClaimVerdict]:
+    def apply_open_claims(self, sender: Peer, message: OpenClaims) -> list[ClaimVerdict]:
         """Apply the complete list of a dispatcher's claims; return the answers to them.
 
         Grants up to ``message.upto`` that are not listed are released.
         """
-        self.take_life(sender)
+        self.note_incarnation(sender)
         member = self._dispatchers[sender.address]
         member.is_synced = True
         member.is_settled = message.is_settled
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -83,8 +83,8 @@
             StartRuns: self.executor.take_start,
             StopRuns: self.executor.take_stop,
             RenewRuns: self._take_renewal,
-            FenceJobs: self.executor.fences.take,
-            WrongIncarnation: self._take_rejection,
+            FenceJobs: self.executor.fences.handle_fence_jobs,
+            WrongIncarnation: self._handle_wrong_incarnation,
         }
 
     def serve(self, servers: list[WebServer]) -> None:
@@ -159,5 +159,5 @@
         if not message.is_listed:
             eventlet.spawn_n(self._key.check)
 
-    def _take_rejection(self, sender: Peer, message: Message) -> None:
+    def _handle_wrong_incarnation(self, sender: Peer, message: Message) -> None:
         self.executor.lose_dispatcher(Peer(sender.address, message.meant))
--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -129,16 +129,16 @@
         self._leaving = False
         self._handlers = {
             WorkerReport: self.dispatcher.handle_report,
-            ForwardJob: self.router.take_forward,
-            ForwardedEnd: self.router.take_end,
-            DropJobs: self.router.forwarded.take_drop,
-            DispatcherReport: self.router.take_report,
-            ClaimJobs: self.claims.take_claims,
-            OpenClaims: self.claims.take_open,
-            ClaimVerdicts: self.claims.take_verdicts,
-            EndClaims: self.claims.take_end,
-            JobsFenced: self.claims.take_fenced,
-            WrongIncarnation: self._take_rejection,
+            ForwardJob: self.router.handle_forward_job,
+            ForwardedEnd: self.router.handle_forwarded_end,
+            DropJobs: self.router.forwarded.handle_drop_jobs,
+            DispatcherReport: self.router.handle_report,
+            ClaimJobs: self.claims.handle_claim_jobs,
+            OpenClaims: self.claims.handle_open_claims,
+            ClaimVerdicts: self.claims.handle_claim_verdicts,
+            EndClaims: self.claims.handle_end_claims,
+            JobsFenced: self.claims.handle_jobs_fenced,
+            WrongIncarnation: self._handle_wrong_incarnation,
         }
 
     @property
@@ -184,16 +184,16 @@
         callers = self._servers[0]
         callers.retire()
         _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
-        self.router.leave()
+        self.router.give_up_workers()
         self._clock.sleep(min(READINESS_NOTICE_MS, deadline - started))
         done = self._wait_until(lambda: self.router.is_idle, deadline - self._clock.now())
         # Refuse further jobs: those that arrive while the listener closes would be cut off.
         self.dispatcher.exit_ms = self._clock.now()
-        self.router.abandon()
+        self.router.abort_jobs()
         # Callers resubmit their jobs as soon as they get this result, perhaps before the
         # runs here have ended.
         self._wait_until(lambda: not self.dispatcher.has_open_runs, CLOSE_MS)
-        self.claims.leave()
+        self.claims.announce_exit()
         callers.drain(CLOSE_MS)
         return done
 
@@ -231,16 +231,16 @@
     def _load_members(self, snapshot: Snapshot) -> None:
         """Replace the known members after the watch has read them anew."""
         self._peers.directory.replace(snapshot.pairs, self._clock.now())
-        self.router.take_members()
+        self.router.update_members()
 
     def _apply_member_change(self, change: Change) -> None:
         self._peers.directory.change(change.key, change.value, self._clock.now())
-        self.router.take_members()
+        self.router.update_members()
         if change.value is not None and change.key.startswith(WORKER_PREFIX):
             address = change.key.removeprefix(WORKER_PREFIX)
             self.dispatcher.fleet.handle_key_written(address)
-            self.claims.take_worker(address)
+            self.claims.handle_executor_start(address)
 
-    def _take_rejection(self, sender: Peer, _message: Message) -> None:
-        self.dispatcher.fleet.take_rejection(sender)
-        self.router.take_rejection(sender)
+    def _handle_wrong_incarnation(self, sender: Peer, _message: Message) -> None:
+        self.dispatcher.fleet.handle_wrong_incarnation(sender)
+        self.router.handle_wrong_incarnation(sender)
--- a/geraniumspool/dispatcher.py
+++ b/geraniumspool/dispatcher.py
@@ -106,7 +106,7 @@
         self._clock = clock
         self._counters = counters
         self.fleet = Fleet(clock, send, self._lose_runs, evacuations)
-        self.fleet.on_new_incarnation = lambda: claims.ask_anew("executor_new")
+        self.fleet.on_new_incarnation = lambda: claims.renew_grants("executor_new")
         self._jobs: dict[str, DispatchJob] = {}
         # Jobs with tasks that are ready to be placed, so that a scheduling pass doesn't
         # iterate over all jobs.
@@ -119,9 +119,9 @@
         self._is_placing = False
         self._claims = claims
         claims.on_granted = self._on_claim_granted
-        claims.on_held = self._on_held_elsewhere
-        claims.on_doubt = self._on_claim_uncertain
-        claims.fences.find_silence = self.fleet.find_silent_since
+        claims.on_held_elsewhere = self._on_held_elsewhere
+        claims.on_suspended = self._on_claim_uncertain
+        claims.fences.find_silent_since = self.fleet.find_silent_since
         claims.fences.is_connection_closed = self.fleet.is_worker_connection_closed
         self.get_remote_capacity: Callable[[str], float] = _no_remote_capacity
         self.exit_ms = math.inf
@@ -200,7 +200,7 @@
             delay_ms=round(job.predicted_wait_ms),
             version=version,
         )
-        self._claims.ask(job)
+        self._claims.claim(job)
         return job
 
     def _on_claim_granted(self, job: DispatchJob, fence_rank: int) -> None:
@@ -309,7 +309,7 @@
 
     def handle_report(self, sender: Peer, report: WorkerReport) -> None:
         """Process a worker's report of ended runs and free capacity."""
-        view = self.fleet.take_report(sender, report)
+        view = self.fleet.handle_report(sender, report)
         ended = [
             (run.owner, end) for end in report.ends if (run := view.runs.pop(end.number, None))
         ]
@@ -344,7 +344,7 @@
         while True:
             self._clock.sleep(TICK_MS)
             self.fleet.renew()
-            self._claims.check()
+            self._claims.run_checks()
             self._expire()
             if self._jobs:
                 self._shed_load()
@@ -503,7 +503,7 @@
             job.failed_at[task] = id(placed.worker)
         if end.reason == FENCED:
             job.is_claimed = False
-            self._claims.contest(job)
+            self._claims.handle_foreign_fence(job)
         log_job(
             "task requeued",
             job,
--- a/geraniumspool/dispatcher_peers.py
+++ b/geraniumspool/dispatcher_peers.py
@@ -31,22 +31,22 @@
 class PeerView:
     """Another dispatcher.
 
-    All times but ``echo_ms`` are readings of this process's clock in milliseconds.
+    All times but ``clock_ms`` are readings of this process's clock in milliseconds.
 
     :ivar peer: its address and incarnation
     :ivar record: what it registered in the store
-    :ivar echo_ms: highest reading of its own clock in its reports, sent back to it so that it can
+    :ivar clock_ms: highest reading of its own clock in its reports, sent back to it so that it can
         tell how old a message is; 0 before the first report of this incarnation
-    :ivar heard_ms: when its last report arrived
-    :ivar known_ms: when it was added, or replaced by another incarnation
-    :ivar told_ms: when a report was last sent to it
+    :ivar last_message_ms: when its last report arrived
+    :ivar known_since_ms: when it was added, or replaced by another incarnation
+    :ivar report_sent_ms: when a report was last sent to it
     :ivar reset_ms: when the connection to it was last reopened
     :ivar is_leaving: whether it is about to exit
     :ivar is_connection_closed: whether it has closed the connection
     :ivar was_alive: what ``is_alive`` returned when it was last checked
     :ivar loads: load of its workers by service, from its last report
-    :ivar unlisted: addresses of the workers that it uses and does not find in the store, from its
-        last report
+    :ivar unregistered: addresses of the workers that it uses and does not find in the store, from
+        its last report
     :ivar sent_work: work forwarded to it since that report by service, in thousandths of a core
         times milliseconds
     """
@@ -60,16 +60,16 @@
         self._domain = domain
         self.peer = Peer(address, ANY_INCARNATION)
         self.record = record
-        self.echo_ms = 0.0
-        self.heard_ms = 0.0
-        self.known_ms = now
+        self.clock_ms = 0.0
+        self.last_message_ms = 0.0
+        self.known_since_ms = now
         self.reset_ms = 0.0
-        self.told_ms = -math.inf
+        self.report_sent_ms = -math.inf
         self.is_leaving = False
         self.is_connection_closed = False
         self.was_alive = True
         self.loads: dict[str, ServiceLoad] = {}
-        self.unlisted: tuple[str, ...] = ()
+        self.unregistered: tuple[str, ...] = ()
         self.sent_work: dict[str, float] = {}
 
     @property
@@ -78,48 +78,50 @@
         return self.record.domain
 
     @property
-    def is_near(self) -> bool:
+    def is_in_same_domain(self) -> bool:
         """Whether it is in the same failure domain as this process."""
         return self.record.domain == self._domain
 
     @property
-    def is_heard(self) -> bool:
+    def has_reported(self) -> bool:
         """Whether its current incarnation has sent a report."""
-        return self.echo_ms > 0
+        return self.clock_ms > 0
 
     def silent_ms(self, now: float) -> float:
         """Return for how many milliseconds it has been silent."""
-        return now - max(self.heard_ms, self.known_ms)
+        return now - max(self.last_message_ms, self.known_since_ms)
 
-    def takes_jobs(self, now: float) -> bool:
+    def accepts_jobs(self, now: float) -> bool:
         """Return whether new jobs may be forwarded to it."""
         return not self.is_leaving and self.is_reachable(now)
 
     def is_reachable(self, now: float) -> bool:
         """Return whether its current incarnation has reported, is connected and not silent."""
-        return self.is_heard and not self.is_connection_closed and self.is_alive(now)
+        return self.has_reported and not self.is_connection_closed and self.is_alive(now)
 
     def is_alive(self, now: float) -> bool:
         """Return whether it has not been silent for too long."""
         silent_ms = self.silent_ms(now)
         if self.is_connection_closed:
             return silent_ms <= CLOSED_SILENT_MS
-        return silent_ms <= (PEER_SILENT_MS if self.loads and self.is_near else IDLE_SILENT_MS)
+        return silent_ms <= (
+            PEER_SILENT_MS if self.loads and self.is_in_same_domain else IDLE_SILENT_MS
+        )
 
-    def take(self, report: DispatcherReport, now: float) -> None:
+    def apply_report(self, report: DispatcherReport, now: float) -> None:
         """Store the contents of its report."""
-        self.echo_ms = max(self.echo_ms, report.now_ms)
-        self.heard_ms = now
+        self.clock_ms = max(self.clock_ms, report.now_ms)
+        self.last_message_ms = now
         self.is_leaving = report.is_leaving
         self.loads = {load.service: load for load in report.loads}
-        self.unlisted = report.unlisted
+        self.unregistered = report.unlisted
         self.sent_work.clear()
 
-    def replace(self, peer: Peer, now: float) -> None:
+    def set_incarnation(self, peer: Peer, now: float) -> None:
         """Replace it by another incarnation, of which nothing is known but its address."""
         self.peer = peer
-        self.echo_ms = 0.0
-        self.known_ms = now
+        self.clock_ms = 0.0
+        self.known_since_ms = now
         self.is_leaving = False
         self.loads = {}
         self.sent_work.clear()
@@ -167,7 +169,7 @@
         self.owned: set[str] = set()
         self.executors: set[str] = set()
 
-    def find(self, sender: Peer) -> PeerView:
+    def find_or_add(self, sender: Peer) -> PeerView:
         """Return the view of a message's sender, and add or replace it where necessary."""
         view = self.views.get(sender.address)
         now = self._clock.now()
@@ -177,13 +179,13 @@
         if view.peer.incarnation != sender.incarnation:
             if view.peer.incarnation != ANY_INCARNATION:
                 _LOG.warning("peer replaced", extra={"fields": (("peer", sender.address),)})
-            view.replace(sender, now)
+            view.set_incarnation(sender, now)
         return view
 
-    def owners(self) -> Iterable[PeerView]:
+    def list_owners(self) -> Iterable[PeerView]:
         """Return the dispatchers that jobs may be forwarded to."""
         now = self._clock.now()
-        return (view for view in self.views.values() if view.loads and view.takes_jobs(now))
+        return (view for view in self.views.values() if view.loads and view.accepts_jobs(now))
 
     def refresh(self) -> bool:
         """Apply changes of the members; return whether the owned workers may have changed.
@@ -210,7 +212,7 @@
         """Update the executors; keep one that is not registered while a dispatcher may use it."""
         listed = self.directory.workers.keys()
         views = self.views.values()
-        used = {address for view in views for address in view.unlisted}
+        used = {address for view in views for address in view.unregistered}
         self.executors |= listed | used
         if all(view.is_reachable(now) for view in views):
             self.executors &= listed | used
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -208,7 +208,7 @@
             ShortHeartbeat: self.registry.take_short_heartbeat,
             Digest: self._take_digest,
             Inquire: self._take_inquire,
-            WrongIncarnation: self._take_rejection,
+            WrongIncarnation: self._handle_wrong_incarnation,
             Drain: self._take_drain,
         }
 
@@ -225,9 +225,9 @@
         answer = Answer(inquire.request, inquire.ticket, "unknown", decisions=rows)
         self._messenger.send(sender, answer)
 
-    def _take_rejection(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        self.calls.take_rejection(sender, rejection.meant)
-        self.registry.take_rejection(sender, rejection.meant)
+    def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
+        self.calls.handle_wrong_incarnation(sender, rejection.meant)
+        self.registry.handle_wrong_incarnation(sender, rejection.meant)
 
     def _member_changed(self, member: Member) -> None:
         if is_final(member):
--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -285,7 +285,7 @@
             return "limit_passed"
         if not self._session.life.told.resources.fits(order.need):
             return "too_large"
-        if self.fences.shuts_out(dispatcher.peer, order.task, order.fence_rank):
+        if self.fences.excludes(dispatcher.peer, order.task, order.fence_rank):
             return FENCED
         other = self._table.find_task(order.task)
         if other is not None:
--- a/geraniumspool/fence_requests.py
+++ b/geraniumspool/fence_requests.py
@@ -13,9 +13,9 @@
 from geraniumspool.run_leases import RUNS_OVER_MS
 
 # Interval at which requests are repeated, as executors may be starting.
-ASK_AGAIN_MS = 50.0
+REQUEST_PERIOD_MS = 50.0
 # An executor's silence counts only while it is asked at least this often.
-QUESTION_MS = 300.0
+MAX_REQUEST_GAP_MS = 300.0
 
 
 class _UnansweredRequest:
@@ -37,30 +37,30 @@
         that a restarted dispatcher requests higher ranks than before
     :ivar is_connection_closed: returns whether an executor has closed the connection to this
         process
-    :ivar find_silence: returns since when an executor has been silent, by this process's clock in
-        milliseconds, None if that is not known
+    :ivar find_silent_since: returns since when an executor has been silent, by this process's clock
+        in milliseconds, None if that is not known
     """
 
     def __init__(
         self,
         clock: Clock,
         send: Callable[[Peer, Message], bool],
-        find_workers: Callable[[], Collection[str]],
+        list_executors: Callable[[], Collection[str]],
     ):
         """Start without any request.
 
         :param send: queues a message to an executor; returns whether it was queued
-        :param find_workers: returns the addresses of all executors
+        :param list_executors: returns the addresses of all executors
         """
         self._clock = clock
         self._send = send
-        self._find_workers = find_workers
+        self._list_executors = list_executors
         self.rank = round(clock.wall())
         self.is_connection_closed: Callable[[str], bool] = _assume_open
-        self.find_silence: Callable[[str], float | None] = _find_no_silence
+        self.find_silent_since: Callable[[str], float | None] = _find_no_silence
         self._unanswered: dict[str, _UnansweredRequest] = {}
 
-    def ask(self, claims: Iterable[OpenClaim]) -> list[OpenClaim]:
+    def request(self, claims: Iterable[OpenClaim]) -> list[OpenClaim]:
         """Request fences for the claims that are due, in one message to each executor.
 
         :param claims: claims that arbiters cannot decide
@@ -70,14 +70,14 @@
         job_ids_by_executor: dict[str, list[str]] = {}
         fenced = []
         for claim in claims:
-            if now - claim.fence_asked_ms < ASK_AGAIN_MS:
+            if now - claim.fence_asked_ms < REQUEST_PERIOD_MS:
                 continue
             claim.fence_asked_ms = now
             if claim.fence_rank != self.rank:
                 claim.fence_rank = self.rank
-                claim.fenced.clear()
-            for address in self._find_workers():
-                if address not in claim.fenced:
+                claim.fenced_by.clear()
+            for address in self._list_executors():
+                if address not in claim.fenced_by:
                     job_ids_by_executor.setdefault(address, []).append(claim.job_id)
             if self.is_complete(claim):
                 fenced.append(claim)
@@ -86,7 +86,7 @@
             self._send(Peer(address, ANY_INCARNATION), FenceJobs(tuple(job_ids), self.rank))
         return fenced
 
-    def ask_one(self, address: str, claims: Iterable[OpenClaim]) -> None:
+    def request_from(self, address: str, claims: Iterable[OpenClaim]) -> None:
         """Request fences from an executor that has just started, and may be the last one missing.
 
         :param claims: claims that arbiters cannot decide
@@ -95,7 +95,7 @@
         if job_ids:
             self._send(Peer(address, ANY_INCARNATION), FenceJobs(job_ids, self.rank))
 
-    def take_answer(self, sender: Peer, message: JobsFenced) -> None:
+    def handle_answer(self, sender: Peer, message: JobsFenced) -> None:
         """Note that an executor has answered, and raise the rank above that of fences it kept."""
         if message.highest >= self.rank:
             self.rank = message.highest + 1
@@ -109,11 +109,11 @@
         nobody has renewed the leases of its runs.
         """
         now = self._clock.now()
-        workers = self._find_workers()
-        answered = claim.granted | claim.unsure
+        workers = self._list_executors()
+        answered = claim.granted_by | claim.unsure_grants_by
         may_skip_silent = claim.holder is None and len(answered) >= claim.quorum
         return bool(workers) and all(
-            address in claim.fenced
+            address in claim.fenced_by
             or now - self._silent_since(address, now) >= RUNS_OVER_MS
             and (may_skip_silent or self.is_connection_closed(address))
             for address in workers
@@ -121,16 +121,16 @@
 
     def _silent_since(self, address: str, now: float) -> float:
         request = self._unanswered.get(address)
-        if request is None or now - request.last_ms > QUESTION_MS:
+        if request is None or now - request.last_ms > MAX_REQUEST_GAP_MS:
             return now
-        silent_since_ms = self.find_silence(address)
+        silent_since_ms = self.find_silent_since(address)
         return (
             request.first_ms if silent_since_ms is None else min(request.first_ms, silent_since_ms)
         )
 
     def _record_request(self, address: str, now: float) -> None:
         request = self._unanswered.get(address)
-        if request is None or now - request.last_ms > QUESTION_MS:
+        if request is None or now - request.last_ms > MAX_REQUEST_GAP_MS:
             request = self._unanswered[address] = _UnansweredRequest(now)
         request.last_ms = now
 
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -76,7 +76,7 @@
     :ivar worker_clock_ms: the worker's clock in its last report
     :ivar sent_worker_clock_ms: value of ``worker_clock_ms`` that was last sent to the worker, from
         which its lease counts
-    :ivar heard_ms: when the last report arrived, 0 before the first
+    :ivar last_message_ms: when the last report arrived, 0 before the first
     :ivar reset_ms: when the connection was last reopened
     :ivar renewed_ms: when the last message was sent that renews the lease
     :ivar unanswered_since_ms: when the first message since the last report was sent, 0 for none
@@ -101,7 +101,7 @@
         self.state = WorkerState()
         self.worker_clock_ms = 0.0
         self.sent_worker_clock_ms = 0.0
-        self.heard_ms = 0.0
+        self.last_message_ms = 0.0
         self.reset_ms = 0.0
         self.renewed_ms = 0.0
         self.unanswered_since_ms = 0.0
@@ -159,7 +159,7 @@
     def update(self, report: WorkerReport, now: float) -> None:
         """Update the view from a worker's report."""
         self.worker_clock_ms = max(self.worker_clock_ms, report.now_ms)
-        self.heard_ms = now
+        self.last_message_ms = now
         self.unanswered_since_ms = 0.0
         self.highest_number = max(self.highest_number, report.upto)
         self.state = report.state
@@ -261,7 +261,7 @@
         return any(
             view.is_owned
             and view.is_silent
-            and now - max(view.heard_ms, view.known_ms) < STARTUP_REPORT_MS
+            and now - max(view.last_message_ms, view.known_ms) < STARTUP_REPORT_MS
             for view in self._views.values()
         )
 
@@ -340,9 +340,9 @@
         Return None if the worker is unknown, has never reported, or isn't silent.
         """
         view = self._views.get(address)
-        if view is None or not view.is_silent or not view.heard_ms:
+        if view is None or not view.is_silent or not view.last_message_ms:
             return None
-        return view.heard_ms
+        return view.last_message_ms
 
     def handle_key_written(self, address: str) -> None:
         """Reconnect to a silent worker that has just written its key, as it is up again."""
@@ -381,7 +381,7 @@
         for peer, numbers in numbers_by_peer.items():
             self._send(peer, StopRuns(tuple(numbers)))
 
-    def take_report(self, sender: Peer, report: WorkerReport) -> WorkerView:
+    def handle_report(self, sender: Peer, report: WorkerReport) -> WorkerView:
         """Update a worker's view from its report and return the view.
 
         The caller handles the ended runs that the report lists.
@@ -400,7 +400,7 @@
                 extra={
                     "fields": (
                         ("worker", sender.address),
-                        ("silent_ms", round(now - view.heard_ms)),
+                        ("silent_ms", round(now - view.last_message_ms)),
                         ("instance", report.state.instance),
                     )
                 },
@@ -412,7 +412,7 @@
             self._renew(view, now)
         return view
 
-    def take_rejection(self, sender: Peer) -> None:
+    def handle_wrong_incarnation(self, sender: Peer) -> None:
         """Handle a rejection that shows another incarnation at a worker's address."""
         view = self._views.get(sender.address)
         if view is not None and view.peer.incarnation != sender.incarnation:
@@ -423,12 +423,12 @@
         """Renew the leases that are due, detect silent workers and give up lost runs."""
         now = self._clock.now()
         for view in list(self._views.values()):
-            silent_ms = now - max(view.heard_ms, view.known_ms)
+            silent_ms = now - max(view.last_message_ms, view.known_ms)
             unanswered_ms = now - view.unanswered_since_ms if view.unanswered_since_ms else 0.0
             is_unreachable = unanswered_ms > SILENT_AFTER_MS or self.is_connection_closed(view.peer)
             if is_unreachable and not view.is_silent:
                 self._mark_silent(view, unanswered_ms)
-            if view.runs and now - view.heard_ms > RUNS_LOST_AFTER_MS:
+            if view.runs and now - view.last_message_ms > RUNS_LOST_AFTER_MS:
                 self._give_up_runs(view, "worker_silent")
             if not view.runs and self._is_removable(view, silent_ms, now):
                 del self._views[view.peer.address]
@@ -476,7 +476,7 @@
 
     def _reset_if_due(self, view: WorkerView, now: float) -> None:
         """Reopen the connection if it is due: the old one may be dead without notice."""
-        if now - max(view.reset_ms, view.heard_ms, view.known_ms) > LINK_RESET_MS:
+        if now - max(view.reset_ms, view.last_message_ms, view.known_ms) > LINK_RESET_MS:
             view.reset_ms = now
             self.reset_link(view.peer)
 
--- a/geraniumspool/forwarded_jobs.py
+++ b/geraniumspool/forwarded_jobs.py
@@ -22,7 +22,7 @@
 
 # Results, and numbers of lost jobs, kept for each entry dispatcher: a result is sent again for as
 # long as the entry dispatcher still lists the job, as the answer may have been lost.
-KEPT_ENDS = 512
+MAX_KEPT_RESULTS = 512
 # An entry dispatcher without jobs here that is silent for this long is forgotten.
 FORGET_ENTRY_MS = 30_000.0
 # The entry dispatcher's lease had expired, and its jobs were ended.
@@ -31,7 +31,7 @@
 NOT_RECEIVED = "not_received"
 
 
-class Entry:
+class EntryDispatcher:
     """An entry dispatcher that has forwarded jobs here.
 
     All times are readings of this process's clock in milliseconds.
@@ -40,9 +40,9 @@
     :ivar lease_until_ms: time up to which its jobs may run
     :ivar heard_ms: when it was last heard
     :ivar jobs: its unfinished jobs by their numbers
-    :ivar ends: results of its last jobs by their numbers
-    :ivar lost: numbers of jobs that are not accepted any more: it was told that their messages
-        had not arrived, or has dropped them before they arrived
+    :ivar results: results of its last jobs by their numbers
+    :ivar rejected_numbers: numbers of jobs that are not accepted any more: it was told that their
+        messages had not arrived, or has dropped them before they arrived
     """
 
     def __init__(self, peer: Peer):
@@ -51,41 +51,41 @@
         self.lease_until_ms = 0.0
         self.heard_ms = 0.0
         self.jobs: dict[int, DispatchJob] = {}
-        self.ends: dict[int, JobResult] = {}
-        self.lost: dict[int, None] = {}
+        self.results: dict[int, JobResult] = {}
+        self.rejected_numbers: dict[int, None] = {}
         self._highest_forgotten = 0
 
     def knows(self, number: int) -> bool:
         """Return whether a job is unfinished, has ended, counts as lost, or may be forgotten."""
         if number <= self._highest_forgotten:
             return True
-        return number in self.jobs or number in self.ends or number in self.lost
+        return number in self.jobs or number in self.results or number in self.rejected_numbers
 
-    def keep_end(self, number: int, result: JobResult) -> None:
-        """Store a job's result, and forget the oldest beyond ``KEPT_ENDS``."""
-        self.ends[number] = result
-        self._forget_oldest(self.ends)
+    def store_result(self, number: int, result: JobResult) -> None:
+        """Store a job's result, and forget the oldest beyond ``MAX_KEPT_RESULTS``."""
+        self.results[number] = result
+        self._forget_oldest(self.results)
 
-    def keep_lost(self, number: int) -> None:
+    def reject_number(self, number: int) -> None:
         """Store that a job must not be accepted any more, unless it has ended already."""
-        if number not in self.ends:
-            self.lost[number] = None
-            self._forget_oldest(self.lost)
+        if number not in self.results:
+            self.rejected_numbers[number] = None
+            self._forget_oldest(self.rejected_numbers)
 
-    def find_end(self, number: int) -> JobResult:
+    def find_result(self, number: int) -> JobResult:
         """Return the result of a job that is not among the unfinished ones."""
-        result = self.ends.get(number)
+        result = self.results.get(number)
         if result is not None:
             return result
         if number <= self._highest_forgotten:
             # Its result is no longer stored, so it may have run.
             return JobResult(JobOutcome.UNFINISHED, LEASE_OVER)
         # Its message was lost. Should it arrive later, it is ignored.
-        self.keep_lost(number)
+        self.reject_number(number)
         return JobResult(JobOutcome.REFUSED, NOT_RECEIVED)
 
     def _forget_oldest(self, kept: dict) -> None:
-        while len(kept) > KEPT_ENDS:
+        while len(kept) > MAX_KEPT_RESULTS:
             oldest = next(iter(kept))
             del kept[oldest]
             self._highest_forgotten = max(self._highest_forgotten, oldest)
@@ -110,13 +110,13 @@
         self._send = send
         self._counters = counters
         self._dispatcher = dispatcher
-        self._entries: dict[Peer, Entry] = {}
+        self._entries: dict[Peer, EntryDispatcher] = {}
 
-    def list_served(self) -> set[Peer]:
+    def list_entry_dispatchers(self) -> set[Peer]:
         """Return the entry dispatchers with unfinished jobs here."""
         return {entry.peer for entry in self._entries.values() if entry.jobs}
 
-    def take(self, sender: Peer, message: ForwardJob) -> None:
+    def handle_forward_job(self, sender: Peer, message: ForwardJob) -> None:
         """Accept a forwarded job, or refuse it if its entry dispatcher holds no lease.
 
         A message whose number is known is a repetition, and ignored.
@@ -142,7 +142,7 @@
         entry.jobs[number] = submitted
         eventlet.spawn_n(self._await_result, entry, number, submitted)
 
-    def take_drop(self, sender: Peer, message: DropJobs) -> None:
+    def handle_drop_jobs(self, sender: Peer, message: DropJobs) -> None:
         """Drop jobs for which no caller waits at their entry dispatcher any more."""
         entry = self._entries.get(sender)
         if entry is None:
@@ -150,7 +150,7 @@
         for number in message.numbers:
             self._drop_job(entry, number)
 
-    def settle(self, sender: Peer, report: DispatcherReport) -> None:
+    def reconcile(self, sender: Peer, report: DispatcherReport) -> None:
         """Renew an entry dispatcher's lease, and reconcile its list of forwarded jobs with ours.
 
         A job that it does not list any more is dropped; the result of a listed job that is not
@@ -162,9 +162,9 @@
             if number <= report.upto and number not in wanted:
                 self._drop_job(entry, number)
         for number in wanted - entry.jobs.keys():
-            self._send(entry.peer, ForwardedEnd(number, entry.find_end(number)))
+            self._send(entry.peer, ForwardedEnd(number, entry.find_result(number)))
 
-    def end_leases(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """End the jobs of entry dispatchers whose leases have expired.
 
         Their callers send the jobs again to other dispatchers.
@@ -177,26 +177,26 @@
             if now - entry.heard_ms > FORGET_ENTRY_MS and not entry.jobs:
                 del self._entries[entry.peer]
 
-    def _end_jobs(self, entry: Entry) -> None:
+    def _end_jobs(self, entry: EntryDispatcher) -> None:
         fields = (("entry", entry.peer.address), ("jobs", len(entry.jobs)))
         _LOG.warning("lease of entry dispatcher expired", extra={"fields": fields})
         self._counters.add("entry_leases_ended")
         for number in list(entry.jobs):
             self._drop_job(entry, number)
 
-    def _drop_job(self, entry: Entry, number: int) -> None:
+    def _drop_job(self, entry: EntryDispatcher, number: int) -> None:
         """Remove the entry dispatcher's waiter from a job; others may wait for the same job."""
         job = entry.jobs.pop(number, None)
         if job is None:
-            entry.keep_lost(number)
+            entry.reject_number(number)
             return
         self._answer(entry, number, JobResult(JobOutcome.GONE, "caller_gone"))
         self._dispatcher.remove_waiter(job)
 
-    def _renew_lease(self, sender: Peer, echo_ms: float) -> Entry:
+    def _renew_lease(self, sender: Peer, echo_ms: float) -> EntryDispatcher:
         entry = self._entries.get(sender)
         if entry is None:
-            entry = self._entries[sender] = Entry(sender)
+            entry = self._entries[sender] = EntryDispatcher(sender)
         now = self._clock.now()
         entry.heard_ms = now
         if echo_ms <= now:
@@ -205,11 +205,11 @@
             entry.lease_until_ms = max(entry.lease_until_ms, until_ms)
         return entry
 
-    def _await_result(self, entry: Entry, number: int, job: DispatchJob) -> None:
+    def _await_result(self, entry: EntryDispatcher, number: int, job: DispatchJob) -> None:
         result = self._dispatcher.wait(job)
         if entry.jobs.pop(number, None) is not None:
             self._answer(entry, number, result._replace(inputs=()))
 
-    def _answer(self, entry: Entry, number: int, result: JobResult) -> None:
-        entry.keep_end(number, result)
+    def _answer(self, entry: EntryDispatcher, number: int, result: JobResult) -> None:
+        entry.store_result(number, result)
         self._send(entry.peer, ForwardedEnd(number, result))
--- a/geraniumspool/heartbeat.py
+++ b/geraniumspool/heartbeat.py
@@ -201,7 +201,7 @@
             self._roster_entry = sender.incarnation
             self._roster_version = reply.roster_version
 
-    def take_rejection(self, sender: Peer) -> None:
+    def handle_wrong_incarnation(self, sender: Peer) -> None:
         """Handle the news that an address now belongs to another incarnation.
 
         Addresses of processes other than entries are ignored.
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -219,7 +219,7 @@
             self._offers.take_revoked(worker, revoked)
             self._placer.schedule()
 
-    def take_rejection(self, sender: Peer, rejection: WrongIncarnation) -> None:
+    def handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
         """Drop a worker whose address now belongs to another process."""
         self._offers.drop(Peer(sender.address, rejection.meant))
 
--- a/geraniumspool/job_claims.py
+++ b/geraniumspool/job_claims.py
@@ -39,28 +39,28 @@
 # earlier claim may know them by then.
 REPEAT_MS = 100.0
 # A reachable arbiter that has not answered after this is no longer waited for.
-UNANSWERED_MS = 500.0
+ARBITER_TIMEOUT_MS = 500.0
 # Releases are batched for up to this time. A dispatcher that claims the job in between is
 # referred to its holder.
-RELEASE_MS = 100.0
+RELEASE_BATCH_MS = 100.0
 # If this process was stopped for this long, its leases have expired and executors have stopped
 # its runs.
-PAUSE_MS = 600.0
+MAX_PAUSE_MS = 600.0
 # If two dispatchers claim a job at the same time and each has some grants, the one with the higher
 # address gives up at once; the other one waits this long for it.
-YIELD_MS = 90.0
+YIELD_WAIT_MS = 90.0
 
 
 class ClaimPeer(Protocol):
     """What claims need to know of another dispatcher.
 
     :ivar peer: its address and incarnation
-    :ivar is_near: whether it is in the failure domain of this process
+    :ivar is_in_same_domain: whether it is in the failure domain of this process
     :ivar domain: its failure domain
     """
 
     peer: Peer
-    is_near: bool
+    is_in_same_domain: bool
     domain: str
 
     def is_reachable(self, now: float) -> bool:
@@ -81,9 +81,9 @@
     :ivar table: claims that this dispatcher has granted as an arbiter
     :ivar fences: requests to executors for fences
     :ivar on_granted: called with a job that may run now, and the rank of its fence, 0 for none
-    :ivar on_doubt: called with a job of which nothing may start until it is granted again
-    :ivar on_held: called with a job that another dispatcher holds, and that dispatcher's address,
-        empty if it is not known
+    :ivar on_suspended: called with a job of which nothing may start until it is granted again
+    :ivar on_held_elsewhere: called with a job that another dispatcher holds, and that dispatcher's
+        address, empty if it is not known
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         me: Peer,
         domain: str,
         find_peers: Callable[[], Iterable[ClaimPeer]],
-        find_workers: Callable[[], Collection[str]],
+        list_executors: Callable[[], Collection[str]],
         started_ms: float | None = None,
     ):
         """Start without any claim.
@@ -103,7 +103,7 @@
         :param me: address and incarnation of this process
         :param domain: failure domain of this process
         :param find_peers: returns the other dispatchers
-        :param find_workers: returns the addresses of all executors
+        :param list_executors: returns the addresses of all executors
         :param started_ms: when this process started, in milliseconds; None for now
         """
         self._clock = clock
@@ -114,10 +114,10 @@
         self._find_peers = find_peers
         self._started_ms = clock.now() if started_ms is None else started_ms
         self.table = ClaimTable(clock, me.address, self._started_ms)
-        self.fences = FenceRequests(clock, send, find_workers)
+        self.fences = FenceRequests(clock, send, list_executors)
         self.on_granted: Callable[[Claimant, int], None] = _ignore_grant
-        self.on_held: Callable[[Claimant, str], None] = _ignore_held
-        self.on_doubt: Callable[[Claimant], None] = _ignore_doubt
+        self.on_held_elsewhere: Callable[[Claimant, str], None] = _ignore_held
+        self.on_suspended: Callable[[Claimant], None] = _ignore_doubt
         self._peers: dict[str, ClaimPeer] = {}
         self._domains: dict[str, str] = {}
         self._open: dict[str, OpenClaim] = {}
@@ -131,16 +131,16 @@
         self._flushed_ms = clock.now()
         self._checked_ms = clock.now()
 
-    def take_members(self) -> None:
+    def update_members(self) -> None:
         """Update the list of dispatchers, and send all open claims to those that need them."""
         self._peers = {view.peer.address: view for view in self._find_peers()}
         previous = self._domains
         self._domains = {address: view.domain for address, view in self._peers.items()}
         self._domains[self._me.address] = self._domain
         if self._domains != previous:
-            self.table.take_members(self._domains)
+            self.table.set_members(self._domains)
             self._reassign_arbiters()
-        self.table.forget_members()
+        self.table.forget_former_members()
         for view in self._peers.values():
             if view.peer.incarnation != ANY_INCARNATION:
                 self._note_incarnation(view.peer)
@@ -158,74 +158,74 @@
             if claim.is_granted:
                 self._ask_all_due(claim, now)
 
-    def ask(self, owner: Claimant) -> None:
-        """Claim a job; ``on_granted`` or ``on_held`` is called with the outcome.
+    def claim(self, job: Claimant) -> None:
+        """Claim a job; ``on_granted`` or ``on_held_elsewhere`` is called with the outcome.
 
         If the same job is claimed already, this one becomes the claim's successor.
         """
-        existing = self._open.get(owner.claim_id)
+        existing = self._open.get(job.claim_id)
         if existing is not None:
-            existing.successor = owner
+            existing.resent_job = job
             return
-        arbiters = self._choose_arbiters(owner.claim_id)
-        claim = self._open[owner.claim_id] = OpenClaim(owner, arbiters, self._clock.now())
+        arbiters = self._choose_arbiters(job.claim_id)
+        claim = self._open[job.claim_id] = OpenClaim(job, arbiters, self._clock.now())
         self._assign_number(claim)
         self._ask_quorum(claim)
         self._grant_on_quorum(claim)
         if not claim.is_granted and self._is_undecidable(claim, claim.began_ms):
             self._request_fences_soon()
 
-    def release(self, owner: Claimant, may_return: bool = True) -> None:
+    def release(self, job: Claimant, send_now: bool = True) -> None:
         """Release a job's claim, as none of its runs is left or it does not need to run.
 
         A successor takes over the claim, and has it granted again.
 
-        :param may_return: whether other dispatchers may claim the job soon, so that the release is
+        :param send_now: whether other dispatchers may claim the job soon, so that the release is
             sent at once
         """
-        claim = self._open.get(owner.claim_id)
+        claim = self._open.get(job.claim_id)
         if claim is None:
             return
-        if claim.successor is owner:
-            claim.successor = None
-        if claim.owner is not owner:
+        if claim.resent_job is job:
+            claim.resent_job = None
+        if claim.job is not job:
             return
-        if claim.successor is not None:
-            claim.owner, claim.successor = claim.successor, None
+        if claim.resent_job is not None:
+            claim.job, claim.resent_job = claim.resent_job, None
             # The successor may run for longer than the arbiters were told.
             self._request_again(claim)
             return
         self._release_claim(claim)
-        if may_return:
+        if send_now:
             self._flush_soon()
 
-    def contest(self, owner: Claimant) -> None:
+    def handle_foreign_fence(self, job: Claimant) -> None:
         """Handle that an executor refuses a granted job because of another dispatcher's fence.
 
         Either another dispatcher holds the job by now, and the claim is given up; or the fence is
         an old one, and the arbiters grant the claim again.
         """
-        claim = self._open.get(owner.claim_id)
-        if claim is None or claim.owner is not owner or not claim.is_granted:
+        claim = self._open.get(job.claim_id)
+        if claim is None or claim.job is not job or not claim.is_granted:
             return
         claim.is_contested = True
         self.fences.rank += 1
         self._request_again(claim)
 
-    def take_claims(self, sender: Peer, message: ClaimJobs) -> None:
+    def handle_claim_jobs(self, sender: Peer, message: ClaimJobs) -> None:
         """Answer another dispatcher's claims as an arbiter."""
         self._note_incarnation(sender)
         self._yield_to_fences(sender, message.claims)
-        self._answer(sender, self.table.take(sender, message))
+        self._answer(sender, self.table.apply_claim_jobs(sender, message))
 
-    def take_open(self, sender: Peer, message: OpenClaims) -> None:
+    def handle_open_claims(self, sender: Peer, message: OpenClaims) -> None:
         """Handle the complete list of another dispatcher's claims."""
         self._note_incarnation(sender)
         self._yield_to_fences(sender, message.claims)
-        self._answer(sender, self.table.take_all(sender, message))
+        self._answer(sender, self.table.apply_open_claims(sender, message))
 
     def _note_incarnation(self, peer: Peer) -> None:
-        former = self.table.take_life(peer)
+        former = self.table.note_incarnation(peer)
         if former is not None:
             # If this was a late message, the former incarnation is the current one. This answer
             # makes it send its open claims again.
@@ -243,12 +243,12 @@
         if verdicts or not is_settled:
             self._send(sender, ClaimVerdicts(tuple(verdicts), is_settled))
 
-    def take_end(self, sender: Peer, _message: EndClaims) -> None:
+    def handle_end_claims(self, sender: Peer, _message: EndClaims) -> None:
         """Handle that another dispatcher exits with no run left."""
         self._note_incarnation(sender)
-        self.table.end_cleanly(sender)
+        self.table.note_clean_exit(sender)
 
-    def leave(self) -> None:
+    def announce_exit(self) -> None:
         """Tell the other dispatchers that this process exits, if none of its runs can be left.
 
         No job may be claimed after this call.
@@ -260,7 +260,7 @@
         for view in self._peers.values():
             self._send(view.peer, EndClaims())
 
-    def take_verdicts(self, sender: Peer, message: ClaimVerdicts) -> None:
+    def handle_claim_verdicts(self, sender: Peer, message: ClaimVerdicts) -> None:
         """Handle an arbiter's answers to claims."""
         if message.is_settled:
             self._settled_arbiters.add(sender)
@@ -275,32 +275,32 @@
                 if claim.number in self._undecided and self._is_undecidable(claim, now):
                     self._request_fences_soon()
 
-    def take_fenced(self, sender: Peer, message: JobsFenced) -> None:
+    def handle_jobs_fenced(self, sender: Peer, message: JobsFenced) -> None:
         """Handle an executor's answer to a request for fences."""
-        self.fences.take_answer(sender, message)
+        self.fences.handle_answer(sender, message)
         for job_id in message.job_ids:
             claim = self._open.get(job_id)
             if claim is None or claim.is_granted or claim.fence_rank != message.rank:
                 continue
-            claim.fenced.add(sender.address)
+            claim.fenced_by.add(sender.address)
             if self.fences.is_complete(claim):
                 self._grant_by_fence(claim)
 
-    def take_worker(self, address: str) -> None:
+    def handle_executor_start(self, address: str) -> None:
         """Request fences from an executor that has just started.
 
         It may be the last one whose fence is missing.
         """
-        self.fences.ask_one(address, self._list_undecidable())
+        self.fences.request_from(address, self._list_undecidable())
 
     def check_pause(self) -> None:
-        """Have all claims granted again if this process was stopped for ``PAUSE_MS`` or more."""
+        """Renew the grants of all claims after a pause of ``MAX_PAUSE_MS`` or more."""
         now = self._clock.now()
         pause_ms, self._checked_ms = now - self._checked_ms, now
-        if pause_ms >= PAUSE_MS:
-            self.ask_anew("paused")
+        if pause_ms >= MAX_PAUSE_MS:
+            self.renew_grants("paused")
 
-    def ask_anew(self, reason: str) -> None:
+    def renew_grants(self, reason: str) -> None:
         """Have all granted claims granted again before further tasks of their jobs start.
 
         Other dispatchers may have taken this process for dead, or an executor has restarted and
@@ -314,7 +314,7 @@
         fields = (("reason", reason), ("jobs", len(granted)))
         _LOG.info("claims requested again", extra={"fields": fields})
         for claim in granted:
-            self.on_doubt(claim.owner)
+            self.on_suspended(claim.job)
             self._request_again(claim)
 
     def _assign_number(self, claim: OpenClaim) -> None:
@@ -328,19 +328,19 @@
         now = self._clock.now()
         del self._by_number[claim.number]
         self._undecided.pop(claim.number, None)
-        claim.ask_anew(now)
+        claim.discard_answers(now)
         self._assign_number(claim)
         self._ask_all_due(claim, now)
         self._grant_on_quorum(claim)
 
-    def check(self) -> None:
+    def run_checks(self) -> None:
         """Repeat unanswered requests, and request fences where arbiters cannot decide.
 
         Called periodically.
         """
         self.check_pause()
         now = self._clock.now()
-        if now - self._flushed_ms >= RELEASE_MS:
+        if now - self._flushed_ms >= RELEASE_BATCH_MS:
             self._flushed_ms = now
             self._flush()
         for claim in list(self._undecided.values()):
@@ -349,7 +349,7 @@
         self._request_fences()
 
     def _check_claim(self, claim: OpenClaim, now: float) -> None:
-        is_unanswered = now - claim.began_ms > UNANSWERED_MS and not claim.has_quorum
+        is_unanswered = now - claim.began_ms > ARBITER_TIMEOUT_MS and not claim.has_quorum
         if claim.is_contested and (claim.holder is not None or is_unanswered):
             self._give_up(claim, claim.holder.address if claim.holder else "")
             return
@@ -364,12 +364,12 @@
         holder = claim.holder
         if not self._is_reachable(holder, now):
             return
-        if holder.address < self._me.address or now - claim.held_since_ms > YIELD_MS:
-            owner = claim.owner
+        if holder.address < self._me.address or now - claim.held_since_ms > YIELD_WAIT_MS:
+            job = claim.job
             self._release_claim(claim)
             self._flush_soon()
             self._counters.add("job_claims", outcome="held")
-            self.on_held(owner, holder.address)
+            self.on_held_elsewhere(job, holder.address)
 
     def _is_reachable(self, holder: Peer, now: float) -> bool:
         view = self._peers.get(holder.address)
@@ -384,9 +384,9 @@
         missing = claim.quorum
         if self._me.address in claim.arbiters:
             self._ask_arbiter(claim, self._me.address, now)
-            missing -= self._me.address in claim.granted
+            missing -= self._me.address in claim.granted_by
         others = [self._peers[name] for name in claim.arbiters if name != self._me.address]
-        others.sort(key=lambda view: (not view.is_reachable(now), not view.is_near))
+        others.sort(key=lambda view: (not view.is_reachable(now), not view.is_in_same_domain))
         for view in others:
             if missing > 0:
                 self._ask_arbiter(claim, view.peer.address, now)
@@ -394,13 +394,13 @@
 
     def _ask_all_due(self, claim: OpenClaim, now: float) -> None:
         for address in claim.arbiters:
-            is_due = now - claim.asked.get(address, -math.inf) >= REPEAT_MS
-            if address not in claim.granted and is_due:
+            is_due = now - claim.asked_ms.get(address, -math.inf) >= REPEAT_MS
+            if address not in claim.granted_by and is_due:
                 self._ask_arbiter(claim, address, now)
 
     def _ask_arbiter(self, claim: OpenClaim, address: str, now: float) -> None:
-        claim.asked[address] = now
-        left_ms = claim.owner.remaining_claim_ms(now)
+        claim.asked_ms[address] = now
+        left_ms = claim.job.remaining_claim_ms(now)
         message = Claim(claim.number, claim.job_id, left_ms, claim.rank)
         if address == self._me.address:
             self._apply_verdict(claim, address, self.table.decide(self._me, message))
@@ -417,8 +417,8 @@
             return
         if not verdict.holder:
             claim.held_by.pop(address, None)
-            claim.unsure.discard(address)
-            (claim.granted if verdict.is_sure else claim.unsure).add(address)
+            claim.unsure_grants_by.discard(address)
+            (claim.granted_by if verdict.is_sure else claim.unsure_grants_by).add(address)
             return
         holder = Peer(verdict.holder, verdict.holder_life)
         if holder != claim.holder:
@@ -432,10 +432,10 @@
         fields = (("job", claim.job_id), ("holder", holder))
         _LOG.warning("claim lost", extra={"fields": fields})
         self._counters.add("job_claims", outcome="lost")
-        claim.ask_anew(self._clock.now())
+        claim.discard_answers(self._clock.now())
         claim.is_contested = False
         self._undecided.pop(claim.number, None)
-        self.on_held(claim.owner, holder)
+        self.on_held_elsewhere(claim.job, holder)
 
     def _grant_on_quorum(self, claim: OpenClaim) -> None:
         is_open = claim.number in self._undecided and not claim.is_contested
@@ -452,13 +452,13 @@
         if took_ms > HEDGE_MS:
             fields = (("job", claim.job_id), ("how", how), ("took_ms", round(took_ms, 1)))
             _LOG.info("claim granted late", extra={"fields": fields})
-        self.on_granted(claim.owner, claim.rank)
+        self.on_granted(claim.job, claim.rank)
 
     def _release_claim(self, claim: OpenClaim) -> None:
         del self._open[claim.job_id]
         del self._by_number[claim.number]
         self._undecided.pop(claim.number, None)
-        for address in claim.asked:
+        for address in claim.asked_ms:
             if address == self._me.address:
                 self.table.release(self._me, claim.number)
             elif address in self._peers:
@@ -490,13 +490,13 @@
         """Send a new arbiter the complete list of the claims that it decides on."""
         now = self._clock.now()
         claims = tuple(
-            Claim(claim.number, claim.job_id, claim.owner.remaining_claim_ms(now), claim.rank)
+            Claim(claim.number, claim.job_id, claim.job.remaining_claim_ms(now), claim.rank)
             for claim in self._by_number.values()
             if peer.address in claim.arbiters
         )
         age_ms = now - self._started_ms
         upto = self._next_number - 1
-        message = OpenClaims(claims, upto, age_ms, self.table.is_settled, self.table.clean)
+        message = OpenClaims(claims, upto, age_ms, self.table.is_settled, self.table.clean_exits)
         self._send(peer, message)
 
     def _request_fences_soon(self) -> None:
@@ -507,7 +507,7 @@
     def _request_fences(self) -> None:
         """Request fences on the jobs whose arbiters cannot decide."""
         self._is_fence_due = False
-        for claim in self.fences.ask(self._list_undecidable()):
+        for claim in self.fences.request(self._list_undecidable()):
             self._grant_by_fence(claim)
 
     def _list_undecidable(self) -> list[OpenClaim]:
@@ -524,20 +524,20 @@
             return claim.has_quorum
         if claim.holder is not None:
             return not self._is_reachable(claim.holder, now)
-        is_early = now - claim.began_ms < UNANSWERED_MS
+        is_early = now - claim.began_ms < ARBITER_TIMEOUT_MS
         may_still_grant = [
             address
-            for address in set(claim.arbiters) - claim.granted - claim.unsure
+            for address in set(claim.arbiters) - claim.granted_by - claim.unsure_grants_by
             if is_early and address in self._peers and self._peers[address].is_reachable(now)
         ]
-        granted = claim.granted.intersection(claim.arbiters)
+        granted = claim.granted_by.intersection(claim.arbiters)
         return len(granted) + len(may_still_grant) < claim.quorum
 
     def _grant_by_fence(self, claim: OpenClaim) -> None:
         """Grant a claim, as every executor has fenced the job for this dispatcher."""
         claim.is_fenced = True
         claim.is_contested = False
-        claim.asked.clear()
+        claim.asked_ms.clear()
         now = self._clock.now()
         for address in claim.arbiters:
             self._ask_arbiter(claim, address, now)
--- a/geraniumspool/job_fences.py
+++ b/geraniumspool/job_fences.py
@@ -21,11 +21,11 @@
 
 # Lifetime of a fence, longer than callers wait: after it, no dispatcher still runs the job as it
 # was when the fence was set.
-FENCE_MS = 60_000.0
+FENCE_LIFETIME_MS = 60_000.0
 # Beyond this the oldest fences are dropped early.
-MOST_FENCES = 20_000
+MAX_FENCES = 20_000
 # Interval at which runs that are being stopped are checked.
-ANSWER_PAUSE_MS = 5.0
+POLL_PERIOD_MS = 5.0
 
 
 class _Fence:
@@ -48,25 +48,25 @@
         send: Callable[[Peer, Message], bool],
         table: RunTable,
         stops: RunStops,
-        is_past_gone: Callable[[], bool],
+        are_earlier_runs_over: Callable[[], bool],
     ):
         """Start without any fence.
 
         :param send: queues a message to a dispatcher; returns whether it was queued
         :param table: runs of this process
         :param stops: stops runs
-        :param is_past_gone: returns whether all runs have ended that earlier processes of this
-            executor started; these are not in the table
+        :param are_earlier_runs_over: returns whether all runs have ended that earlier processes of
+            this executor started; these are not in the table
         """
         self._clock = clock
         self._send = send
         self._table = table
         self._stops = stops
-        self._have_earlier_runs_ended = is_past_gone
+        self._have_earlier_runs_ended = are_earlier_runs_over
         self._fences: dict[str, _Fence] = {}
         self._unanswered: dict[Peer, FenceJobs] = {}
 
-    def shuts_out(self, dispatcher: Peer, task: str, rank: int) -> bool:
+    def excludes(self, dispatcher: Peer, task: str, rank: int) -> bool:
         """Return whether a dispatcher must not run a task here.
 
         A dispatcher that relies on a fence which this process does not have is refused as well:
@@ -79,7 +79,7 @@
             return rank > 0
         return fence.holder != dispatcher or fence.rank < rank
 
-    def take(self, dispatcher: Peer, message: FenceJobs) -> None:
+    def handle_fence_jobs(self, dispatcher: Peer, message: FenceJobs) -> None:
         """Set the requested fences, stop other dispatchers' runs, and answer once these ended."""
         now = self._clock.now()
         highest_kept = 0
@@ -90,7 +90,7 @@
                 highest_kept = max(highest_kept, fence.rank)
                 continue
             self._fences.pop(job_id, None)
-            self._fences[job_id] = _Fence(dispatcher, message.rank, now + FENCE_MS)
+            self._fences[job_id] = _Fence(dispatcher, message.rank, now + FENCE_LIFETIME_MS)
             fenced.append(job_id)
         self._drop_expired(now)
         is_polling = bool(self._unanswered)
@@ -104,7 +104,7 @@
     def _poll_unanswered(self) -> None:
         """Answer each dispatcher as soon as other dispatchers' runs of its jobs have ended."""
         while self._unanswered:
-            self._clock.sleep(ANSWER_PAUSE_MS)
+            self._clock.sleep(POLL_PERIOD_MS)
             for dispatcher, message in list(self._unanswered.items()):
                 ready = self._collect_ready(dispatcher, message)
                 if ready:
@@ -137,9 +137,9 @@
         return running
 
     def _drop_expired(self, now: float) -> None:
-        """Drop expired fences, and the oldest ones beyond ``MOST_FENCES``."""
+        """Drop expired fences, and the oldest ones beyond ``MAX_FENCES``."""
         for job_id, fence in list(self._fences.items()):
-            if fence.until_ms > now and len(self._fences) <= MOST_FENCES:
+            if fence.until_ms > now and len(self._fences) <= MAX_FENCES:
                 return
             if fence.until_ms > now:
                 _LOG.warning("fence dropped early", extra={"fields": (("job", job_id),)})
--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -86,12 +86,12 @@
 _REROUTED_CODES = _GIVEN_BACK_CODES | {HELD_ELSEWHERE}
 # A job is sent to the dispatcher that holds its claim at most this many times; after that it ends
 # as unfinished, and its caller has to send it again.
-MAX_FOLLOWS = 4
+MAX_HOLDER_REDIRECTS = 4
 # Pause before a job is sent to a holder for the second time or later: the previous one was
 # releasing its claim.
-FOLLOW_PAUSE_MS = 60.0
+HOLDER_REDIRECT_DELAY_MS = 60.0
 # Stands for this process in ForwardedJob.tried, which otherwise contains addresses.
-HERE = ""
+THIS_PROCESS = ""
 
 
 class ForwardedJob:
@@ -105,12 +105,12 @@
     :ivar owner: dispatcher that it was forwarded to, None while this one places or holds it
     :ivar owner_peer: address and incarnation of that dispatcher when the job was sent
     :ivar sent_ms: when it was last forwarded
-    :ivar heard_ms: when ``owner_peer`` was last heard, or was sent the job if that is later
-    :ivar tried: addresses of the dispatchers that it was forwarded to, and ``HERE``
+    :ivar last_message_ms: when ``owner_peer`` was last heard, or was sent the job if that is later
+    :ivar tried: addresses of the dispatchers that it was forwarded to, and ``THIS_PROCESS``
     :ivar local: the job at the dispatcher of this process, if that places it after all
     :ivar may_have_run: whether a lost owner may have started some of its tasks
     :ivar held_ms: since when it is held until an owner is known
-    :ivar follows: how often it was sent to the dispatcher that holds its claim
+    :ivar holder_redirects: how often it was sent to the dispatcher that holds its claim
     :ivar waiters: number of callers that wait for the result
     :ivar result: how it ended, None before
     """
@@ -129,10 +129,10 @@
         self.owner: PeerView | None = None
         self.owner_peer: Peer | None = None
         self.sent_ms = 0.0
-        self.heard_ms = 0.0
+        self.last_message_ms = 0.0
         self.tried: set[str] = set()
         self.may_have_run = False
-        self.follows = 0
+        self.holder_redirects = 0
         self.local: DispatchJob | None = None
         self.finished = Event()
         self.result: JobResult | None = None
@@ -200,7 +200,7 @@
         own = any(view.is_usable for view in fleet.views)
         # With evacuated workers only, this process still has to be ready, to tell callers that
         # their jobs cannot run now.
-        return own or fleet.has_evacuated or any(self.peers.owners())
+        return own or fleet.has_evacuated or any(self.peers.list_owners())
 
     @property
     def is_idle(self) -> bool:
@@ -297,7 +297,7 @@
             self._follow_claim(rerouted, result)
             return self.wait(rerouted)
         option = self._choose_owner(
-            spec, queue, set() if result.code in _GIVEN_BACK_CODES else {HERE}
+            spec, queue, set() if result.code in _GIVEN_BACK_CODES else {THIS_PROCESS}
         )
         if result.code not in _GIVEN_BACK_CODES and not (option and _has_room(option, rerouted)):
             return result
@@ -310,7 +310,7 @@
         self._forward(rerouted, option)
         return self.wait(rerouted)
 
-    def leave_job(self, job: RoutedJob) -> None:
+    def remove_waiter(self, job: RoutedJob) -> None:
         """Remove one caller from a job, and end the job if that was the last one."""
         age_ms = self._clock.now() - _arrived_ms(job)
         self._log("caller left", job, waiters=job.waiters - 1, age_ms=round(age_ms, 1))
@@ -336,29 +336,29 @@
         """Return how many jobs of a queue wait at this dispatcher without any task started."""
         return self._dispatcher.count_waiting(queue)
 
-    def leave(self) -> None:
+    def give_up_workers(self) -> None:
         """Give up all workers, and give back the jobs that have not started."""
         self.peers.is_leaving = True
         self._update_groups()
         self._report_to_all()
 
-    def abandon(self) -> None:
+    def abort_jobs(self) -> None:
         """End every job as unfinished, as the process is about to exit."""
         for job in list(self._jobs.values()):
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "process_stops"))
         self._dispatcher.abort_jobs()
 
-    def take_members(self) -> None:
+    def update_members(self) -> None:
         """Update the groups of workers after a change of the registered members."""
         self._update_groups()
 
-    def take_forward(self, sender: Peer, message: ForwardJob) -> None:
+    def handle_forward_job(self, sender: Peer, message: ForwardJob) -> None:
         """Accept a job that another dispatcher forwards."""
-        self.forwarded.take(sender, message)
+        self.forwarded.handle_forward_job(sender, message)
         if self._clock.now() - message.echo_ms > STALE_ECHO_MS:
             self._report_soon(sender)
 
-    def take_end(self, sender: Peer, message: ForwardedEnd) -> None:
+    def handle_forwarded_end(self, sender: Peer, message: ForwardedEnd) -> None:
         """Handle an owner's answer to a forwarded job.
 
         :param sender: the owner; answers of earlier owners and incarnations are ignored
@@ -376,23 +376,23 @@
         else:
             self._finish(job, result)
 
-    def take_report(self, sender: Peer, report: DispatcherReport) -> None:
+    def handle_report(self, sender: Peer, report: DispatcherReport) -> None:
         """Handle another dispatcher's report of its load and of the jobs that it waits for."""
         now = self._clock.now()
         self._evacuations.hear(report.evacuations, report.echo_ms)
-        view = self.peers.find(sender)
+        view = self.peers.find_or_add(sender)
         was_leaving, was_alive = view.is_leaving, view.was_alive
-        view.take(report, now)
-        self.forwarded.settle(sender, report)
+        view.apply_report(report, now)
+        self.forwarded.reconcile(sender, report)
         if view.is_leaving != was_leaving or not was_alive:
             self._update_groups()
         if self._held and report.loads:
             self._place_held(now)
 
-    def take_rejection(self, sender: Peer) -> None:
+    def handle_wrong_incarnation(self, sender: Peer) -> None:
         """Note that another incarnation answers at a dispatcher's address."""
         if sender.address in self.peers.views:
-            self.peers.find(sender)
+            self.peers.find_or_add(sender)
 
     def run_periodic_checks(self) -> None:
         """Send reports and enforce leases and deadlines, forever."""
@@ -402,7 +402,7 @@
             self._update_groups()
             self._send_reports(now)
             self._place_held(now)
-            self.forwarded.end_leases(now)
+            self.forwarded.expire_leases(now)
             for job in list(self._jobs.values()):
                 self._check_deadline_and_owner(job, now)
 
@@ -410,10 +410,10 @@
         service = queue.service
         options = [
             OwnerOption(view, view.record.domain, load, view.sent_work.get(service, 0.0))
-            for view in self.peers.owners()
+            for view in self.peers.list_owners()
             if (load := view.loads.get(service)) and view.peer.address not in tried
         ]
-        if not self.peers.is_leaving and HERE not in tried:
+        if not self.peers.is_leaving and THIS_PROCESS not in tried:
             own = self._dispatcher.describe_load(service)
             options.append(OwnerOption(None, self._domain, own))
         request = owner_choice.describe_job(spec, queue)
@@ -421,16 +421,18 @@
 
     def _follow_claim(self, job: ForwardedJob, result: JobResult) -> None:
         """Send a job to the dispatcher that holds its claim, to join the job there."""
-        job.follows += 1
-        if job.follows > MAX_FOLLOWS:
+        job.holder_redirects += 1
+        if job.holder_redirects > MAX_HOLDER_REDIRECTS:
             self._finish(job, JobResult(JobOutcome.UNFINISHED, HELD_ELSEWHERE))
             return
-        self._log("job sent to its holder", job, holder=result.holder, follows=job.follows)
-        if job.follows == 1:
+        self._log("job sent to its holder", job, holder=result.holder, follows=job.holder_redirects)
+        if job.holder_redirects == 1:
             self._send_to_holder(job, result.holder)
         else:
             # The previous holder was releasing its claim.
-            self._clock.after(FOLLOW_PAUSE_MS, lambda: self._send_to_holder(job, result.holder))
+            self._clock.after(
+                HOLDER_REDIRECT_DELAY_MS, lambda: self._send_to_holder(job, result.holder)
+            )
 
     def _send_to_holder(self, job: ForwardedJob, holder: str) -> None:
         if job.result is not None:
@@ -448,7 +450,7 @@
         job.number = self._next_number
         self._next_number += 1
         job.owner, job.owner_peer = view, view.peer
-        job.sent_ms = job.heard_ms = now
+        job.sent_ms = job.last_message_ms = now
         job.tried.add(view.peer.address)
         self._unanswered[job.number] = job
         service = job.queue.service
@@ -461,7 +463,7 @@
             job.version,
             now - job.arrived_ms,
             job.timeout_ms,
-            view.echo_ms,
+            view.clock_ms,
         )
         self._send(view.peer, message)
         self._counters.add("jobs_forwarded")
@@ -470,7 +472,7 @@
             job,
             owner=view.peer.address,
             number=job.number,
-            told_ms=round(now - view.heard_ms),
+            told_ms=round(now - view.last_message_ms),
             free_cpu=round(option.load.free_cpu),
         )
 
@@ -497,7 +499,7 @@
             self._forward(job, option)
 
     def _place_locally(self, job: ForwardedJob) -> None:
-        job.tried.add(HERE)
+        job.tried.add(THIS_PROCESS)
         job.owner = job.owner_peer = None
         age_ms = self._clock.now() - job.arrived_ms
         submitted = self._dispatcher.submit(
@@ -558,13 +560,13 @@
             return
         is_replaced = view.peer != job.owner_peer
         if not is_replaced:
-            job.heard_ms = max(job.heard_ms, view.heard_ms)
+            job.last_message_ms = max(job.last_message_ms, view.last_message_ms)
             if view.is_alive(now):
                 return
         lost_after_ms = (
             RUNS_LOST_AFTER_MS if is_replaced else DISPATCHER_LEASE_MS + RUNS_LOST_AFTER_MS
         )
-        if now - job.heard_ms <= lost_after_ms:
+        if now - job.last_message_ms <= lost_after_ms:
             return
         del self._unanswered[job.number]
         job.may_have_run = True
@@ -586,22 +588,22 @@
         self._had_loads = bool(loads)
         numbers_by_peer: dict[Peer, list[int]] = {}
         awaited_peers = {job.owner_peer for job in self._unanswered.values()}
-        served_peers = self.forwarded.list_served()
+        served_peers = self.forwarded.list_entry_dispatchers()
         for number, job in self._unanswered.items():
             if now - job.sent_ms > LISTED_AFTER_MS:
                 numbers_by_peer.setdefault(job.owner_peer, []).append(number)
         for view in self.peers.views.values():
-            is_in_domain = bool(loads) and view.is_near
+            is_in_domain = bool(loads) and view.is_in_same_domain
             is_frequent = is_in_domain or view.peer in awaited_peers or view.peer in served_peers
             period_ms = REPORT_MS if is_frequent else IDLE_REPORT_MS
-            if now - view.told_ms < period_ms and not has_changed_loads:
+            if now - view.report_sent_ms < period_ms and not has_changed_loads:
                 continue
-            view.told_ms = now
+            view.report_sent_ms = now
             numbers = tuple(numbers_by_peer.get(view.peer, ()))
             leaving = self.peers.is_leaving
             highest = max(numbers, default=0)
             report = DispatcherReport(
-                now, view.echo_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
+                now, view.clock_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
             )
             if view.silent_ms(now) > LINK_RESET_MS and now - view.reset_ms > LINK_RESET_MS:
                 view.reset_ms = now
@@ -611,14 +613,14 @@
     def _report_to_all(self) -> None:
         """Send a report to every dispatcher now."""
         for view in self.peers.views.values():
-            view.told_ms = -math.inf
+            view.report_sent_ms = -math.inf
         self._send_reports(self._clock.now())
 
     def _report_soon(self, peer: Peer) -> None:
         """Send a report to a dispatcher in the next tick."""
         view = self.peers.views.get(peer.address)
         if view is not None:
-            view.told_ms = -math.inf
+            view.report_sent_ms = -math.inf
 
     def _apply_evacuations(self) -> None:
         """Apply a change of the evacuated domains, and report it to all dispatchers at once."""
@@ -641,7 +643,7 @@
         has_changed = self.peers.refresh()
         if directory.version:
             # Before the store was read, this process would be the only arbiter of its claims.
-            self._claims.take_members()
+            self._claims.update_members()
         if has_changed:
             domains = {address: record.domain for address, record in directory.workers.items()}
             self._dispatcher.fleet.set_owned(self.peers.owned, directory.listed, domains)
@@ -649,7 +651,7 @@
 
     def _find_capacity(self, service: str) -> float:
         """Return the processor room of a service at other owners, in thousandths of a core."""
-        loads = (view.loads.get(service) for view in self.peers.owners())
+        loads = (view.loads.get(service) for view in self.peers.list_owners())
         return sum(load.room_cpu for load in loads if load)
 
     def _log(self, message: str, job: RoutedJob, **fields: object) -> None:
--- a/geraniumspool/open_claim.py
+++ b/geraniumspool/open_claim.py
@@ -27,51 +27,52 @@
 
     :ivar number: identifies the claim in messages; replaced by a higher one each time that all
         arbiters have to grant the claim again, so that answers to earlier requests do not count
-    :ivar owner: the job that it is for
-    :ivar successor: the same job, sent again while the runs of ``owner`` are being stopped
+    :ivar job: the job that it is for
+    :ivar resent_job: the same job, sent again while the runs of ``job`` are being stopped
     :ivar arbiters: addresses of the dispatchers that decide on it
     :ivar began_ms: when the arbiters were first asked under the current number
     :ivar is_granted: whether the job may run, by a quorum of arbiters or by a fence
     :ivar is_fenced: whether it was granted since all executors have set a fence
     :ivar is_contested: whether an executor has refused runs because of another dispatcher's fence
-    :ivar granted: addresses of arbiters that have granted it and know every earlier claim
-    :ivar unsure: addresses of arbiters that have granted it and may not know an earlier claim
-    :ivar asked: when each arbiter was last asked
+    :ivar granted_by: addresses of arbiters that have granted it and know every earlier claim
+    :ivar unsure_grants_by: addresses of arbiters that have granted it and may not know an earlier
+        claim
+    :ivar asked_ms: when each arbiter was last asked
     :ivar held_by: other dispatcher that holds the job, by the arbiter that has last said so
     :ivar held_since_ms: when an arbiter first named the current holder
-    :ivar fenced: addresses of executors that have set the fence
+    :ivar fenced_by: addresses of executors that have set the fence
     :ivar fence_rank: rank of the fence that executors are or were asked for
     :ivar fence_asked_ms: when executors were last asked for the fence
     """
 
-    def __init__(self, owner: Claimant, arbiters: list[str], now: float):
+    def __init__(self, job: Claimant, arbiters: list[str], now: float):
         """Start without any grant.
 
-        :param owner: the job that it is for
+        :param job: the job that it is for
         :param arbiters: addresses of the dispatchers that decide on it
         :param now: current time in milliseconds
         """
         self.number = 0
-        self.owner = owner
+        self.job = job
         self.arbiters = arbiters
-        self.successor: Claimant | None = None
+        self.resent_job: Claimant | None = None
         self.began_ms = now
         self.is_granted = False
         self.is_fenced = False
         self.is_contested = False
-        self.granted: set[str] = set()
-        self.unsure: set[str] = set()
-        self.asked: dict[str, float] = {}
+        self.granted_by: set[str] = set()
+        self.unsure_grants_by: set[str] = set()
+        self.asked_ms: dict[str, float] = {}
         self.held_by: dict[str, Peer] = {}
         self.held_since_ms = 0.0
-        self.fenced: set[str] = set()
+        self.fenced_by: set[str] = set()
         self.fence_rank = 0
         self.fence_asked_ms = -math.inf
 
     @property
     def job_id(self) -> str:
         """Return the id of the claimed job."""
-        return self.owner.claim_id
+        return self.job.claim_id
 
     @property
     def holder(self) -> Peer | None:
@@ -91,9 +92,9 @@
     @property
     def has_quorum(self) -> bool:
         """Whether a majority of the arbiters have granted it and know every earlier claim."""
-        return len(self.granted.intersection(self.arbiters)) >= self.quorum
+        return len(self.granted_by.intersection(self.arbiters)) >= self.quorum
 
-    def ask_anew(self, now: float) -> None:
+    def discard_answers(self, now: float) -> None:
         """Discard all answers of arbiters and executors, so that they must be asked again.
 
         :param now: current time in milliseconds
@@ -101,8 +102,8 @@
         self.is_granted = False
         self.is_fenced = False
         self.began_ms = now
-        self.granted.clear()
-        self.unsure.clear()
-        self.asked.clear()
+        self.granted_by.clear()
+        self.unsure_grants_by.clear()
+        self.asked_ms.clear()
         self.held_by.clear()
-        self.fenced.clear()
+        self.fenced_by.clear()
--- a/geraniumspool/platform/ingress.py
+++ b/geraniumspool/platform/ingress.py
@@ -132,7 +132,7 @@
     def _wait_for_result(self, environ: dict[str, Any], job: RoutedJob) -> JobResult:
         """Wait for a job's result; the job is left if its caller closes the connection."""
         connection = environ.get(CONNECTION, UNATTACHED)
-        unwatch = connection.watch_caller(lambda: self._router.leave_job(job))
+        unwatch = connection.watch_caller(lambda: self._router.remove_waiter(job))
         try:
             return self._router.wait(job)
         finally:
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -171,7 +171,7 @@
         if digest.reply:
             self._digests.answer(digest.sender)
 
-    def take_rejection(self, sender: Peer, meant: int) -> None:
+    def handle_wrong_incarnation(self, sender: Peer, meant: int) -> None:
         """Learn that another process took over an entry's address, and greet it.
 
         It may know nobody, where it started while the store was out.
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -134,7 +134,7 @@
             StartRuns: self.executor.take_start,
             StopRuns: self.executor.take_stop,
             RenewRuns: self.executor.take_renewal,
-            FenceJobs: self.executor.fences.take,
+            FenceJobs: self.executor.fences.handle_fence_jobs,
             WrongIncarnation: lambda sender, message: self.executor.lose_dispatcher(
                 Peer(sender.address, message.meant)
             ),
@@ -216,16 +216,16 @@
         self.read_operators()
         handlers = {
             WorkerReport: self.dispatcher.handle_report,
-            ForwardJob: self.router.take_forward,
-            ForwardedEnd: self.router.take_end,
-            DropJobs: self.router.forwarded.take_drop,
-            DispatcherReport: self.router.take_report,
-            ClaimJobs: self.claims.take_claims,
-            OpenClaims: self.claims.take_open,
-            ClaimVerdicts: self.claims.take_verdicts,
-            EndClaims: self.claims.take_end,
-            JobsFenced: self.claims.take_fenced,
-            WrongIncarnation: self._take_rejection,
+            ForwardJob: self.router.handle_forward_job,
+            ForwardedEnd: self.router.handle_forwarded_end,
+            DropJobs: self.router.forwarded.handle_drop_jobs,
+            DispatcherReport: self.router.handle_report,
+            ClaimJobs: self.claims.handle_claim_jobs,
+            OpenClaims: self.claims.handle_open_claims,
+            ClaimVerdicts: self.claims.handle_claim_verdicts,
+            EndClaims: self.claims.handle_end_claims,
+            JobsFenced: self.claims.handle_jobs_fenced,
+            WrongIncarnation: self._handle_wrong_incarnation,
         }
         self.messenger.start(lambda d: handlers[type(d.message)](d.sender, d.message))
         self.tasks = self._spawn_ticks()
@@ -236,7 +236,7 @@
         for other in (*world.dispatchers, self):
             self.list_member(DISPATCHER_PREFIX + other.address, other.record)
             other.list_member(DISPATCHER_PREFIX + self.address, self.record)
-        self.router.take_members()
+        self.router.update_members()
 
     @property
     def address(self):
@@ -275,7 +275,7 @@
     def note_written(self, address):
         """Notify the dispatcher, as its watch does, that an executor has written its key."""
         self.dispatcher.fleet.handle_key_written(address)
-        self.claims.take_worker(address)
+        self.claims.handle_executor_start(address)
 
     def _spawn_ticks(self):
         tasks = (
@@ -298,9 +298,9 @@
             self.world.clock.sleep(WATCH_MS)
             self.read_operators()
 
-    def _take_rejection(self, sender, _message):
-        self.dispatcher.fleet.take_rejection(sender)
-        self.router.take_rejection(sender)
+    def _handle_wrong_incarnation(self, sender, _message):
+        self.dispatcher.fleet.handle_wrong_incarnation(sender)
+        self.router.handle_wrong_incarnation(sender)
 
     def pause(self):
         """Stop the green threads until :meth:`resume`, as a paused process does."""
@@ -381,7 +381,7 @@
                 SimulatedDispatcher(self, f"h{number}", capacity=capacity, domain=domain)
             )
         for dispatcher in self.dispatchers:
-            dispatcher.router.take_members()
+            dispatcher.router.update_members()
         self.clock.advance(200)
 
     @property
--- a/tests/storm_callers.py
+++ b/tests/storm_callers.py
@@ -84,7 +84,7 @@
         return any(attempt.outcome is JobOutcome.SUCCEEDED for attempt in self.attempts)
 
 
-class EarlyCallers:
+class ResendingCallers:
     """All callers of one storm.
 
     :ivar storm: the test, with its world of dispatchers and workers
@@ -104,7 +104,7 @@
     def _now(self):
         return self.storm.world.clock.now()
 
-    def hand_in(self, spec):
+    def submit(self, spec):
         """Send a job to a random running dispatcher; a frozen one reads it after thawing."""
         dispatchers = [
             dispatcher
@@ -112,11 +112,11 @@
             if self.storm.is_up(dispatcher)
         ]
         if not dispatchers:
-            self._schedule(NO_DISPATCHER_RETRY_MS, lambda: self.hand_in(spec))
+            self._schedule(NO_DISPATCHER_RETRY_MS, lambda: self.submit(spec))
             return
         self._send(spec, self.random.choice(dispatchers))
 
-    def hand_in_twice(self, spec):
+    def submit_twice(self, spec):
         """Send one job to two dispatchers at the same time."""
         dispatchers = [
             dispatcher
@@ -136,14 +136,14 @@
         self._hang_up(attempt)
         self._send_again_later(attempt)
 
-    def lose(self, dispatcher):
+    def resend_after_crash(self, dispatcher):
         """Let all callers of a dispatcher that has died send their jobs again."""
         for attempt in self._list_attempts():
             if attempt.dispatcher is dispatcher and attempt.is_open:
                 attempt.has_left = True
                 self._send_again_later(attempt)
 
-    def desert(self, dispatcher):
+    def leave_frozen(self, dispatcher):
         """Let about half of the callers of a frozen dispatcher leave and send their jobs again."""
         for attempt in self._list_attempts():
             if attempt.dispatcher is dispatcher and attempt.is_open and self.random.random() < 0.5:
@@ -160,7 +160,7 @@
             if attempt.has_left:
                 self._schedule(0, lambda attempt=attempt: self._notify_hang_up(attempt))
 
-    def calm(self):
+    def end_faults(self):
         """Note that the faults have ended, and send a new job to each dispatcher."""
         self._faults_ended_ms = self._now
         for number, dispatcher in enumerate(self.storm.world.dispatchers):
@@ -244,7 +244,7 @@
             return
         attempt.is_hang_up_known = True
         if attempt.answer.job and attempt.outcome is None:
-            eventlet.spawn_n(attempt.dispatcher.router.leave_job, attempt.answer.job)
+            eventlet.spawn_n(attempt.dispatcher.router.remove_waiter, attempt.answer.job)
 
     def _handle_answer(self, attempt):
         """Let a caller send its job again if it was refused or left unfinished."""
@@ -268,7 +268,7 @@
                 and self._now > self._faults_ended_ms + RESEND_PERIOD_MS
             ):
                 return
-        self.hand_in(spec)
+        self.submit(spec)
 
     def _schedule(self, delay_ms, action):
         self._scheduled.append((self._now + delay_ms, action))
--- a/tests/test_claim_gaps.py
+++ b/tests/test_claim_gaps.py
@@ -96,12 +96,12 @@
         self.advance(START_MS)
         self.assertEqual(1, self.world.start_count("j.0.0.0"))
         other = self.all_dispatchers[1].messenger.me
-        self.all_dispatchers[0].claims.take_claims(
+        self.all_dispatchers[0].claims.handle_claim_jobs(
             other, ClaimJobs((Claim(1, "j", 3_000.0, 99),), (), 1)
         )
         request = self.place(0, spec, 8_000.0)
         # The other dispatcher releases its claim at once.
-        self.all_dispatchers[0].claims.take_claims(other, ClaimJobs((), (1,), 2))
+        self.all_dispatchers[0].claims.handle_claim_jobs(other, ClaimJobs((), (1,), 2))
         self.advance(3_000)
         self.assertIs(request.outcome, JobOutcome.SUCCEEDED)
 
@@ -245,7 +245,7 @@
                     WORKER_PREFIX + worker.address,
                     WorkerRecord(worker.domain, worker.minion.life),
                 )
-                dispatcher.router.take_members()
+                dispatcher.router.update_members()
             self.advance(1_500)
             self.assertEqual(set(), self.ran_twice)
 
@@ -263,7 +263,7 @@
             self.assertEqual(1, self.world.start_count(f"{name}.0.0.0"))
             former = Peer(self.all_dispatchers[0].address, 77)
             for dispatcher in self.all_dispatchers[1:]:
-                dispatcher.claims.take_claims(former, ClaimJobs((), (), 1))
+                dispatcher.claims.handle_claim_jobs(former, ClaimJobs((), (), 1))
             self.advance(2_000)
             self.place(1, spec)
             self.advance(1_000)
@@ -314,7 +314,7 @@
     """Another dispatcher, which is always reachable."""
 
     peer: Peer
-    is_near: bool = True
+    is_in_same_domain: bool = True
     domain: str = "north"
 
     def is_reachable(self, _now):
@@ -363,7 +363,7 @@
     def exchange_open_claims(self, *names):
         for _ in range(3):
             for name in names:
-                self.claims[name].take_members()
+                self.claims[name].update_members()
             self.deliver()
 
     def deliver(self, wanted=lambda *_: True):
@@ -373,9 +373,9 @@
         """
         self.clock.settle()
         handlers = {
-            ClaimJobs: "take_claims",
-            OpenClaims: "take_open",
-            ClaimVerdicts: "take_verdicts",
+            ClaimJobs: "handle_claim_jobs",
+            OpenClaims: "handle_open_claims",
+            ClaimVerdicts: "handle_claim_verdicts",
         }
         while ready := [item for item in self.messages.held if wanted(*item)]:
             self.messages.held.remove(ready[0])
@@ -393,17 +393,17 @@
         )
         # A new incarnation of "a", whose lists of open claims were not answered yet.
         self.claims["a"] = self.make_claims("a", 2, 0.0)
-        self.claims["a"].take_members()
+        self.claims["a"].update_members()
         self.messages.held.clear()
-        self.claims["a"].ask(Job(job))
+        self.claims["a"].claim(Job(job))
         self.clock.settle()
         # It sends another list before the answers to its claim arrive.
         self.deliver(lambda sender, receiver, _m: sender == "a" and receiver != "a")
-        self.claims["a"].take_members()
+        self.claims["a"].update_members()
         self.deliver(lambda sender, receiver, _m: sender == "a" and receiver != "a")
         self.deliver()
         self.assertEqual(["a"], self.granted)
-        self.claims[arbiters[0]].ask(Job(job))
+        self.claims[arbiters[0]].claim(Job(job))
         self.deliver()
         self.assertEqual(["a"], self.granted)
 
--- a/tests/test_claim_table.py
+++ b/tests/test_claim_table.py
@@ -3,7 +3,7 @@
 import unittest
 
 from geraniumspool.claim_messages import Claim, ClaimJobs, OpenClaims
-from geraniumspool.claim_table import ARBITERS, ClaimTable, choose_arbiters
+from geraniumspool.claim_table import ARBITER_COUNT, ClaimTable, choose_arbiters
 from geraniumspool.clock import ManualClock
 from geraniumspool.messages import Peer
 from geraniumspool.run_leases import RUNS_OVER_MS
@@ -30,15 +30,17 @@
     def setUp(self):
         self.clock = ManualClock()
         self.table = ClaimTable(self.clock, ME, self.clock.now() - self.age_ms)
-        self.table.take_members(MEMBERS)
+        self.table.set_members(MEMBERS)
 
     def send_open_claims(
         self, peer, *claims, upto=99, age_ms=LONG_AGO_MS, is_settled=True, clean=()
     ):
-        return self.table.take_all(peer, OpenClaims(claims, upto, age_ms, is_settled, clean))
+        return self.table.apply_open_claims(
+            peer, OpenClaims(claims, upto, age_ms, is_settled, clean)
+        )
 
     def send_claims(self, peer, *claims, released=(), oldest=1):
-        return self.table.take(peer, ClaimJobs(claims, released, oldest))
+        return self.table.apply_claim_jobs(peer, ClaimJobs(claims, released, oldest))
 
 
 class GrantTest(TableCase):
@@ -152,12 +154,12 @@
         self.assertFalse(self.is_sure())
 
     def test_a_clean_exit_counts_for_the_next_incarnation_only(self):
-        self.table.end_cleanly(ONE)
-        self.assertEqual((ONE.address,), self.table.clean)
-        self.table.take_life(ONE._replace(incarnation=2))
-        self.assertEqual((ONE.address,), self.table.clean)
-        self.table.take_life(ONE._replace(incarnation=3))
-        self.assertEqual((), self.table.clean)
+        self.table.note_clean_exit(ONE)
+        self.assertEqual((ONE.address,), self.table.clean_exits)
+        self.table.note_incarnation(ONE._replace(incarnation=2))
+        self.assertEqual((ONE.address,), self.table.clean_exits)
+        self.table.note_incarnation(ONE._replace(incarnation=3))
+        self.assertEqual((), self.table.clean_exits)
 
 
 class ArbitersTest(unittest.TestCase):
@@ -167,12 +169,12 @@
         members = {f"tcp://{number}": f"d{number % 3}" for number in range(30)}
         for number in range(50):
             arbiters = choose_arbiters(f"j{number}", members)
-            self.assertEqual(ARBITERS, len({members[address] for address in arbiters}))
+            self.assertEqual(ARBITER_COUNT, len({members[address] for address in arbiters}))
 
     def test_fewer_domains_than_arbiters_still_give_three_arbiters(self):
         members = {f"tcp://{number}": f"d{number % 2}" for number in range(8)}
         arbiters = choose_arbiters(JOB, members)
-        self.assertEqual(ARBITERS, len(set(arbiters)))
+        self.assertEqual(ARBITER_COUNT, len(set(arbiters)))
 
     def test_a_new_arbiter_of_a_job_is_not_sure_while_former_grants_may_hold(self):
         clock = ManualClock()
@@ -182,14 +184,14 @@
         self.assertNotIn("tcp://0", choose_arbiters(job_id, former_members))
         table = ClaimTable(clock, "tcp://0", clock.now() - LONG_AGO_MS)
         for in_force in (former_members, members):
-            table.take_members(in_force)
+            table.set_members(in_force)
         for address in former_members:
-            table.take_all(Peer(address, 1), OpenClaims((), 0, LONG_AGO_MS, True, ()))
+            table.apply_open_claims(Peer(address, 1), OpenClaims((), 0, LONG_AGO_MS, True, ()))
         message = ClaimJobs((claim(1, job_id),), (), 1)
-        self.assertFalse(table.take(Peer("tcp://1", 1), message)[0].is_sure)
+        self.assertFalse(table.apply_claim_jobs(Peer("tcp://1", 1), message)[0].is_sure)
         clock.advance(RUNS_OVER_MS + 10)
-        table.forget_members()
-        self.assertTrue(table.take(Peer("tcp://1", 1), message)[0].is_sure)
+        table.forget_former_members()
+        self.assertTrue(table.apply_claim_jobs(Peer("tcp://1", 1), message)[0].is_sure)
 
 
 if __name__ == "__main__":
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -12,7 +12,7 @@
 from geraniumspool.memory_minion import MemoryMinion
 from geraniumspool.rooms import Resources
 from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, SimulatedWorker, make_spec
-from tests.storm_callers import EarlyCallers
+from tests.storm_callers import ResendingCallers
 
 # The last four guard against tasks that run twice: a dispatcher that resumed from a pause started
 # tasks of a forwarded job although the caller's dispatcher had given it up, or the caller's
@@ -98,7 +98,7 @@
     :ivar actions: pairs of time and description of what was done, to show on a failure
     :ivar violations: descriptions of failed checks
     :ivar jobs: specification, dispatcher and caller of each job by id; None for jobs that
-        :class:`EarlyCallers` handles
+        :class:`ResendingCallers` handles
     :ivar resubmissions: pairs of due time and specification of jobs to resubmit
     :ivar resumptions: pairs of due time and dispatcher to resume
     :ivar minion_starts: pairs of due time and minion to start anew
@@ -143,7 +143,7 @@
         self.resumptions = []
         self.minion_starts = []
         self.steps = 0
-        self.callers = EarlyCallers(self)
+        self.callers = ResendingCallers(self)
         self.replacements = []
         # A generator of its own, so that actions don't depend on the number of messages.
         self.message_draw = random.Random(f"{seed} messages")
@@ -165,7 +165,7 @@
             self.heal,
             self.crash_minion,
             self.replace_executor,
-            self.kill_home,
+            self.kill_dispatcher,
             self.pause_dispatcher,
             self.silence_minion,
             self.mute_minion,
@@ -179,14 +179,14 @@
         if self.returns_early:
             actions += (self.callers.hang_up,) * 6 + (self.submit_twice,) * 3
             actions += (self.change_message_faults,) * 2 + (
-                self.kill_all_homes,
+                self.kill_all_dispatchers,
                 self.change_stop_time,
             )
         for _ in range(EARLY_STEPS if self.returns_early else STEPS):
             if self.draw.random() < ACTION_SHARE:
                 self.draw.choice(actions)()
             self.step()
-        self.calm()
+        self.end_faults()
         for _ in range((EARLY_REST_MS if self.returns_early else REST_MS) // self.step_ms):
             self.step()
         if self.returns_early:
@@ -215,7 +215,7 @@
             self.minion_starts.remove((due_ms, minion))
             minion.reborn(f"{minion.life.instance}+")
         if self.returns_early:
-            self.replace_homes(now)
+            self.replace_dispatchers(now)
             self.callers.step()
         duplicates = self.world.find_duplicate_runs()
         if duplicates:
@@ -235,7 +235,7 @@
         name = f"j{len(self.jobs)}"
         self.jobs[name] = None
         spec = make_spec(name, 2, 3_000, self.draw.choice(RUNS_MS), declared_ms=300)
-        self.callers.hand_in_twice(spec)
+        self.callers.submit_twice(spec)
         self.note(f"{name} submitted to two dispatchers")
 
     def submit_crashing(self):
@@ -297,7 +297,7 @@
     def submit_anywhere(self, spec):
         if self.returns_early:
             self.jobs[spec.job_id] = None
-            self.callers.hand_in(spec)
+            self.callers.submit(spec)
             return
         dispatcher = self.draw.choice(
             [dispatcher for dispatcher in self.world.dispatchers if not self.is_paused(dispatcher)]
@@ -322,8 +322,8 @@
 
     def part(self):
         dispatcher = self.draw.choice(self.world.dispatchers)
-        other_homes = [other for other in self.world.dispatchers if other is not dispatcher]
-        peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_homes)])
+        other_dispatchers = [other for other in self.world.dispatchers if other is not dispatcher]
+        peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_dispatchers)])
         pair = self.draw.sample([dispatcher.address, peer.address], 2)
         self.world.network.cut.add(tuple(pair))
         if self.draw.random() < 0.5:
@@ -401,7 +401,7 @@
         self.resumptions.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), dispatcher))
         self.note(f"{dispatcher.address} paused")
         if self.returns_early:
-            self.callers.desert(dispatcher)
+            self.callers.leave_frozen(dispatcher)
 
     def resume_dispatcher(self, dispatcher):
         dispatcher.resume()
@@ -414,7 +414,7 @@
         self.world.clock.after(delay_ms, lambda: network.thaw(dispatcher.address))
         self.callers.resume(dispatcher)
 
-    def kill_home(self):
+    def kill_dispatcher(self):
         index = self.draw.randrange(len(self.world.dispatchers))
         old = self.world.dispatchers[index]
         if self.is_paused(old) or not self.is_up(old):
@@ -423,16 +423,16 @@
         if self.returns_early:
             self.replacements.append((self.world.clock.now() + self.draw.choice(DOWN_MS), index))
             self.note(f"{old.address} killed")
-            self.callers.lose(old)
+            self.callers.resend_after_crash(old)
             return
-        self.replace_home(index)
+        self.replace_dispatcher(index)
         due_ms = self.world.clock.now() + RESEND_MS
         for spec, dispatcher, caller in self.jobs.values():
             if dispatcher is old and caller.result is None:
                 self.resubmissions.append((due_ms, spec))
         self.note(f"{old.address} replaced")
 
-    def kill_all_homes(self):
+    def kill_all_dispatchers(self):
         """Kill all dispatchers at once, including paused ones."""
         due_ms = self.world.clock.now() + self.draw.choice(DOWN_MS)
         self.resumptions.clear()
@@ -443,15 +443,15 @@
                 self.replacements.append((due_ms, index))
         self.note("all dispatchers killed")
         for dispatcher in self.world.dispatchers:
-            self.callers.lose(dispatcher)
+            self.callers.resend_after_crash(dispatcher)
 
-    def replace_homes(self, now):
+    def replace_dispatchers(self, now):
         for due_ms, index in [entry for entry in self.replacements if entry[0] <= now]:
             self.replacements.remove((due_ms, index))
-            self.replace_home(index)
+            self.replace_dispatcher(index)
             self.note(f"{self.world.dispatchers[index].address} replaced")
 
-    def replace_home(self, index):
+    def replace_dispatcher(self, index):
         old = self.world.dispatchers[index]
         name = old.messenger.me.address.removeprefix("tcp://")
         self.world.dispatchers[index] = SimulatedDispatcher(
@@ -494,7 +494,7 @@
         copies = 2 if self.message_draw.random() < duplicate_share else 1
         return [delay_ms + self.message_draw.uniform(0, extra_ms) for _ in range(copies)]
 
-    def calm(self):
+    def end_faults(self):
         """End all faults."""
         self.heal()
         if self.returns_early:
@@ -509,15 +509,15 @@
     def calm_early(self):
         self.message_faults = (0.0, 0.0, 0.0)
         now = self.world.clock.now()
-        self.replace_homes(max((due for due, _ in self.replacements), default=now))
+        self.replace_dispatchers(max((due for due, _ in self.replacements), default=now))
         for _, dispatcher in self.resumptions:
             self.resume_dispatcher(dispatcher)
         self.resumptions.clear()
         self.note("end of faults")
-        self.callers.calm()
+        self.callers.end_faults()
 
     def check_answers(self):
-        for name, (spec, _home, caller) in self.jobs.items():
+        for name, (spec, _dispatcher, caller) in self.jobs.items():
             if caller.result is None:
                 self.violations.append(f"{name}: caller got no result")
             elif caller.outcome is JobOutcome.SUCCEEDED:
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -39,7 +39,7 @@
 
     def hang_up(self, dispatcher):
         request = self.start_job(dispatcher)
-        dispatcher.router.leave_job(request.job)
+        dispatcher.router.remove_waiter(request.job)
 
     def kill_dispatcher(self, dispatcher):
         self.start_job(dispatcher)
@@ -65,7 +65,7 @@
     def abandon_jobs(self, dispatcher):
         """Have the dispatcher report the job as unfinished, so its caller may send it again."""
         self.start_job(dispatcher)
-        dispatcher.router.abandon()
+        dispatcher.router.abort_jobs()
 
     def partition(self, dispatcher):
         """Lose all messages between a dispatcher and the others; its caller hangs up."""
@@ -73,7 +73,7 @@
         for other in self.dispatchers:
             if other is not dispatcher:
                 self.world.network.part(dispatcher.address, other.address)
-        dispatcher.router.leave_job(request.job)
+        dispatcher.router.remove_waiter(request.job)
 
     def test_a_job_sent_again_at_once_has_no_task_run_twice(self):
         faults = (
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -269,7 +269,7 @@
         for dispatcher in self.world.dispatchers:
             for other in old:
                 dispatcher.list_member(DISPATCHER_PREFIX + other.address, other.record)
-            dispatcher.router.take_members()
+            dispatcher.router.update_members()
         callers = [self.submit(1) for _ in range(3)]
         self.advance(40)
         for index, worker in enumerate(self.world.workers):
--- a/tests/test_heartbeat.py
+++ b/tests/test_heartbeat.py
@@ -265,8 +265,8 @@
     def test_new_incarnation_of_an_entry(self):
         self.add_to_roster(ENTRIES[0])
         self.beat()
-        self.heartbeater.take_rejection(Peer("tcp://127.0.0.1:8", 8))
-        self.heartbeater.take_rejection(Peer(ENTRIES[0].address, 77))
+        self.heartbeater.handle_wrong_incarnation(Peer("tcp://127.0.0.1:8", 8))
+        self.heartbeater.handle_wrong_incarnation(Peer(ENTRIES[0].address, 77))
         self.assertEqual(self.beat(), [Peer(ENTRIES[0].address, 0)])
         self.heartbeater.take_reply(
             Peer(ENTRIES[0].address, 77), make_reply(1, (ENTRIES[0]._replace(incarnation=77),))
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -268,7 +268,9 @@
             self.join(FAR, state=MEMBER_LEFT)
 
         def be_replaced():
-            self.home.take_rejection(Peer(FAR.address, 99), WrongIncarnation(1, 0, FAR.incarnation))
+            self.home.handle_wrong_incarnation(
+                Peer(FAR.address, 99), WrongIncarnation(1, 0, FAR.incarnation)
+            )
 
         cases = (("left", leave, 600.0), ("replaced", be_replaced, 0.0), ("silent", None, 8_000.0))
         for name, trigger, wait_ms in cases:
--- a/tests/test_job_claims.py
+++ b/tests/test_job_claims.py
@@ -8,7 +8,7 @@
 from geraniumspool.claim_messages import ClaimJobs, ClaimVerdict, ClaimVerdicts, FenceJobs
 from geraniumspool.clock import ManualClock
 from geraniumspool.counters import MemoryCounters
-from geraniumspool.job_claims import HEDGE_MS, PAUSE_MS, JobClaims
+from geraniumspool.job_claims import HEDGE_MS, MAX_PAUSE_MS, JobClaims
 from geraniumspool.messages import Peer
 from geraniumspool.run_messages import StartRuns
 from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, make_spec
@@ -25,7 +25,7 @@
 
     peer: Peer
     domain: str = "north"
-    is_near: bool = True
+    is_in_same_domain: bool = True
 
     def is_reachable(self, _now):
         return True
@@ -60,14 +60,14 @@
             self.clock.now() - LONG_AGO_MS,
         )
         self.claims.on_granted = lambda owner, rank: self.granted.append((owner, rank))
-        self.claims.on_doubt = self.doubted.append
-        self.claims.take_members()
+        self.claims.on_suspended = self.doubted.append
+        self.claims.update_members()
         self.sent.clear()
 
     def advance(self, total_ms=STEP_MS):
         for _ in range(int(total_ms // STEP_MS)):
             self.clock.advance(STEP_MS)
-            self.claims.check()
+            self.claims.run_checks()
             eventlet.sleep(0)
 
     def find_sent(self, kind):
@@ -82,11 +82,11 @@
     def answer_grant(self, *peers, number=None, is_sure=True):
         verdict = ClaimVerdict(number or self.last_claim_number(), is_sure=is_sure)
         for peer in peers:
-            self.claims.take_verdicts(peer, ClaimVerdicts((verdict,), is_sure))
+            self.claims.handle_claim_verdicts(peer, ClaimVerdicts((verdict,), is_sure))
 
     def test_a_job_is_granted_once_a_majority_of_its_arbiters_have_granted_it(self):
         job = Job("j")
-        self.claims.ask(job)
+        self.claims.claim(job)
         self.advance()
         self.answer_grant(ONE)
         self.assertEqual([], self.granted)
@@ -94,7 +94,7 @@
         self.assertEqual([(job, 0)], self.granted)
 
     def test_a_grant_of_an_arbiter_that_is_not_sure_does_not_count(self):
-        self.claims.ask(Job("j"))
+        self.claims.claim(Job("j"))
         self.advance()
         self.answer_grant(ONE)
         self.answer_grant(OTHER, is_sure=False)
@@ -102,11 +102,11 @@
 
     def test_granted_claims_are_requested_again_after_a_pause_of_the_process(self):
         job = Job("j")
-        self.claims.ask(job)
+        self.claims.claim(job)
         self.advance()
         old_number = self.last_claim_number()
         self.answer_grant(ONE, OTHER)
-        self.clock.advance(PAUSE_MS + 1)
+        self.clock.advance(MAX_PAUSE_MS + 1)
         self.claims.check_pause()
         self.assertEqual([job], self.doubted)
         self.granted.clear()
@@ -121,17 +121,17 @@
             with self.subTest(grants_again=grants_again):
                 self.setUp()
                 held = []
-                self.claims.on_held = lambda owner, holder, held=held: held.append(owner)
+                self.claims.on_held_elsewhere = lambda job, holder, held=held: held.append(job)
                 job = Job("j")
-                self.claims.ask(job)
+                self.claims.claim(job)
                 self.advance()
                 self.answer_grant(ONE, OTHER)
-                self.claims.contest(job)
+                self.claims.handle_foreign_fence(job)
                 eventlet.sleep(0)
                 self.sent.clear()
-                self.claims.check()
+                self.claims.run_checks()
                 self.clock.advance(HEDGE_MS * 3)
-                self.claims.check()
+                self.claims.run_checks()
                 eventlet.sleep(0)
                 if grants_again:
                     self.answer_grant(ONE, OTHER)
@@ -139,7 +139,7 @@
                     self.assertTrue(self.find_sent(FenceJobs))
                 else:
                     verdict = ClaimVerdict(self.last_claim_number(), ONE.address, ONE.incarnation)
-                    self.claims.take_verdicts(ONE, ClaimVerdicts((verdict,), True))
+                    self.claims.handle_claim_verdicts(ONE, ClaimVerdicts((verdict,), True))
                     self.advance()
                     self.assertEqual([job], held)
                     self.assertFalse(self.find_sent(FenceJobs))
--- a/tests/test_job_router.py
+++ b/tests/test_job_router.py
@@ -4,8 +4,8 @@
 
 from geraniumspool.dispatcher_peers import PEER_SILENT_MS
 from geraniumspool.fleet import RUNS_LOST_AFTER_MS
-from geraniumspool.forwarded_jobs import KEPT_ENDS, NOT_RECEIVED
-from geraniumspool.forwarded_jobs import Entry as ForwardedEntry
+from geraniumspool.forwarded_jobs import MAX_KEPT_RESULTS, NOT_RECEIVED
+from geraniumspool.forwarded_jobs import EntryDispatcher as ForwardedEntry
 from geraniumspool.job_specs import JobOutcome, JobResult
 from geraniumspool.messages import Peer
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS
@@ -72,10 +72,10 @@
     def test_runs_stop_when_the_last_caller_leaves(self):
         requests = [self.entry.submit(make_spec("j", run_ms=2_000)) for _ in range(2)]
         self.advance(100)
-        self.entry.router.leave_job(requests[0].job)
+        self.entry.router.remove_waiter(requests[0].job)
         self.advance(100)
         self.assertFalse(self.owner.dispatcher.is_idle)
-        self.entry.router.leave_job(requests[1].job)
+        self.entry.router.remove_waiter(requests[1].job)
         self.advance(100)
         self.assertTrue(self.owner.dispatcher.is_idle)
         self.assertFalse(any(worker.minion.running for worker in self.world.workers))
@@ -124,7 +124,7 @@
         request = self.entry.submit(make_spec("j", run_ms=900), timeout_ms=9_000.0)
         self.advance(10)
         self.owner.kill()
-        self.entry.router.take_rejection(Peer(self.owner.address, 7))
+        self.entry.router.handle_wrong_incarnation(Peer(self.owner.address, 7))
         self.world.dispatchers[0] = SimulatedDispatcher(self.world, "h0", 7, capacity=2.0)
         self.advance(RUNS_LOST_AFTER_MS - 100)
         self.assertEqual(1, self.world.start_count(TASK))
@@ -256,23 +256,23 @@
 
     def test_a_job_whose_result_was_forgotten_is_reported_as_unfinished(self):
         entry = ForwardedEntry(Peer("tcp://h", 1))
-        for number in range(1, KEPT_ENDS + 3):
-            entry.keep_end(number, JobResult(JobOutcome.SUCCEEDED))
-        self.assertEqual(JobOutcome.UNFINISHED, entry.find_end(2).outcome)
-        self.assertEqual(JobOutcome.SUCCEEDED, entry.find_end(3).outcome)
+        for number in range(1, MAX_KEPT_RESULTS + 3):
+            entry.store_result(number, JobResult(JobOutcome.SUCCEEDED))
+        self.assertEqual(JobOutcome.UNFINISHED, entry.find_result(2).outcome)
+        self.assertEqual(JobOutcome.SUCCEEDED, entry.find_result(3).outcome)
         self.assertTrue(entry.knows(1))
 
     def test_a_job_reported_as_not_received_is_not_accepted_later(self):
         entry = ForwardedEntry(Peer("tcp://h", 1))
         self.assertFalse(entry.knows(7))
-        self.assertEqual((JobOutcome.REFUSED, NOT_RECEIVED), entry.find_end(7)[:2])
+        self.assertEqual((JobOutcome.REFUSED, NOT_RECEIVED), entry.find_result(7)[:2])
         self.assertTrue(entry.knows(7))
 
     def test_dropping_an_ended_job_keeps_its_result(self):
         entry = ForwardedEntry(Peer("tcp://h", 1))
-        entry.keep_end(7, JobResult(JobOutcome.SUCCEEDED))
-        entry.keep_lost(7)
-        self.assertEqual(JobOutcome.SUCCEEDED, entry.find_end(7).outcome)
+        entry.store_result(7, JobResult(JobOutcome.SUCCEEDED))
+        entry.reject_number(7)
+        self.assertEqual(JobOutcome.SUCCEEDED, entry.find_result(7).outcome)
 
 
 class LeavingTest(RouterCase):
@@ -285,7 +285,7 @@
             for n, dispatcher in enumerate((self.owner, self.entry))
         ]
         self.advance(50)
-        self.owner.router.leave()
+        self.owner.router.give_up_workers()
         self.advance(1_500)
         outcomes = {request.outcome for request in (blocker, *requests)}
         self.assertEqual({JobOutcome.SUCCEEDED}, outcomes)
@@ -294,7 +294,7 @@
     def test_a_leaving_dispatcher_refuses_jobs_instead_of_holding_them(self):
         for dispatcher in (self.owner, self.other):
             dispatcher.kill()
-        self.entry.router.leave()
+        self.entry.router.give_up_workers()
         self.advance(600)
         request = self.entry.submit(make_spec("j"))
         self.assertEqual((JobOutcome.REFUSED, "no_worker"), (request.outcome, request.result.code))
--- a/tests/test_joined_callers.py
+++ b/tests/test_joined_callers.py
@@ -38,7 +38,7 @@
         self.entry.submit(make_spec("k", run_ms=RUN_MS))
         second = self.owner.submit(self.spec)
         self.advance(LISTED_MS)
-        self.entry.router.leave_job(self.first.job)
+        self.entry.router.remove_waiter(self.first.job)
         self.advance(WAIT_MS)
         self.assertIs(JobOutcome.SUCCEEDED, second.outcome)
 
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -23,15 +23,15 @@
         self.holder, self.other = Peer("tcp://h1", 1), Peer("tcp://h2", 2)
         self.table = ClaimTable(clock, "tcp://h0", clock.now() - UPTIME_MS)
         addresses = ("tcp://h0", self.holder.address, self.other.address)
-        self.table.take_members(dict.fromkeys(addresses, DOMAIN))
+        self.table.set_members(dict.fromkeys(addresses, DOMAIN))
         for peer in (self.holder, self.other):
-            self.table.take_all(peer, NO_OPEN_CLAIMS)
+            self.table.apply_open_claims(peer, NO_OPEN_CLAIMS)
 
     def send_claim(self, peer, number=1):
         message = ClaimJobs((Claim(number, "j", LEFT_MS),), (), number)
-        return self.table.take(peer, message)[0]
+        return self.table.apply_claim_jobs(peer, message)[0]
 
     def test_a_list_of_open_claims_from_before_a_claim_does_not_release_it(self):
         self.assertEqual("", self.send_claim(self.holder).holder)
-        self.table.take_all(self.holder, NO_OPEN_CLAIMS)
+        self.table.apply_open_claims(self.holder, NO_OPEN_CLAIMS)
         self.assertEqual(self.holder.address, self.send_claim(self.other).holder)
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -47,7 +47,7 @@
             dispatcher = SimulatedDispatcher(self.world, name, 2)
             for other in self.listed:
                 dispatcher.list_member(DISPATCHER_PREFIX + other.address, other.record)
-            dispatcher.router.take_members()
+            dispatcher.router.update_members()
             self.world.dispatchers.append(dispatcher)
             return
         index = self.world.workers.index(process)
