--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -243,23 +243,23 @@
         elif kind is FaultKind.FAIL:
             minion.fails_all = begins
         elif kind is FaultKind.LEAVE:
-            told = minion.life
-            minion.life = told._replace(draining=begins, sequence=told.sequence + 1)
-            eventlet.spawn_n(part.executor.take_life, minion.life)
+            told = minion.incarnation
+            minion.incarnation = told._replace(draining=begins, sequence=told.sequence + 1)
+            eventlet.spawn_n(part.executor.handle_minion_report, minion.incarnation)
         elif kind is FaultKind.CRASH:
             self._crash(part, begins)
         elif kind is FaultKind.SHRINK:
-            room = minion.life.resources
+            room = minion.incarnation.resources
             minion.resize(room._replace(cpu=room.cpu // 2 if begins else room.cpu * 2))
-            eventlet.spawn_n(part.executor.take_life, minion.life)
+            eventlet.spawn_n(part.executor.handle_minion_report, minion.incarnation)
 
     def _crash(self, part, begins: bool) -> None:
         minion = part.minion
         if begins:
             minion.crash(math.inf)
             return
-        minion.reborn(f"{minion.life.instance}+")
-        eventlet.spawn_n(part.executor.take_life, minion.life)
+        minion.restart_renamed(f"{minion.incarnation.instance}+")
+        eventlet.spawn_n(part.executor.handle_minion_report, minion.incarnation)
 
     def _freeze(self, dispatcher, begins: bool) -> None:
         address = dispatcher.address
@@ -310,9 +310,12 @@
             self.world.clock.sleep(BEAT_MS)
             for worker in self.world.workers:
                 minion = worker.minion
-                if not minion.is_down and lives.get(worker.name) != minion.life.started_unix_ms:
-                    lives[worker.name] = minion.life.started_unix_ms
-                    eventlet.spawn_n(worker.executor.take_life, minion.life)
+                if (
+                    not minion.is_down
+                    and lives.get(worker.name) != minion.incarnation.started_unix_ms
+                ):
+                    lives[worker.name] = minion.incarnation.started_unix_ms
+                    eventlet.spawn_n(worker.executor.handle_minion_report, minion.incarnation)
 
     def _count_messages(self) -> tuple[float, float, float]:
         """Return the last three figures of a row."""
@@ -334,7 +337,7 @@
         """Return the core-seconds that the tasks of some jobs have had."""
         spent = 0.0
         for worker in self.world.workers:
-            for task, core_ms in worker.minion.spent.items():
+            for task, core_ms in worker.minion.cpu_time_used.items():
                 if counts(task.partition(".")[0]):
                     spent += core_ms
         return spent / MS_PER_SECOND**2
--- a/benchmarks/pattern_policies.py
+++ b/benchmarks/pattern_policies.py
@@ -99,8 +99,10 @@
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
         """Return whether a job is late more likely than not."""
-        chances = urgency.predict_probabilities(job.timing, job.remaining_run_ms(), outlook, now)
-        return chances.in_time < EVEN_CHANCE or super().is_refused(job, outlook, others, now)
+        probabilities = urgency.predict_probabilities(
+            job.timing, job.remaining_run_ms(), outlook, now
+        )
+        return probabilities.in_time < EVEN_CHANCE or super().is_refused(job, outlook, others, now)
 
     def is_shed(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
         """Return True: it is late already."""
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -213,7 +213,9 @@
     def _beat(self, minion: WatchedMinion, address: str, listen: str) -> None:
         http = urllib3.PoolManager(retries=False)
         while True:
-            life = minion.life = minion.life._replace(sequence=minion.life.sequence + 1)
+            life = minion.incarnation = minion.incarnation._replace(
+                sequence=minion.incarnation.sequence + 1
+            )
             body = {
                 "service": "fitting",
                 "addr": address,
@@ -223,7 +225,7 @@
                 "seq": life.sequence,
                 "born": life.started_unix_ms,
             }
-            url = f"http://{listen}/instances/{minion.life.instance}/heartbeat"
+            url = f"http://{listen}/instances/{minion.incarnation.instance}/heartbeat"
             # Where the executor is away, the next report finds it.
             with contextlib.suppress(urllib3.exceptions.HTTPError):
                 http.request("POST", url, body=json.dumps(body), timeout=1.0)
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -9,7 +9,7 @@
 
 from benchmarks.soak_processes import GRACE_S, Process, Proxy
 from benchmarks.soak_witness import Witness
-from geraniumspool.memory_minion import LOSSES, Scripted
+from geraniumspool.memory_minion import RANDOM_FAULTS, ScriptedFault
 from tests.platform_standin import StoreStandin
 
 FAULTS = ("stop", "kill", "term", "silence_minion", "cut_store", "reset_minion", "late_start")
@@ -142,15 +142,15 @@
 
     def _do_mute_minion(self) -> None:
         minion = self._random.choice(self._around.witness.minions)
-        minion.mute = True
+        minion.loses_answers = True
         eventlet.sleep(self._random.uniform(0.1, 1.5))
-        minion.mute = False
+        minion.loses_answers = False
 
     def _do_lose_calls(self) -> None:
         minion = self._random.choice(self._around.witness.minions)
-        minion.loss = self._random.uniform(0.05, 0.4)
+        minion.loss_probability = self._random.uniform(0.05, 0.4)
         eventlet.sleep(self._random.uniform(0.5, 3.0))
-        minion.loss = 0.0
+        minion.loss_probability = 0.0
 
     def _do_reset_minion(self) -> None:
         self._random.choice(self._around.minion_proxies).reset()
@@ -187,7 +187,7 @@
     def _do_late_start(self) -> None:
         minion = self._random.choice(self._around.witness.minions)
         late_ms = self._random.uniform(50, 3_000)
-        minion.script(Scripted("start", self._random.choice(LOSSES), late_ms))
+        minion.inject(ScriptedFault("start", self._random.choice(RANDOM_FAULTS), late_ms))
 
     def _do_late_call(self) -> None:
         """Lose a few calls of one kind, or have them carried out late."""
@@ -195,4 +195,4 @@
         call = self._random.choice(("start", "stop", "stop", "look"))
         for _ in range(self._random.randint(1, 3)):
             late_ms = self._random.uniform(5, 3_000)
-            minion.script(Scripted(call, self._random.choice(LOSSES), late_ms))
+            minion.inject(ScriptedFault(call, self._random.choice(RANDOM_FAULTS), late_ms))
--- a/benchmarks/soak_witness.py
+++ b/benchmarks/soak_witness.py
@@ -99,8 +99,8 @@
         self._check_domain(minion, key.task)
         self.starts[key.task] = self.starts.get(key.task, 0) + 1
         self._check_once(minion, key)
-        if not WORKER_ROOM.fits(minion.most_used):
-            self.note_broken(f"{minion.name} was given {minion.most_used}")
+        if not WORKER_ROOM.fits(minion.peak_used):
+            self.note_broken(f"{minion.name} was given {minion.peak_used}")
 
     def judge_job(self, job: str, tasks: int, succeeded: bool, refused: bool) -> None:
         """Check what the callers of a job were told.
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -50,7 +50,7 @@
 )
 from geraniumspool.metrics import Metrics
 from geraniumspool.minion import HttpMinionClient
-from geraniumspool.pace import Pace
+from geraniumspool.pace import SlownessDetector
 from geraniumspool.placement import choose_placement
 from geraniumspool.records import Records
 from geraniumspool.registrar import discover_entries
@@ -129,7 +129,7 @@
             messenger.me.address,
             self._may_eject,
             lambda: self.configuration.service(self.home.service).ejection_failure_share,
-            Pace(lambda: self.home.peers_lateness()),
+            SlownessDetector(lambda: self.home.peers_lateness()),
         )
         self.runner = Runner(
             messenger,
--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -188,7 +188,7 @@
         """Ask the minion to stop a task; return whether it confirmed the stop."""
 
 
-class MinionLife(NamedTuple):
+class MinionIncarnation(NamedTuple):
     """One incarnation of a minion, as reported by the minion.
 
     A minion that restarts after a crash may reuse its instance name; its sequence and end
@@ -215,7 +215,7 @@
     sequence: int = 0
     started_unix_ms: int = 0
 
-    def is_life_of(self, other: "MinionLife") -> bool:
+    def is_same_incarnation(self, other: "MinionIncarnation") -> bool:
         """Return whether both describe the same incarnation of the same minion."""
         return self.instance == other.instance and self.started_unix_ms == other.started_unix_ms
 
@@ -285,7 +285,7 @@
     :param clock_ms: the minion's clock in milliseconds
     :param running: progress of each current run, 0..1
     :param ended: finished runs that have not been acknowledged, oldest first
-    :param started_unix_ms: start of the incarnation that answered, as in :class:`MinionLife`
+    :param started_unix_ms: start of the incarnation that answered, as in :class:`MinionIncarnation`
     :param is_partial: whether there may be finished runs beyond those listed
     """
 
@@ -302,39 +302,44 @@
     Every call may raise ``MinionSilent`` (the call may have been carried out, or may be
     later), its subclass ``MinionDown`` (nothing listens at the address, and nothing was done)
     or ``MinionReplaced`` (that incarnation has ended). A start or stop may be carried out by
-    a later incarnation with the same instance name; only the answer to :meth:`look` tells
+    a later incarnation with the same instance name; only the answer to :meth:`poll` tells
     which incarnation answered.
     """
 
     def start(
-        self, life: MinionLife, key: RunKey, payload: str, lease_until_ms: float, fence: int
+        self,
+        incarnation: MinionIncarnation,
+        key: RunKey,
+        payload: str,
+        lease_until_ms: float,
+        fencing_token: int,
     ) -> StartAnswer:
         """Start a run.
 
         :param payload: payload of the task, passed on unchanged
         :param lease_until_ms: time on the minion's clock at which the lease of all runs at
             the minion expires
-        :param fence: fencing token; the minion refuses the call if it has seen a higher one
+        :param fencing_token: fencing token; the minion refuses the call if it has seen a higher one
         """
 
-    def stop(self, life: MinionLife, key: RunKey, fence: int) -> None:
+    def stop(self, incarnation: MinionIncarnation, key: RunKey, fencing_token: int) -> None:
         """Stop a run; after this returns, the minion no longer starts that run.
 
-        :param fence: fencing token, as in :meth:`start`
+        :param fencing_token: fencing token, as in :meth:`start`
         """
 
-    def look(
+    def poll(
         self,
-        life: MinionLife,
-        fence: int,
-        acknowledged: int,
+        incarnation: MinionIncarnation,
+        fencing_token: int,
+        acknowledged_number: int,
         lease_until_ms: float | None,
         wait_ms: float,
     ) -> MinionView:
         """Poll the minion: renew the lease, acknowledge finished runs, return its runs.
 
-        :param fence: fencing token, as in :meth:`start`
-        :param acknowledged: number of the last finished run that the minion may forget
+        :param fencing_token: fencing token, as in :meth:`start`
+        :param acknowledged_number: number of the last finished run that the minion may forget
         :param lease_until_ms: new expiry of the lease on the minion's clock, None to leave it
         :param wait_ms: how long the minion may delay the answer until a run finishes
         :raises Fenced: if the minion has seen a higher fencing token
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -6,7 +6,7 @@
 
 from geraniumspool.application import Application, ReadyLine
 from geraniumspool.claim_messages import FenceJobs
-from geraniumspool.contracts import Clock, Messenger, MinionControl, MinionLife, Store
+from geraniumspool.contracts import Clock, Messenger, MinionControl, MinionIncarnation, Store
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings
 from geraniumspool.evacuation_guard import DEFAULT_BOUND_MS, EvacuationGuard
@@ -77,13 +77,13 @@
         address = messenger.me.address
         record = encode_record(WorkerRecord(settings.domain))
         self._key = LeasedKey(store, clock, WORKER_PREFIX + address, record, KEY_TTL_MS)
-        self.executor.lives.on_life = self._store_minion_life
+        self.executor.incarnations.on_incarnation = self._store_incarnation
         self._servers: list[WebServer] = []
         self._handlers = {
-            StartRuns: self.executor.take_start,
-            StopRuns: self.executor.take_stop,
+            StartRuns: self.executor.handle_start,
+            StopRuns: self.executor.handle_stop,
             RenewRuns: self._take_renewal,
-            FenceJobs: self.executor.fences.handle_fence_jobs,
+            FenceJobs: self.executor.job_fences.handle_fence_jobs,
             WrongIncarnation: self._handle_wrong_incarnation,
         }
 
@@ -96,7 +96,7 @@
         self._messenger.start(self._receive)
         # No task may start before the evacuated failure domains are known.
         self.guard.check()
-        self._run(self.executor.run_looks)
+        self._run(self.executor.run_poll_loop)
         self._run(self.executor.run_periodic_checks)
         self._run(self._maintain_key)
         for server in self._servers:
@@ -144,20 +144,20 @@
         record = decode_record(stored, WorkerRecord) if stored else None
         if self._key.was_absent:
             # The previous process withdrew its key, or ended so long ago that the key expired.
-            self.executor.lives.is_former_over = True
+            self.executor.incarnations.is_earlier_minion_over = True
         if record is not None and record.life is not None:
             self._key.go_on_with(encode_record(WorkerRecord(self._settings.domain, record.life)))
-            self.executor.take_life(record.life)
+            self.executor.handle_minion_report(record.life)
         self._key.run()
 
-    def _store_minion_life(self, life: MinionLife) -> None:
-        self._key.update(encode_record(WorkerRecord(self._settings.domain, life)))
+    def _store_incarnation(self, incarnation: MinionIncarnation) -> None:
+        self._key.update(encode_record(WorkerRecord(self._settings.domain, incarnation)))
 
     def _take_renewal(self, dispatcher: Peer, message: RenewRuns) -> None:
         """Renew a dispatcher's lease; check the key if the dispatcher doesn't see it."""
-        self.executor.take_renewal(dispatcher, message)
+        self.executor.handle_renewal(dispatcher, message)
         if not message.is_listed:
             eventlet.spawn_n(self._key.check)
 
     def _handle_wrong_incarnation(self, sender: Peer, message: Message) -> None:
-        self.executor.lose_dispatcher(Peer(sender.address, message.meant))
+        self.executor.expire_dispatcher(Peer(sender.address, message.meant))
--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 
 from geraniumspool import run_progress
-from geraniumspool.contracts import Clock, Counters, MinionControl, MinionLife
+from geraniumspool.contracts import Clock, Counters, MinionControl, MinionIncarnation
 from geraniumspool.evacuation_guard import EvacuationGuard
 from geraniumspool.job_fences import JobFences
 from geraniumspool.messages import Message, Peer
-from geraniumspool.minion_life import LAPSE_MARGIN_MS
-from geraniumspool.minion_lives import MinionLives
+from geraniumspool.minion_life import LEASE_EXPIRY_MARGIN_MS
+from geraniumspool.minion_lives import MinionIncarnations
 from geraniumspool.minion_session import MinionSession
-from geraniumspool.minion_watch import MinionWatch
+from geraniumspool.minion_watch import MinionPoller
 from geraniumspool.run_ends import RunEnds
 from geraniumspool.run_leases import (
     CLOCK_DRIFT,
@@ -36,7 +36,7 @@
     StopRuns,
     WorkerState,
 )
-from geraniumspool.run_table import Customer, Run, RunTable
+from geraniumspool.run_table import KnownDispatcher, Run, RunTable
 from geraniumspool.worker_reporter import WorkerReporter
 
 _LOG = logging.getLogger(__name__)
@@ -55,10 +55,10 @@
     """Execute runs on one minion on behalf of dispatchers.
 
     :ivar reset_link: makes the next message to a peer use a new connection
-    :ivar fences: jobs that only one dispatcher may run here
-    :ivar lives: tracks which incarnation of the minion is served; its ``on_life`` callback is
-        called for each one
-    :ivar leaving: whether new runs are rejected because the process is shutting down
+    :ivar job_fences: jobs that only one dispatcher may run here
+    :ivar incarnations: tracks which incarnation of the minion is served; its ``on_incarnation``
+        callback is called for each one
+    :ivar is_leaving: whether new runs are rejected because the process is shutting down
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         send: Callable[[Peer, Message], bool],
         counters: Counters,
         domain: str,
-        first_fence: int,
+        initial_fencing_token: int,
         guard: EvacuationGuard,
         started_ms: float | None = None,
     ):
@@ -76,8 +76,8 @@
 
         :param send: queues a message to a dispatcher
         :param domain: failure domain of this worker
-        :param first_fence: initial fencing token; it is raised when the minion turns out to have
-            seen a higher one
+        :param initial_fencing_token: initial fencing token; it is raised when the minion turns out
+            to have seen a higher one
         :param guard: decides whether operators allow tasks to start here
         :param started_ms: when this process started, on the clock's time scale; defaults to now
         """
@@ -86,19 +86,21 @@
         self._domain = domain
         self._guard = guard
         guard.on_change = self._handle_guard_change
-        self._session = MinionSession(control, first_fence)
+        self._session = MinionSession(control, initial_fencing_token)
         self._table = RunTable()
         self._reporter = WorkerReporter(clock, send, self._table, self.state)
         self._ends = RunEnds(clock, counters, self._table, self._reporter)
         parts = (self._session, self._table, self._reporter, self._ends)
-        self.lives = MinionLives(clock, counters, *parts)
-        self._watch = MinionWatch(clock, *parts, self.lives)
-        self._stops = self.lives.stops
-        self._starts = self.lives.starts
-        self.fences = JobFences(clock, send, self._table, self._stops, self._are_earlier_runs_over)
+        self.incarnations = MinionIncarnations(clock, counters, *parts)
+        self._watch = MinionPoller(clock, *parts, self.incarnations)
+        self._stops = self.incarnations.stops
+        self._starts = self.incarnations.starts
+        self.job_fences = JobFences(
+            clock, send, self._table, self._stops, self._are_earlier_runs_over
+        )
         self._started_ms = clock.now() if started_ms is None else started_ms
         self.reset_link: Callable[[Peer], None] = _ignore_reset
-        self.leaving = False
+        self.is_leaving = False
 
     @property
     def is_idle(self) -> bool:
@@ -108,19 +110,19 @@
     @property
     def has_minion(self) -> bool:
         """Whether an incarnation of the minion is served."""
-        return self._session.life is not None
+        return self._session.incarnation is not None
 
     @property
-    def customers(self) -> list[Peer]:
+    def dispatchers(self) -> list[Peer]:
         """Return the dispatchers that sent a message recently."""
-        return list(self._table.customers)
+        return list(self._table.dispatchers)
 
     def state(self) -> WorkerState:
         """Return the state and capacity of this worker as reported to dispatchers."""
-        life = self._session.life
-        if life is None:
+        incarnation = self._session.incarnation
+        if incarnation is None:
             return WorkerState(domain=self._domain)
-        report = life.told
+        report = incarnation.report
         return WorkerState(
             report.instance,
             report.service,
@@ -129,51 +131,51 @@
             report.labels,
             self._accepts(),
             report.resources,
-            self._table.used,
-            self._table.queued,
+            self._table.used_capacity,
+            self._table.queued_capacity,
             round(self._ends.pace.value, 3),
         )
 
-    def take_life(self, report: MinionLife) -> None:
+    def handle_minion_report(self, report: MinionIncarnation) -> None:
         """Handle a report in which a minion describes itself."""
-        self.lives.take_life(report)
+        self.incarnations.handle_report(report)
 
-    def lose_life(self, instance: str, started_unix_ms: int = 0) -> None:
+    def handle_minion_departure(self, instance: str, started_unix_ms: int = 0) -> None:
         """Handle the departure of a minion.
 
         :param instance: name of the minion
         :param started_unix_ms: Unix time at which the departed incarnation began, 0 if not known
         """
-        self.lives.lose_life(instance, started_unix_ms)
+        self.incarnations.handle_departure(instance, started_unix_ms)
 
-    def take_start(self, peer: Peer, message: StartRuns) -> None:
+    def handle_start(self, peer: Peer, message: StartRuns) -> None:
         """Accept or refuse the runs that a dispatcher orders, and renew its lease."""
         self._guard.evacuations.hear(message.evacuations, message.echo_ms)
         dispatcher = self._renew_lease(peer, message.echo_ms)
         now = self._clock.now()
         for order in message.orders:
             self._handle_order(dispatcher, order, now)
-        self._starts.fill()
+        self._starts.start_queued()
         self._refuse_overdue(now)
         if now - message.echo_ms > STALE_ECHO_MS:
             # The report carries a fresh clock value. Without it, the lease would expire soon after
             # the runs have started.
-            self._reporter.tell(dispatcher)
+            self._reporter.report_to(dispatcher)
 
-    def take_stop(self, peer: Peer, message: StopRuns) -> None:
+    def handle_stop(self, peer: Peer, message: StopRuns) -> None:
         """Stop the runs that a dispatcher no longer wants.
 
         A run whose order has not arrived yet is not started when the order arrives later.
         """
-        dispatcher = self._table.customer(peer)
+        dispatcher = self._table.get_dispatcher(peer)
         for number in message.numbers:
             run = dispatcher.runs.get(number)
             if run is not None:
                 self._stops.stop(run, "asked")
-            elif number > dispatcher.upto:
-                dispatcher.upto = number
+            elif number > dispatcher.highest_number:
+                dispatcher.highest_number = number
 
-    def take_renewal(self, peer: Peer, message: RenewRuns) -> None:
+    def handle_renewal(self, peer: Peer, message: RenewRuns) -> None:
         """Renew a dispatcher's lease and reconcile its list of runs with the runs here."""
         self._guard.evacuations.hear(message.evacuations, message.echo_ms)
         dispatcher = self._renew_lease(peer, message.echo_ms)
@@ -184,11 +186,11 @@
         for number in wanted:
             if number not in dispatcher.runs:
                 self._report_missing_run(dispatcher, number)
-        self._reporter.tell(dispatcher)
+        self._reporter.report_to(dispatcher)
 
-    def run_looks(self) -> None:
+    def run_poll_loop(self) -> None:
         """Poll the minion forever: renew its lease and collect ended runs."""
-        self._watch.run_looks()
+        self._watch.run_poll_loop()
 
     def run_periodic_checks(self) -> None:
         """Enforce time limits periodically, forever."""
@@ -199,13 +201,13 @@
 
     def leave(self) -> None:
         """Reject new runs from now on, refuse queued ones and report this to all dispatchers."""
-        self.leaving = True
+        self.is_leaving = True
         self._ends.refuse_waiting("leaving")
-        self._reporter.tell_all()
+        self._reporter.report_to_all()
 
-    def lose_dispatcher(self, peer: Peer) -> None:
+    def expire_dispatcher(self, peer: Peer) -> None:
         """Expire the lease of a dispatcher whose address another process has taken over."""
-        dispatcher = self._table.customers.get(peer)
+        dispatcher = self._table.dispatchers.get(peer)
         if dispatcher is not None:
             dispatcher.lease_until_ms = 0.0
             self._stop_unleased_runs(dispatcher)
@@ -214,20 +216,20 @@
         """Stop all runs because the process is about to exit."""
         self._stops.stop_all(reason)
 
-    def _report_missing_run(self, dispatcher: Customer, number: int) -> None:
+    def _report_missing_run(self, dispatcher: KnownDispatcher, number: int) -> None:
         """Report the outcome of a run that a dispatcher still lists but that is not active here."""
         end = dispatcher.ends.get(number)
         if end is None:
             if not self._are_earlier_runs_over():
                 return
             end = RunEnd(number, RUN_LAPSED, reason="unknown")
-            dispatcher.upto = max(dispatcher.upto, number)
+            dispatcher.highest_number = max(dispatcher.highest_number, number)
             dispatcher.ends[number] = end
-        if end not in dispatcher.untold:
-            dispatcher.untold.append(end)
+        if end not in dispatcher.unreported_ends:
+            dispatcher.unreported_ends.append(end)
 
     def _refuse_overdue(self, now: float) -> None:
-        for run in self._table.waiting():
+        for run in self._table.queued_runs():
             if now - run.arrived_ms >= run.order.patience_ms:
                 self._ends.refuse(run, "no_room")
 
@@ -240,26 +242,26 @@
         )
         if refusal:
             self._ends.refuse_waiting(refusal)
-        self._reporter.tell_all()
+        self._reporter.report_to_all()
 
     def _are_earlier_runs_over(self) -> bool:
         """Return whether all runs started by earlier executor processes here must have ended."""
-        life = self._session.life
-        if life is not None and life.is_clear:
+        incarnation = self._session.incarnation
+        if incarnation is not None and incarnation.is_free_of_orphans:
             return True
-        lease_ms = MINION_LEASE_MS if self.lives.is_former_over else LONGEST_LEASE_MS
-        over = self._started_ms + lease_ms * (1 + CLOCK_DRIFT) + LAPSE_MARGIN_MS
+        lease_ms = MINION_LEASE_MS if self.incarnations.is_earlier_minion_over else LONGEST_LEASE_MS
+        over = self._started_ms + lease_ms * (1 + CLOCK_DRIFT) + LEASE_EXPIRY_MARGIN_MS
         return self._clock.now() > over
 
-    def _handle_order(self, dispatcher: Customer, order: RunOrder, now: float) -> None:
-        if order.number <= dispatcher.upto:
+    def _handle_order(self, dispatcher: KnownDispatcher, order: RunOrder, now: float) -> None:
+        if order.number <= dispatcher.highest_number:
             return
-        dispatcher.upto = order.number
+        dispatcher.highest_number = order.number
         refusal = self._refuse_reason(dispatcher, order, now)
         if refusal:
             self._counters.add("runs_refused", reason=refusal)
             end = RunEnd(order.number, RUN_REFUSED, reason=refusal)
-            dispatcher.keep_end(end)
+            dispatcher.record_end(end)
             _LOG.info(
                 "run refused",
                 extra={
@@ -270,11 +272,11 @@
                     )
                 },
             )
-            self._reporter.tell_soon(dispatcher)
+            self._reporter.schedule_end_report(dispatcher)
             return
         self._table.add(Run(dispatcher.peer, order, now))
 
-    def _refuse_reason(self, dispatcher: Customer, order: RunOrder, now: float) -> str:
+    def _refuse_reason(self, dispatcher: KnownDispatcher, order: RunOrder, now: float) -> str:
         if dispatcher.lease_until_ms <= now:
             return "lease_over"
         if self._guard.refusal:
@@ -283,9 +285,9 @@
             return "not_accepting"
         if order.limit_ms <= 0:
             return "limit_passed"
-        if not self._session.life.told.resources.fits(order.need):
+        if not self._session.incarnation.report.resources.fits(order.need):
             return "too_large"
-        if self.fences.excludes(dispatcher.peer, order.task, order.fence_rank):
+        if self.job_fences.excludes(dispatcher.peer, order.task, order.fence_rank):
             return FENCED
         other = self._table.find_task(order.task)
         if other is not None:
@@ -296,24 +298,29 @@
         return ""
 
     def _accepts(self) -> bool:
-        life = self._session.life
-        if self.leaving or life is None or life.told.draining or self._guard.refusal:
+        incarnation = self._session.incarnation
+        if (
+            self.is_leaving
+            or incarnation is None
+            or incarnation.report.draining
+            or self._guard.refusal
+        ):
             return False
-        if not (life.is_clear and life.is_described):
+        if not (incarnation.is_free_of_orphans and incarnation.has_reported):
             return False
-        if not self._watch.is_heard:
+        if not self._watch.is_responding:
             return False
-        judge = self._ends.judge
+        judge = self._ends.breaker
         if judge.is_ejected:
             return judge.is_probe_due and len(self._table) == 0
         return True
 
-    def _renew_lease(self, peer: Peer, echo_ms: float) -> Customer:
+    def _renew_lease(self, peer: Peer, echo_ms: float) -> KnownDispatcher:
         now = self._clock.now()
-        dispatcher = self._table.customer(peer)
-        if dispatcher.heard_ms == 0:
+        dispatcher = self._table.get_dispatcher(peer)
+        if dispatcher.last_message_ms == 0:
             _LOG.info("dispatcher connected", extra={"fields": (("dispatcher", peer.address),)})
-        dispatcher.heard_ms = now
+        dispatcher.last_message_ms = now
         if echo_ms <= now:
             # An echoed clock ahead of the local one comes from an earlier process at this address.
             dispatcher.lease_until_ms = max(
@@ -322,31 +329,33 @@
         return dispatcher
 
     def _enforce_limits(self, now: float) -> None:
-        for dispatcher in list(self._table.customers.values()):
+        for dispatcher in list(self._table.dispatchers.values()):
             if dispatcher.lease_until_ms <= now and dispatcher.runs:
                 self._stop_unleased_runs(dispatcher)
             self._reset_one_way_link(dispatcher, now)
-            if now - dispatcher.heard_ms > FORGET_DISPATCHER_MS and not dispatcher.runs:
-                del self._table.customers[dispatcher.peer]
+            if now - dispatcher.last_message_ms > FORGET_DISPATCHER_MS and not dispatcher.runs:
+                del self._table.dispatchers[dispatcher.peer]
         self._refuse_overdue(now)
-        is_minion_responding = self._watch.is_heard
+        is_minion_responding = self._watch.is_responding
         for run in self._table:
-            if run.limit_ms <= now:
+            if run.expires_ms <= now:
                 self._stops.stop(run, "limit_passed")
             elif is_minion_responding and run_progress.is_stalled(run, self._ends.pace.value, now):
-                self._ends.note_outcome(run, False)
+                self._ends.record_outcome(run, False)
                 self._stops.stop(run, "stalled")
 
-    def _reset_one_way_link(self, dispatcher: Customer, now: float) -> None:
+    def _reset_one_way_link(self, dispatcher: KnownDispatcher, now: float) -> None:
         """Reconnect to a dispatcher whose messages arrive but that does not receive ours."""
         is_one_way = (
-            dispatcher.lease_until_ms + LINK_RESET_MS < now < dispatcher.heard_ms + LINK_RESET_MS
+            dispatcher.lease_until_ms + LINK_RESET_MS
+            < now
+            < dispatcher.last_message_ms + LINK_RESET_MS
         )
-        if is_one_way and now - dispatcher.reset_ms > LINK_RESET_MS:
-            dispatcher.reset_ms = now
+        if is_one_way and now - dispatcher.link_reset_ms > LINK_RESET_MS:
+            dispatcher.link_reset_ms = now
             self.reset_link(dispatcher.peer)
 
-    def _stop_unleased_runs(self, dispatcher: Customer) -> None:
+    def _stop_unleased_runs(self, dispatcher: KnownDispatcher) -> None:
         active = [run for run in dispatcher.runs.values() if not run.is_stopping]
         if active:
             self._counters.add("dispatcher_leases_ended")
@@ -356,7 +365,7 @@
                     "fields": (
                         ("dispatcher", dispatcher.peer.address),
                         ("runs", len(active)),
-                        ("silent_ms", round(self._clock.now() - dispatcher.heard_ms)),
+                        ("silent_ms", round(self._clock.now() - dispatcher.last_message_ms)),
                     )
                 },
             )
--- a/geraniumspool/health.py
+++ b/geraniumspool/health.py
@@ -10,7 +10,7 @@
     DecisionLog,
 )
 from geraniumspool.errors import NotStarted, TaskUnknown
-from geraniumspool.pace import PROBE_HAZARD, Pace
+from geraniumspool.pace import PROBE_HAZARD, SlownessDetector
 
 # Weight of the latest outcome in the moving average of failures.
 RECENT_WEIGHT = 0.2
@@ -38,7 +38,7 @@
     backoff after failed ones. It is restored after a few successful probes in
     a row; a late success counts as a failure.
 
-    :ivar pace: measures whether the minion is slow
+    :ivar slowness: measures whether the minion is slow
     :ivar is_ejected: whether the minion is ejected
     :ivar on_change: called when the minion is ejected or restored
     """
@@ -50,7 +50,7 @@
         subject: str,
         may_eject: Callable[[], bool] = _always,
         failure_share: Callable[[], float] = lambda: FAILURE_SHARE,
-        pace: Pace | None = None,
+        slowness: SlownessDetector | None = None,
     ):
         """Start with a healthy minion.
 
@@ -58,14 +58,14 @@
         :param may_eject: returns whether the limit on ejected workers permits one more
         :param failure_share: returns the share of recent failures, from 0 to 1,
             above which the minion is ejected; 1 disables ejection
-        :param pace: measures whether the minion is slow
+        :param slowness: measures whether the minion is slow
         """
         self._clock = clock
         self._decisions = decisions
         self._subject = subject
         self._may_eject = may_eject
         self._failure_share = failure_share
-        self.pace = pace or Pace()
+        self.slowness = slowness or SlownessDetector()
         self._recent_failures = 0.0
         self._outcomes = 0
         self._successes = 0
@@ -113,7 +113,7 @@
 
     def note_late(self) -> None:
         """Eject the minion if its running tasks show that it is slow."""
-        if self.is_ejected or not self.pace.is_slow:
+        if self.is_ejected or not self.slowness.is_slow:
             return
         if self._failure_share() < 1 and self._may_eject():
             self._eject(0.0)
@@ -124,10 +124,10 @@
         :param estimate_ms: estimated run time
         :param run_ms: run time at the minion
         """
-        is_late = self.pace.hazard(estimate_ms, run_ms) > PROBE_HAZARD
+        is_late = self.slowness.hazard(estimate_ms, run_ms) > PROBE_HAZARD
         self.note(not (self.is_ejected and is_late), run_ms, "")
         if not self.is_ejected:
-            self.pace.end(estimate_ms, run_ms)
+            self.slowness.record_run_time(estimate_ms, run_ms)
 
     def reset(self) -> None:
         """Discard all outcomes, because another minion replaces this one."""
@@ -150,7 +150,7 @@
             WORKER_EJECTED,
             self._subject,
             failure_share=share,
-            lateness=round(self.pace.lateness, 1),
+            lateness=round(self.slowness.lateness, 1),
             last_run_ms=round(run_ms, 1),
         )
         self.on_change()
@@ -171,6 +171,6 @@
         was_ejected = self.is_ejected
         self.is_ejected = False
         self._recent_failures = 0.0
-        self.pace.forget()
+        self.slowness.reset()
         if was_ejected:
             self.on_change()
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -44,7 +44,7 @@
     WrongIncarnation,
 )
 from geraniumspool.offers import CODE_REVOKED, Offers
-from geraniumspool.pace import STANDS_OUT
+from geraniumspool.pace import OUTLIER_LATENESS
 from geraniumspool.placement import Placement
 from geraniumspool.placer import Place, Placer
 from geraniumspool.records import Records, Watermark
@@ -475,7 +475,7 @@
     def _seems_slow(self, worker: Worker) -> bool:
         """Return whether a worker is late, and clearly later than the others."""
         lateness = worker.load.lateness
-        return lateness > STANDS_OUT and lateness - self.peers_lateness() > STANDS_OUT
+        return lateness > OUTLIER_LATENESS and lateness - self.peers_lateness() > OUTLIER_LATENESS
 
     def _complete(self, job: Job) -> None:
         self._counters.add("jobs_complete")
--- a/geraniumspool/job_fences.py
+++ b/geraniumspool/job_fences.py
@@ -15,7 +15,7 @@
 from geraniumspool.messages import Message, Peer
 from geraniumspool.run_messages import FENCED
 from geraniumspool.run_stops import RunStops
-from geraniumspool.run_table import RunTable, job_of
+from geraniumspool.run_table import RunTable, job_id_of
 
 _LOG = logging.getLogger(__name__)
 
@@ -74,7 +74,7 @@
 
         :param rank: rank of the fence that the dispatcher's claim relies on, 0 for none
         """
-        fence = self._fences.get(job_of(task))
+        fence = self._fences.get(job_id_of(task))
         if fence is None or self._clock.now() >= fence.until_ms:
             return rank > 0
         return fence.holder != dispatcher or fence.rank < rank
@@ -129,8 +129,8 @@
         """Stop other dispatchers' runs of some jobs; return the jobs with such runs left."""
         running = set()
         for run in self._table:
-            job_id = job_of(run.key.task)
-            if job_id in job_ids and run.home != dispatcher:
+            job_id = job_id_of(run.key.task)
+            if job_id in job_ids and run.dispatcher != dispatcher:
                 self._stops.stop(run, FENCED)
                 if self._table.find(run.key) is run:
                     running.add(job_id)
--- a/geraniumspool/memory_minion.py
+++ b/geraniumspool/memory_minion.py
@@ -8,7 +8,7 @@
 from geraniumspool.contracts import (
     Clock,
     ListedEnd,
-    MinionLife,
+    MinionIncarnation,
     MinionView,
     RunKey,
     StartAnswer,
@@ -21,12 +21,12 @@
 
 DEFAULT_CAPACITY = Resources(10_000, 10_000)
 # Interval at which a waiting poll checks for ended runs.
-LOOK_STEP_MS = 5.0
+POLL_STEP_MS = 5.0
 STOP_MS = 20.0
 # Largest number of ended runs that one poll lists, oldest first.
-LISTED_ENDS = 500
+MAX_LISTED_ENDS = 500
 # Time after which an executor must know a changed capacity: one report interval and a margin.
-TOLD_MS = 600.0
+CAPACITY_KNOWN_MS = 600.0
 # Time until a call without an answer fails.
 UNANSWERED_MS = 120.0
 # Time from the start of a crashing task to the crash, and time until the restart.
@@ -35,7 +35,7 @@
 # Time until a refused connection is reported; both ends are on one host.
 REFUSED_MS = 1.0
 # Share of its run time after which a run fails if ``fails_all`` is set.
-EARLY_FAILURE = 0.1
+EARLY_FAILURE_SHARE = 0.1
 
 
 class CallFault(enum.Enum):
@@ -48,10 +48,10 @@
 
 
 # Faults that may occur at random.
-LOSSES = (CallFault.LOST_BEFORE, CallFault.LOST_AFTER, CallFault.LATE)
+RANDOM_FAULTS = (CallFault.LOST_BEFORE, CallFault.LOST_AFTER, CallFault.LATE)
 
 
-class Scripted(NamedTuple):
+class ScriptedFault(NamedTuple):
     """Fault of the next call of a given kind.
 
     :param call: kind of call: ``start``, ``stop`` or ``look``
@@ -81,22 +81,25 @@
     time. It may end in ``:fail``, ``:hang`` or ``:crash``. In a step of ``:crash`` tasks only the
     first task, whose name ends in ``.0``, crashes each minion that starts it.
 
-    :ivar life: how the minion currently describes itself
-    :ivar silent: whether calls are neither executed nor answered
+    :ivar incarnation: how the minion currently describes itself
+    :ivar is_silent: whether calls are neither executed nor answered
     :ivar slow_factor: factor by which run times are longer than in the payload
-    :ivar most_used: largest capacity in use at any time
+    :ivar peak_used: largest capacity in use at any time
     :ivar started: keys of all runs started so far, in order
-    :ivar spent: per task, capacity times run time used so far, in thousandths of a core times ms
-    :ivar loss: probability that a call gets no answer; the fault is drawn from ``LOSSES``
+    :ivar cpu_time_used: per task, capacity times run time used so far, in thousandths of a core
+        times ms
+    :ivar loss_probability: probability that a call gets no answer; the fault is drawn from
+        ``RANDOM_FAULTS``
     :ivar stop_ms: how long a stopped run continues
-    :ivar mute: whether calls are executed but not answered
-    :ivar refuses: whether connections are refused while runs continue
-    :ivar deaf_to: kinds of calls that are neither executed nor answered
+    :ivar loses_answers: whether calls are executed but not answered
+    :ivar refuses_connections: whether connections are refused while runs continue
+    :ivar ignored_calls: kinds of calls that are neither executed nor answered
     :ivar fails_all: whether every run fails after a tenth of its run time
     :ivar hangs_all: whether no run makes progress
     :ivar refuse_with: outcome with which every start is refused, None to start runs
     :ivar crashed_by: names of the tasks that crashed the minion, in order
-    :ivar crowded: runs started beyond the capacity although the executor knew the capacity
+    :ivar overcommitted_runs: runs started beyond the capacity although the executor knew the
+        capacity
     """
 
     def __init__(
@@ -119,7 +122,7 @@
         self._clock = clock
         self._random = random.Random(seed)
         labels, started_unix_ms = ("a", "r1"), round(clock.now())
-        self.life = MinionLife(
+        self.incarnation = MinionIncarnation(
             instance, "fitting", "127.0.0.1:1", resources, labels, False, 1, started_unix_ms
         )
         self._running: dict[RunKey, _Running] = {}
@@ -129,22 +132,22 @@
         self._fence = 0
         self._lease_until = 0.0
         self._booted_ms = 0.0
-        self._scripted: list[Scripted] = []
-        self.silent = False
+        self._scripted: list[ScriptedFault] = []
+        self.is_silent = False
         self.slow_factor = 1.0
-        self.most_used = NO_RESOURCES
+        self.peak_used = NO_RESOURCES
         self.started: list[RunKey] = []
-        self.spent: dict[str, float] = {}
-        self.loss = 0.0
+        self.cpu_time_used: dict[str, float] = {}
+        self.loss_probability = 0.0
         self.stop_ms = STOP_MS
-        self.mute = False
-        self.refuses = False
-        self.deaf_to: set[str] = set()
+        self.loses_answers = False
+        self.refuses_connections = False
+        self.ignored_calls: set[str] = set()
         self.fails_all = False
         self.hangs_all = False
         self.refuse_with: StartOutcome | None = None
         self.crashed_by: list[str] = []
-        self.crowded: list[RunKey] = []
+        self.overcommitted_runs: list[RunKey] = []
         self._restart_ms = 0.0
         self._resized_ms = 0.0
 
@@ -162,23 +165,25 @@
     def resize(self, resources: Resources) -> None:
         """Change the total capacity at once, even below what is in use."""
         self._resized_ms = self._clock.now()
-        self.life = self.life._replace(resources=resources, sequence=self.life.sequence + 1)
+        self.incarnation = self.incarnation._replace(
+            resources=resources, sequence=self.incarnation.sequence + 1
+        )
 
     @property
     def clock_ms(self) -> float:
         """Return the minion's own clock, which starts at 0 with each incarnation."""
         return self._clock.now() - self._booted_ms
 
-    def script(self, fault: Scripted) -> None:
+    def inject(self, fault: ScriptedFault) -> None:
         """Inject a fault into the next call of its kind."""
         self._scripted.append(fault)
 
-    def reborn(self, instance: str) -> None:
+    def restart_renamed(self, instance: str) -> None:
         """Crash and start at once as a new incarnation at the same address under another name."""
         self.restart()
-        self.refuses = False
+        self.refuses_connections = False
         self._restart_ms = self._clock.now()
-        self.life = self.life._replace(instance=instance)
+        self.incarnation = self.incarnation._replace(instance=instance)
 
     def crash(self, down_ms: float) -> None:
         """Crash, and restart later under the same name.
@@ -189,7 +194,7 @@
         self._restart_ms = self._clock.now() + down_ms
         if math.isfinite(down_ms):
             self._booted_ms = self._restart_ms
-            self.life = self.life._replace(started_unix_ms=round(self._restart_ms))
+            self.incarnation = self.incarnation._replace(started_unix_ms=round(self._restart_ms))
 
     def leave(self, run_on_ms: float) -> None:
         """Start draining, and exit later; runs continue until then.
@@ -198,10 +203,12 @@
 
         :param run_on_ms: time until the exit
         """
-        life = self.life = self.life._replace(draining=True, sequence=self.life.sequence + 1)
+        incarnation = self.incarnation = self.incarnation._replace(
+            draining=True, sequence=self.incarnation.sequence + 1
+        )
 
         def end() -> None:
-            if self.life.is_life_of(life):
+            if self.incarnation.is_same_incarnation(incarnation):
                 self._advance()
                 self.crash(math.inf)
 
@@ -219,68 +226,85 @@
         self._lease_until = 0.0
         self._booted_ms = self._clock.now()
         # Two incarnations never begin in the same millisecond.
-        started_unix_ms = max(self.life.started_unix_ms + 1, round(self._clock.now()))
-        self.life = self.life._replace(draining=False, sequence=1, started_unix_ms=started_unix_ms)
+        started_unix_ms = max(self.incarnation.started_unix_ms + 1, round(self._clock.now()))
+        self.incarnation = self.incarnation._replace(
+            draining=False, sequence=1, started_unix_ms=started_unix_ms
+        )
 
     def start(
-        self, life: MinionLife, key: RunKey, payload: str, lease_until_ms: float, fence: int
+        self,
+        incarnation: MinionIncarnation,
+        key: RunKey,
+        payload: str,
+        lease_until_ms: float,
+        fencing_token: int,
     ) -> StartAnswer:
         """Start a run; see :class:`~geraniumspool.contracts.MinionControl`."""
-        return self._call("start", life, lambda: self._start(key, payload, lease_until_ms, fence))
+        return self._call(
+            "start", incarnation, lambda: self._start(key, payload, lease_until_ms, fencing_token)
+        )
 
-    def stop(self, life: MinionLife, key: RunKey, fence: int) -> None:
+    def stop(self, incarnation: MinionIncarnation, key: RunKey, fencing_token: int) -> None:
         """Stop a run; see :class:`~geraniumspool.contracts.MinionControl`."""
-        self._call("stop", life, lambda: self._stop(key, fence))
+        self._call("stop", incarnation, lambda: self._stop(key, fencing_token))
 
-    def look(
+    def poll(
         self,
-        life: MinionLife,
-        fence: int,
-        acknowledged: int,
+        incarnation: MinionIncarnation,
+        fencing_token: int,
+        acknowledged_number: int,
         lease_until_ms: float | None,
         wait_ms: float,
     ) -> MinionView:
         """Renew the lease and list runs; see :class:`~geraniumspool.contracts.MinionControl`."""
-        self._call("look", life, lambda: self._renew(fence, acknowledged, lease_until_ms))
+        self._call(
+            "look",
+            incarnation,
+            lambda: self._renew(fencing_token, acknowledged_number, lease_until_ms),
+        )
         until = self._clock.now() + wait_ms
         while not self._ended and self._clock.now() < until:
-            self._clock.sleep(LOOK_STEP_MS)
+            self._clock.sleep(POLL_STEP_MS)
             self._advance()
-        self._check(life)
-        if life.started_unix_ms != self.life.started_unix_ms:
-            raise MinionReplaced("minion has restarted", self.life.started_unix_ms)
+        self._check(incarnation)
+        if incarnation.started_unix_ms != self.incarnation.started_unix_ms:
+            raise MinionReplaced("minion has restarted", self.incarnation.started_unix_ms)
         now = self._clock.now()
         running = {
             run.key: min(0.99, (now - run.started_ms) / run.run_ms) if run.run_ms else 0.0
             for run in self._running.values()
         }
-        ended = tuple(self._ended[:LISTED_ENDS])
-        is_partial = len(self._ended) > LISTED_ENDS
-        return MinionView(self.clock_ms, running, ended, self.life.started_unix_ms, is_partial)
+        ended = tuple(self._ended[:MAX_LISTED_ENDS])
+        is_partial = len(self._ended) > MAX_LISTED_ENDS
+        return MinionView(
+            self.clock_ms, running, ended, self.incarnation.started_unix_ms, is_partial
+        )
 
-    def _check(self, life: MinionLife) -> None:
-        if self.is_down or self.refuses:
+    def _check(self, incarnation: MinionIncarnation) -> None:
+        if self.is_down or self.refuses_connections:
             self._clock.sleep(REFUSED_MS)
             raise MinionDown("connection refused")
-        if self.silent:
+        if self.is_silent:
             self._clock.sleep(STOP_MS)
             raise MinionSilent("minion did not answer")
-        if life.instance != self.life.instance:
-            raise MinionReplaced(f"called {life.instance}, but {self.life.instance} answered")
+        if incarnation.instance != self.incarnation.instance:
+            raise MinionReplaced(
+                f"called {incarnation.instance}, but {self.incarnation.instance} answered"
+            )
 
-    def _call(self, kind: str, life: MinionLife, execute):
-        self._check(life)
+    def _call(self, kind: str, incarnation: MinionIncarnation, execute):
+        self._check(incarnation)
         self._advance()
-        if kind in self.deaf_to:
+        if kind in self.ignored_calls:
             self._clock.sleep(UNANSWERED_MS)
             raise MinionSilent(f"{kind} call: not received by the minion")
-        if self.mute:
+        if self.loses_answers:
             execute()
             self._clock.sleep(UNANSWERED_MS)
             raise MinionSilent(f"{kind} call: executed, answer lost")
-        if self.loss and self._random.random() < self.loss:
-            fault = self._random.choice(LOSSES)
-            self._apply_fault(Scripted(kind, fault), execute)
+        if self.loss_probability and self._random.random() < self.loss_probability:
+            fault = self._random.choice(RANDOM_FAULTS)
+            self._apply_fault(ScriptedFault(kind, fault), execute)
             self._clock.sleep(UNANSWERED_MS)
             raise MinionSilent(f"{kind} call: {fault.value}")
         scripted = next((fault for fault in self._scripted if fault.call == kind), None)
@@ -292,17 +316,17 @@
         self._apply_fault(scripted, execute)
         raise MinionSilent(f"{kind} call: injected fault")
 
-    def _apply_fault(self, scripted: Scripted, execute) -> None:
+    def _apply_fault(self, scripted: ScriptedFault, execute) -> None:
         if scripted.fault is CallFault.LOST_AFTER:
             execute()
         elif scripted.fault is CallFault.LATE:
-            name = self.life.instance
+            name = self.incarnation.instance
             self._clock.after(scripted.late_ms, lambda: self._execute_late(name, execute))
 
     def _execute_late(self, name: str, execute) -> None:
         """Execute a delayed call without answering it, if the minion still has the same name."""
         self._advance()
-        if name != self.life.instance or self.is_down:
+        if name != self.incarnation.instance or self.is_down:
             return
         try:
             execute()
@@ -329,7 +353,7 @@
             run.how = RUN_FAILED
         elif self.fails_all:
             run.how = RUN_FAILED
-            run.ends_ms = now + run.run_ms * EARLY_FAILURE
+            run.ends_ms = now + run.run_ms * EARLY_FAILURE_SHARE
         elif behavior == ["hang"] or self.hangs_all:
             run.run_ms, run.ends_ms = 0.0, float("inf")
         elif behavior == ["crash"] and key.task.endswith(".0"):
@@ -338,9 +362,9 @@
         self._running[key] = run
         self.started.append(key)
         used = Resources(sum(other.need.cpu for other in self._running.values()))
-        self.most_used = max(self.most_used, used)
-        if not self.life.resources.fits(used) and now - self._resized_ms > TOLD_MS:
-            self.crowded.append(key)
+        self.peak_used = max(self.peak_used, used)
+        if not self.incarnation.resources.fits(used) and now - self._resized_ms > CAPACITY_KNOWN_MS:
+            self.overcommitted_runs.append(key)
         return StartAnswer(StartOutcome.STARTED, self.clock_ms)
 
     def _crash(self, key: RunKey) -> None:
@@ -380,7 +404,7 @@
     def _add_spent(self, run: _Running, end_ms: float) -> None:
         task = run.key.task
         spent = run.need.cpu * (end_ms - run.started_ms)
-        self.spent[task] = self.spent.get(task, 0.0) + spent
+        self.cpu_time_used[task] = self.cpu_time_used.get(task, 0.0) + spent
 
     def _advance(self) -> None:
         now = self._clock.now()
--- a/geraniumspool/minion_session.py
+++ b/geraniumspool/minion_session.py
@@ -3,35 +3,35 @@
 import logging
 
 from geraniumspool.contracts import MinionControl, MinionView
-from geraniumspool.minion_life import LifeView
+from geraniumspool.minion_life import IncarnationState
 
 _LOG = logging.getLogger(__name__)
 
-FENCE_STEP = 60_000
+FENCING_TOKEN_STEP = 60_000
 
 
 class MinionSession:
     """State that all parts of an executor share about its minion.
 
     :ivar control: client for calls to the minion
-    :ivar fence: fencing token sent with every call
-    :ivar life: the incarnation on which runs are started, None if there is none
+    :ivar fencing_token: fencing token sent with every call
+    :ivar incarnation: the incarnation on which runs are started, None if there is none
     """
 
     def __init__(self, control: MinionControl, first_fence: int):
         """Initialize without an incarnation."""
         self.control = control
-        self.fence = first_fence
-        self.life: LifeView | None = None
+        self.fencing_token = first_fence
+        self.incarnation: IncarnationState | None = None
 
-    def raise_fence(self, refused: int) -> None:
+    def raise_fencing_token(self, refused: int) -> None:
         """Raise the fencing token after the minion has rejected ``refused`` as too low."""
-        if self.fence > refused:
+        if self.fencing_token > refused:
             return
-        self.fence = refused + FENCE_STEP
-        _LOG.info("fencing token raised", extra={"fields": (("fence", self.fence),)})
+        self.fencing_token = refused + FENCING_TOKEN_STEP
+        _LOG.info("fencing token raised", extra={"fields": (("fence", self.fencing_token),)})
 
-    def close_orders(self) -> int:
+    def invalidate_earlier_calls(self) -> int:
         """Raise the fencing token, so that the next poll invalidates all earlier calls.
 
         Calls address a minion by name and not by incarnation. A restarted minion of the same name
@@ -40,10 +40,10 @@
 
         :returns: the new token, the lowest that the minion accepts once it has been polled
         """
-        self.fence += 1
-        return self.fence
+        self.fencing_token += 1
+        return self.fencing_token
 
-    def look_now(self, life: LifeView) -> MinionView:
+    def poll_now(self, incarnation: IncarnationState) -> MinionView:
         """Poll the minion at once, without renewing its lease.
 
         :returns: the runs that are active and those that have ended
@@ -51,4 +51,6 @@
         :raises MinionReplaced: if another incarnation answers
         :raises Fenced: if the minion has seen a higher fencing token
         """
-        return self.control.look(life.told, self.fence, life.acknowledged, None, 0.0)
+        return self.control.poll(
+            incarnation.report, self.fencing_token, incarnation.acknowledged_end, None, 0.0
+        )
--- a/geraniumspool/minion_trust.py
+++ b/geraniumspool/minion_trust.py
@@ -4,12 +4,12 @@
 
 # Number of different jobs failing in a row that ejects a minion. By chance this happens once in
 # thousands of runs where 6% of jobs always fail.
-FAILURES_IN_A_ROW = 3
+MAX_CONSECUTIVE_FAILED_JOBS = 3
 # Outcomes needed before the failure share counts: ten runs distinguish a minion that fails two in
 # five runs from one that fails one in fifteen.
 MIN_OUTCOMES = 10
 FAILURE_SHARE = 0.3
-RECENT_WEIGHT = 0.15
+FAILURE_SHARE_WEIGHT = 0.15
 # Delay of the first probe after an ejection; it doubles with each failed probe, so that a fault of
 # a few seconds is over after three probes.
 PROBE_AFTER_MS = 500.0
@@ -27,7 +27,7 @@
 MAX_PACE = 30.0
 
 
-class FailureJudge:
+class CircuitBreaker:
     """Circuit breaker that ejects a minion whose runs fail, and probes it until it works again.
 
     :ivar is_ejected: whether the minion must not get runs other than probes
@@ -52,7 +52,7 @@
         """Whether an ejected minion may get one run as a probe."""
         return self._clock.now() >= self._probe_at
 
-    def note(self, job: str, ok: bool) -> bool:
+    def record(self, job: str, ok: bool) -> bool:
         """Record the outcome of a run; return whether it ejected or restored the minion.
 
         :param job: id of its job; consecutive failures count once per job, because repeated
@@ -60,7 +60,7 @@
         :param ok: whether the run succeeded
         """
         self._outcomes += 1
-        self._share += RECENT_WEIGHT * ((0.0 if ok else 1.0) - self._share)
+        self._share += FAILURE_SHARE_WEIGHT * ((0.0 if ok else 1.0) - self._share)
         if self.is_ejected:
             return self._judge_probe(ok)
         if ok:
@@ -69,7 +69,7 @@
         if job not in self._failed_jobs:
             self._failed_jobs.append(job)
         fails_often = self._outcomes >= MIN_OUTCOMES and self._share > FAILURE_SHARE
-        if len(self._failed_jobs) < FAILURES_IN_A_ROW and not fails_often:
+        if len(self._failed_jobs) < MAX_CONSECUTIVE_FAILED_JOBS and not fails_often:
             return False
         self._eject()
         return True
@@ -115,7 +115,7 @@
         age = self._clock.now() - self._noted_ms
         return 1.0 + (self._value - 1.0) * 0.5 ** (age / PACE_HALF_LIFE_MS)
 
-    def note(self, expected_ms: float, actual_ms: float, weight: float = PACE_WEIGHT) -> None:
+    def record(self, expected_ms: float, actual_ms: float, weight: float = PACE_WEIGHT) -> None:
         """Add one observation.
 
         :param expected_ms: estimated duration of the run
--- a/geraniumspool/minion_watch.py
+++ b/geraniumspool/minion_watch.py
@@ -4,8 +4,8 @@
 
 from geraniumspool.contracts import Clock, MinionView
 from geraniumspool.errors import Fenced, MinionDown, MinionReplaced, MinionSilent
-from geraniumspool.minion_life import LifeView
-from geraniumspool.minion_lives import MinionLives
+from geraniumspool.minion_life import IncarnationState
+from geraniumspool.minion_lives import MinionIncarnations
 from geraniumspool.minion_session import MinionSession
 from geraniumspool.run_ends import RunEnds
 from geraniumspool.run_messages import RUN_LAPSED, RunEnd
@@ -14,19 +14,19 @@
 
 # Longest wait of a poll for an ended run. Three polls fit into the minion's lease, each with up to
 # 80 ms for its answer.
-LOOK_WAIT_MS = 120.0
+POLL_WAIT_MS = 120.0
 # Longest wait of a poll while there are no runs. Such polls need not renew the lease in time; they
 # only show that the minion is alive.
-IDLE_LOOK_WAIT_MS = 200.0
+IDLE_POLL_WAIT_MS = 200.0
 # Longest wait of a poll of a minion that has left: short, so that the end of its lease is noticed
 # early.
-LEFT_LOOK_WAIT_MS = 20.0
+DEPARTED_POLL_WAIT_MS = 20.0
 # Delay after a failed poll.
-LOOK_AGAIN_MS = 5.0
+POLL_RETRY_MS = 5.0
 # Number of consecutive polls with refused connections after which the minion's process counts as
 # ended: when the process ends, its listener and all its runs end with it. A minion that leaves may
 # close its listener earlier, so draining minions are excluded.
-DOWN_LOOKS = 3
+DOWN_POLLS = 3
 # Time without an answer after which the minion counts as silent: two unanswered polls.
 SILENT_MS = 450.0
 # Polls renew the lease only if the minion has answered within this time, which allows for one lost
@@ -34,10 +34,10 @@
 # renewing it while the minion does not answer would delay that.
 RENEW_WITHIN_MS = 250.0
 # Poll interval while runs of an earlier executor are being stopped.
-CLEAR_PAUSE_MS = 30.0
+ORPHAN_POLL_INTERVAL_MS = 30.0
 
 
-class MinionWatch:
+class MinionPoller:
     """Poll the minion in a loop."""
 
     def __init__(
@@ -47,7 +47,7 @@
         table: RunTable,
         reporter: WorkerReporter,
         ends: RunEnds,
-        lives: MinionLives,
+        incarnations: MinionIncarnations,
     ):
         """Initialize; polling begins once an incarnation of the minion has been adopted."""
         self._clock = clock
@@ -56,105 +56,113 @@
         self._reporter = reporter
         self._ends = ends
         self._arrived = Event()
-        self._lives = lives
-        self._stops = lives.stops
-        self._starts = lives.starts
-        lives.on_view = self._handle_first_view
+        self._lives = incarnations
+        self._stops = incarnations.stops
+        self._starts = incarnations.starts
+        incarnations.on_adopted = self._handle_first_view
 
     @property
-    def is_heard(self) -> bool:
+    def is_responding(self) -> bool:
         """Whether the minion has answered a call recently."""
-        life = self._session.life
-        return life is not None and self._clock.now() - life.answered_ms < SILENT_MS
+        incarnation = self._session.incarnation
+        return incarnation is not None and self._clock.now() - incarnation.answered_ms < SILENT_MS
 
-    def run_looks(self) -> None:
+    def run_poll_loop(self) -> None:
         """Poll the minion forever: renew its lease and collect ended runs."""
         while True:
-            life = self._session.life
-            if life is None:
+            incarnation = self._session.incarnation
+            if incarnation is None:
                 self._arrived.wait()
                 self._arrived = Event()
                 continue
-            if not self._poll(life):
-                self._clock.sleep(LOOK_AGAIN_MS)
+            if not self._poll(incarnation):
+                self._clock.sleep(POLL_RETRY_MS)
 
-    def _poll(self, life: LifeView) -> bool:
+    def _poll(self, incarnation: IncarnationState) -> bool:
         """Poll the minion once; return whether it answered."""
         session = self._session
         now = self._clock.now()
-        is_responsive = now - life.answered_ms <= RENEW_WITHIN_MS
+        is_responsive = now - incarnation.answered_ms <= RENEW_WITHIN_MS
         lease = None
-        is_renewing = life.is_clear and is_responsive and not life.has_left
+        is_renewing = incarnation.is_free_of_orphans and is_responsive and not incarnation.has_left
         if is_renewing and not self._stops.is_stuck(now):
-            lease = life.grant(now)
-        wait_ms = self._choose_wait(life) if life.is_clear and is_responsive else 0.0
-        fence = session.fence
+            lease = incarnation.grant_lease(now)
+        wait_ms = (
+            self._choose_wait(incarnation)
+            if incarnation.is_free_of_orphans and is_responsive
+            else 0.0
+        )
+        fence = session.fencing_token
         try:
-            view = session.control.look(life.told, fence, life.acknowledged, lease, wait_ms)
+            view = session.control.poll(
+                incarnation.report, fence, incarnation.acknowledged_end, lease, wait_ms
+            )
         except MinionSilent as error:
-            self._handle_failed_poll(life, error)
+            self._handle_failed_poll(incarnation, error)
             return False
         except MinionReplaced as error:
-            self._lives.take_replaced(life, error.started_unix_ms)
+            self._lives.handle_replaced(incarnation, error.started_unix_ms)
             return False
         except Fenced:
-            session.raise_fence(fence)
+            session.raise_fencing_token(fence)
             return False
-        life.refused_looks = 0
-        if session.life is life:
-            self._handle_view(life, view, now)
-            if not life.is_clear:
-                self._clock.sleep(CLEAR_PAUSE_MS)
-            self._lives.settle_left(life)
+        incarnation.refused_polls = 0
+        if session.incarnation is incarnation:
+            self._handle_view(incarnation, view, now)
+            if not incarnation.is_free_of_orphans:
+                self._clock.sleep(ORPHAN_POLL_INTERVAL_MS)
+            self._lives.end_departed(incarnation)
         return True
 
-    def _choose_wait(self, life: LifeView) -> float:
-        if life.has_left:
-            return LEFT_LOOK_WAIT_MS
-        return LOOK_WAIT_MS if len(self._table) else IDLE_LOOK_WAIT_MS
+    def _choose_wait(self, incarnation: IncarnationState) -> float:
+        if incarnation.has_left:
+            return DEPARTED_POLL_WAIT_MS
+        return POLL_WAIT_MS if len(self._table) else IDLE_POLL_WAIT_MS
 
-    def _handle_failed_poll(self, life: LifeView, error: MinionSilent) -> None:
+    def _handle_failed_poll(self, incarnation: IncarnationState, error: MinionSilent) -> None:
         """Handle a poll that was refused or not answered."""
         is_refused = isinstance(error, MinionDown)
-        life.refused_looks = life.refused_looks + 1 if is_refused else 0
-        if life.has_left:
-            if self._clock.now() >= life.lease_over_ms():
-                self._lives.end_life(life, "minion_left")
-        elif life.refused_looks >= DOWN_LOOKS and not life.told.draining:
-            self._lives.end_life(life, "minion_down")
-        elif self._clock.now() - life.answered_ms > SILENT_MS:
-            self._lapse_unleased(life)
-
-    def _handle_first_view(self, life: LifeView, view: MinionView, sent_ms: float) -> None:
-        """Handle the first view of an incarnation that has just been adopted, and start polling."""
+        incarnation.refused_polls = incarnation.refused_polls + 1 if is_refused else 0
+        if incarnation.has_left:
+            if self._clock.now() >= incarnation.lease_expires_ms():
+                self._lives.end_incarnation(incarnation, "minion_left")
+        elif incarnation.refused_polls >= DOWN_POLLS and not incarnation.report.draining:
+            self._lives.end_incarnation(incarnation, "minion_down")
+        elif self._clock.now() - incarnation.answered_ms > SILENT_MS:
+            self._lapse_unleased(incarnation)
+
+    def _handle_first_view(
+        self, incarnation: IncarnationState, view: MinionView, sent_ms: float
+    ) -> None:
+        """Handle the first poll answer of an incarnation just adopted, and start polling."""
         if not self._arrived.ready():
             self._arrived.send()
-        self._handle_view(life, view, sent_ms)
+        self._handle_view(incarnation, view, sent_ms)
 
-    def _handle_view(self, life: LifeView, view: MinionView, sent_ms: float) -> None:
-        life.hear(view.clock_ms, sent_ms, self._clock.now())
+    def _handle_view(self, incarnation: IncarnationState, view: MinionView, sent_ms: float) -> None:
+        incarnation.record_answer(view.clock_ms, sent_ms, self._clock.now())
         for end in sorted(view.ended):
-            if end.number > life.acknowledged:
-                life.acknowledged = end.number
-                self._ends.take_listed(end)
+            if end.number > incarnation.acknowledged_end:
+                incarnation.acknowledged_end = end.number
+                self._ends.handle_listed_end(end)
         self._update_running(view, sent_ms)
-        if not life.is_clear:
-            self._clear_if_known(life, view)
-        self._starts.fill()
+        if not incarnation.is_free_of_orphans:
+            self._clear_if_known(incarnation, view)
+        self._starts.start_queued()
 
     def _update_running(self, view: MinionView, sent_ms: float) -> None:
         now = self._clock.now()
         for key, progress in view.running.items():
             run = self._table.find(key)
             if run is None:
-                self._stops.stop_stray(key)
+                self._stops.stop_orphan(key)
                 continue
             if run.state in (RunState.STARTING, RunState.DOUBTFUL):
-                self._starts.confirm(run)
-            if progress > run.share:
-                run.share = progress
-                run.moved_ms = now
-            self._ends.note_progress(run, now)
+                self._starts.record_started(run)
+            if progress > run.progress:
+                run.progress = progress
+                run.progressed_ms = now
+            self._ends.record_progress(run, now)
         if not view.is_partial:
             self._lapse_missing(view, sent_ms)
 
@@ -168,16 +176,19 @@
             if is_confirmed and run.key not in view.running and run.state is not RunState.QUEUED:
                 self._ends.finish(run, RunEnd(run.order.number, RUN_LAPSED, reason="vanished"))
 
-    def _clear_if_known(self, life: LifeView, view: MinionView) -> None:
+    def _clear_if_known(self, incarnation: IncarnationState, view: MinionView) -> None:
         """Begin to accept runs once no run of an earlier executor is active on the minion."""
         if any(self._table.find(key) is None for key in view.running):
             return
-        life.is_clear = True
-        self._reporter.tell_all()
+        incarnation.is_free_of_orphans = True
+        self._reporter.report_to_all()
 
-    def _lapse_unleased(self, life: LifeView) -> None:
+    def _lapse_unleased(self, incarnation: IncarnationState) -> None:
         """Finish the runs of a minion that does not answer, once its lease must have expired."""
-        if self._session.life is not life or self._clock.now() < life.lease_over_ms():
+        if (
+            self._session.incarnation is not incarnation
+            or self._clock.now() < incarnation.lease_expires_ms()
+        ):
             return
         for run in self._table:
             if run.state is not RunState.QUEUED:
--- a/geraniumspool/pace.py
+++ b/geraniumspool/pace.py
@@ -3,16 +3,16 @@
 import math
 from collections.abc import Callable
 
-USUAL_WEIGHT = 0.02
+LEARNING_WEIGHT = 0.02
 FIRST_SPREAD = 1.0
 MIN_SPREAD = 0.2
 MAX_RATIO = 10.0
 MARGIN_MS = 50.0
 MAX_HAZARD = 3.0
-CREDIT = 2.5
-STANDS_OUT = 3.0
-SLOW = 15.0
-MAX_LATENESS = 2 * SLOW
+ON_TIME_CREDIT = 2.5
+OUTLIER_LATENESS = 3.0
+SLOW_LATENESS = 15.0
+MAX_LATENESS = 2 * SLOW_LATENESS
 LATE_HAZARD = 2.5
 PROBE_HAZARD = 2.0
 
@@ -21,7 +21,7 @@
     return 0.0
 
 
-class Pace:
+class SlownessDetector:
     """Sequential change detector that finds a slow minion before its tasks have results.
 
     It models the ratio of actual to estimated run times on this minion as a log-normal distribution
@@ -46,7 +46,9 @@
     @property
     def is_slow(self) -> bool:
         """Whether the minion is slow, both in absolute terms and compared with its peers."""
-        return self.lateness > SLOW and self.lateness - self._peers_lateness() > SLOW
+        return (
+            self.lateness > SLOW_LATENESS and self.lateness - self._peers_lateness() > SLOW_LATENESS
+        )
 
     def hazard(self, estimate_ms: float, age_ms: float) -> float:
         """Return the cumulative hazard of a task, at most ``MAX_HAZARD``.
@@ -64,14 +66,14 @@
         survival = math.erfc(distance / math.sqrt(2)) / 2
         return min(MAX_HAZARD, -math.log(max(survival, math.exp(-MAX_HAZARD))))
 
-    def add(self, hazard: float) -> None:
+    def add_hazard(self, hazard: float) -> None:
         """Add the hazard that running tasks have gained.
 
         :param hazard: increase of the cumulative hazard since the last call
         """
         self.lateness = min(MAX_LATENESS, self.lateness + hazard)
 
-    def withdraw(self, hazard: float) -> None:
+    def discard_hazard(self, hazard: float) -> None:
         """Remove the hazard of a task that ended without a result, unless it was already late.
 
         The end of such a task says nothing about the speed of the minion.
@@ -81,7 +83,7 @@
         if hazard < LATE_HAZARD:
             self.lateness = max(0.0, self.lateness - hazard)
 
-    def end(self, estimate_ms: float, actual_ms: float) -> None:
+    def record_run_time(self, estimate_ms: float, actual_ms: float) -> None:
         """Record a task that has ended with a result, and learn from its run time.
 
         The run times of late tasks are learned as well; otherwise the distribution would become
@@ -91,12 +93,12 @@
         :param actual_ms: its actual run time
         """
         if self.hazard(estimate_ms, actual_ms) < LATE_HAZARD:
-            self.lateness = max(0.0, self.lateness - CREDIT)
+            self.lateness = max(0.0, self.lateness - ON_TIME_CREDIT)
         ratio = max(1.0, actual_ms) / max(1.0, estimate_ms)
         distance = math.log(min(MAX_RATIO, max(1 / MAX_RATIO, ratio))) - self._usual
-        self._usual += USUAL_WEIGHT * distance
-        self._variance += USUAL_WEIGHT * (distance * distance - self._variance)
+        self._usual += LEARNING_WEIGHT * distance
+        self._variance += LEARNING_WEIGHT * (distance * distance - self._variance)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Reset the evidence, for example when the minion works at its usual speed again."""
         self.lateness = 0.0
--- a/geraniumspool/platform/minion.py
+++ b/geraniumspool/platform/minion.py
@@ -11,7 +11,7 @@
     Clock,
     Counters,
     ListedEnd,
-    MinionLife,
+    MinionIncarnation,
     MinionView,
     RunKey,
     StartAnswer,
@@ -118,12 +118,17 @@
         self._poll_endpoints: dict[str, Endpoint] = {}
 
     def start(
-        self, life: MinionLife, key: RunKey, payload: str, lease_until_ms: float, fence: int
+        self,
+        incarnation: MinionIncarnation,
+        key: RunKey,
+        payload: str,
+        lease_until_ms: float,
+        fencing_token: int,
     ) -> StartAnswer:
         """Start a run; see :meth:`geraniumspool.contracts.MinionControl.start`."""
-        body = StartBody(key.task, key.attempt, payload, int(lease_until_ms), fence)
-        endpoint = self._endpoint_for(self._command_endpoints, life, ORDER_CONNECTIONS)
-        response = self._call(endpoint, life, "/run-start", body, ORDER_ANSWER_MS)
+        body = StartBody(key.task, key.attempt, payload, int(lease_until_ms), fencing_token)
+        endpoint = self._endpoint_for(self._command_endpoints, incarnation, ORDER_CONNECTIONS)
+        response = self._call(endpoint, incarnation, "/run-start", body, ORDER_ANSWER_MS)
         if response.status in (429, 503):
             return StartAnswer(StartOutcome.UNHEALTHY, 0.0)
         if response.status == 400:
@@ -137,33 +142,36 @@
         outcome = _OUTCOMES.get(answer.reason, StartOutcome.REJECTED)
         return StartAnswer(outcome, answer.clock_ms)
 
-    def stop(self, life: MinionLife, key: RunKey, fence: int) -> None:
+    def stop(self, incarnation: MinionIncarnation, key: RunKey, fencing_token: int) -> None:
         """Stop a run; see :meth:`geraniumspool.contracts.MinionControl.stop`."""
-        body = StopBody(key.task, key.attempt, fence)
-        endpoint = self._endpoint_for(self._command_endpoints, life, ORDER_CONNECTIONS)
-        response = self._call(endpoint, life, "/run-stop", body, ORDER_ANSWER_MS)
+        body = StopBody(key.task, key.attempt, fencing_token)
+        endpoint = self._endpoint_for(self._command_endpoints, incarnation, ORDER_CONNECTIONS)
+        response = self._call(endpoint, incarnation, "/run-stop", body, ORDER_ANSWER_MS)
         _raise_unless_ok(response)
 
-    def look(
+    def poll(
         self,
-        life: MinionLife,
-        fence: int,
-        acknowledged: int,
+        incarnation: MinionIncarnation,
+        fencing_token: int,
+        acknowledged_number: int,
         lease_until_ms: float | None,
         wait_ms: float,
     ) -> MinionView:
-        """Poll the minion; see :meth:`geraniumspool.contracts.MinionControl.look`."""
-        body = {"fence": fence, "acked_upto": acknowledged}
+        """Poll the minion; see :meth:`geraniumspool.contracts.MinionControl.poll`."""
+        body = {"fence": fencing_token, "acked_upto": acknowledged_number}
         if lease_until_ms is not None:
             body["deadline_ms"] = int(lease_until_ms)
         if wait_ms:
             body["wait_ms"] = round(wait_ms)
-        endpoint = self._endpoint_for(self._poll_endpoints, life, LOOK_CONNECTIONS)
-        response = self._call(endpoint, life, "/hold", body, LOOK_ANSWER_MS + wait_ms)
+        endpoint = self._endpoint_for(self._poll_endpoints, incarnation, LOOK_CONNECTIONS)
+        response = self._call(endpoint, incarnation, "/hold", body, LOOK_ANSWER_MS + wait_ms)
         _raise_unless_ok(response)
         held = _decode(response, Held)
-        if held.born != life.started_unix_ms:
-            detail = f"minion {life.instance} started at {held.born}, not {life.started_unix_ms}"
+        if held.born != incarnation.started_unix_ms:
+            detail = (
+                f"minion {incarnation.instance} started at {held.born}, "
+                f"not {incarnation.started_unix_ms}"
+            )
             raise MinionReplaced(detail, held.born)
         running = {RunKey(row[0], row[1]): row[3] / 100 for row in held.running}
         ended = tuple(ListedEnd(row[0], RunKey(row[1], row[2]), row[3]) for row in held.ended)
@@ -171,9 +179,14 @@
         return MinionView(held.clock_ms, running, ended, held.born, is_partial)
 
     def _call(
-        self, endpoint: Endpoint, life: MinionLife, path: str, body: Any, limit_ms: float
+        self,
+        endpoint: Endpoint,
+        incarnation: MinionIncarnation,
+        path: str,
+        body: Any,
+        limit_ms: float,
     ) -> urllib3.BaseHTTPResponse:
-        headers = {"Content-Type": "application/json", "Expect-Instance": life.instance}
+        headers = {"Content-Type": "application/json", "Expect-Instance": incarnation.instance}
         data = msgspec.json.encode(body)
         try:
             response = endpoint.request("POST", path, limit_ms, body=data, headers=headers)
@@ -184,16 +197,18 @@
             raise exception(f"{path}: {type(error).__name__}") from error
         self._counters.add("minion_calls", path=path, outcome=str(response.status))
         if response.status == 421:
-            raise MinionReplaced(f"{life.address} no longer serves minion {life.instance}")
+            raise MinionReplaced(
+                f"{incarnation.address} no longer serves minion {incarnation.instance}"
+            )
         return response
 
     def _endpoint_for(
-        self, endpoints: dict[str, Endpoint], life: MinionLife, connections: int
+        self, endpoints: dict[str, Endpoint], incarnation: MinionIncarnation, connections: int
     ) -> Endpoint:
-        endpoint = endpoints.get(life.address)
+        endpoint = endpoints.get(incarnation.address)
         if endpoint is None:
-            endpoint = Endpoint(f"http://{life.address}", connections, self._clock)
-            endpoints[life.address] = endpoint
+            endpoint = Endpoint(f"http://{incarnation.address}", connections, self._clock)
+            endpoints[incarnation.address] = endpoint
         return endpoint
 
 
--- a/geraniumspool/platform/reports.py
+++ b/geraniumspool/platform/reports.py
@@ -6,7 +6,7 @@
 import eventlet
 import msgspec
 
-from geraniumspool.contracts import Counters, MinionLife
+from geraniumspool.contracts import Counters, MinionIncarnation
 from geraniumspool.executor import Executor
 from geraniumspool.reply import Reply, reply_json, reply_problem
 from geraniumspool.rooms import Resources
@@ -87,7 +87,7 @@
             body = msgspec.json.decode(request.body, type=ReportBody)
         except msgspec.MsgspecError as error:
             return _reject_report(request, error)
-        life = MinionLife(
+        incarnation = MinionIncarnation(
             request.parameters[0],
             body.service,
             body.addr,
@@ -99,7 +99,7 @@
         )
         # A task of its own: the executor calls the minion back before it accepts a new
         # incarnation, which would delay this reply.
-        eventlet.spawn_n(self._executor.take_life, life)
+        eventlet.spawn_n(self._executor.handle_minion_report, incarnation)
         return reply_json(200, {})
 
     def _handle_leave(self, request: Request) -> Reply:
@@ -107,7 +107,7 @@
             body = msgspec.json.decode(request.body or b"{}", type=LeaveBody)
         except msgspec.MsgspecError as error:
             return _reject_report(request, error)
-        self._executor.lose_life(request.parameters[0], body.born)
+        self._executor.handle_minion_departure(request.parameters[0], body.born)
         return reply_json(200, {})
 
 
--- a/geraniumspool/registrations.py
+++ b/geraniumspool/registrations.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from geraniumspool.contracts import KeyValue, MinionLife
+from geraniumspool.contracts import KeyValue, MinionIncarnation
 
 _LOG = logging.getLogger(__name__)
 
@@ -38,7 +38,7 @@
     """
 
     domain: str = ""
-    life: MinionLife | None = None
+    life: MinionIncarnation | None = None
 
     @property
     def service(self) -> str:
--- a/geraniumspool/run_ends.py
+++ b/geraniumspool/run_ends.py
@@ -4,7 +4,7 @@
 
 from geraniumspool import run_progress
 from geraniumspool.contracts import Clock, Counters, ListedEnd
-from geraniumspool.minion_trust import FailureJudge, RunPace
+from geraniumspool.minion_trust import CircuitBreaker, RunPace
 from geraniumspool.run_messages import (
     RUN_DONE,
     RUN_FAILED,
@@ -13,7 +13,7 @@
     RUN_STOPPED,
     RunEnd,
 )
-from geraniumspool.run_table import Run, RunState, RunTable, job_of
+from geraniumspool.run_table import Run, RunState, RunTable, job_id_of
 from geraniumspool.worker_reporter import WorkerReporter
 
 _LOG = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
 class RunEnds:
     """Remove ended runs from the table, report them and update the minion's health and speed.
 
-    :ivar judge: ejects the minion from service while its runs fail too often
+    :ivar breaker: ejects the minion from service while its runs fail too often
     :ivar pace: ratio of actual to expected run times on the minion
     """
 
@@ -35,12 +35,12 @@
         self._counters = counters
         self._table = table
         self._reporter = reporter
-        self.judge = FailureJudge(clock)
+        self.breaker = CircuitBreaker(clock)
         self.pace = RunPace(clock)
 
-    def trust_anew(self) -> None:
+    def reset_minion_health(self) -> None:
         """Reset health and speed because a new incarnation of the minion is served."""
-        self.judge = FailureJudge(self._clock)
+        self.breaker = CircuitBreaker(self._clock)
         self.pace = RunPace(self._clock)
 
     def finish(self, run: Run, end: RunEnd) -> None:
@@ -52,11 +52,11 @@
             return
         self._table.remove(run)
         self._counters.add("runs_ended", how=end.how)
-        stop_ms = self._clock.now() - run.stop_asked_ms if run.is_stopping else 0.0
+        stop_ms = self._clock.now() - run.stop_requested_ms if run.is_stopping else 0.0
         if run.is_stopping:
             self._counters.observe("stop_ms", stop_ms, how=end.how)
-        dispatcher = self._table.customer(run.home)
-        dispatcher.keep_end(end)
+        dispatcher = self._table.get_dispatcher(run.dispatcher)
+        dispatcher.record_end(end)
         _LOG.info(
             "run ended",
             extra={
@@ -65,15 +65,15 @@
                     ("attempt", run.key.attempt),
                     ("how", end.how),
                     ("reason", end.reason),
-                    ("dispatcher", run.home.address),
+                    ("dispatcher", run.dispatcher.address),
                     ("ran_ms", end.ran_ms),
                     ("stop_ms", round(stop_ms, 1)),
                     ("waited_ms", round((run.sent_ms or self._clock.now()) - run.arrived_ms, 1)),
                 )
             },
         )
-        self._reporter.tell_soon(dispatcher)
-        self._reporter.note_change()
+        self._reporter.schedule_end_report(dispatcher)
+        self._reporter.schedule_change_reports()
 
     def refuse(self, run: Run, reason: str) -> None:
         """Finish a run that was never started and never will be."""
@@ -81,7 +81,7 @@
 
     def refuse_waiting(self, reason: str) -> None:
         """Refuse all queued runs."""
-        for run in self._table.waiting():
+        for run in self._table.queued_runs():
             self.refuse(run, reason)
 
     def lapse(self, run: Run, reason: str) -> None:
@@ -90,7 +90,7 @@
         how = RUN_LAPSED if may_have_started else RUN_REFUSED
         self.finish(run, RunEnd(run.order.number, how, reason=reason))
 
-    def take_listed(self, end: ListedEnd) -> None:
+    def handle_listed_end(self, end: ListedEnd) -> None:
         """Handle an ended run that the minion lists."""
         run = self._table.find(end.key)
         if run is None or run.state is RunState.QUEUED:
@@ -100,7 +100,7 @@
             return
         self._finish_listed(run, end)
 
-    def take_early(self, run: Run) -> bool:
+    def finish_with_early_end(self, run: Run) -> bool:
         """Finish a run if its end was listed before its start call was answered.
 
         :returns: whether such an end was listed
@@ -115,23 +115,23 @@
         ran_ms = now - (run.confirmed_ms or run.sent_ms)
         self._counters.observe("run_ms", ran_ms, how=end.how)
         if end.how == RUN_DONE:
-            self.pace.note(run.order.expected_ms, ran_ms)
+            self.pace.record(run.order.expected_ms, ran_ms)
         if end.how in (RUN_DONE, RUN_FAILED):
-            self.note_outcome(run, end.how == RUN_DONE)
+            self.record_outcome(run, end.how == RUN_DONE)
         reason = run.stop_reason if end.how in (RUN_STOPPED, RUN_LAPSED) else ""
         self.finish(run, RunEnd(run.order.number, end.how, round(ran_ms, 1), reason))
 
-    def note_outcome(self, run: Run, ok: bool) -> None:
+    def record_outcome(self, run: Run, ok: bool) -> None:
         """Record whether a run succeeded, and eject or restore the minion accordingly."""
-        job = job_of(run.key.task)
-        if self.judge.note(job, ok):
-            self._reporter.note_change()
-            message = "minion ejected" if self.judge.is_ejected else "minion restored"
+        job = job_id_of(run.key.task)
+        if self.breaker.record(job, ok):
+            self._reporter.schedule_change_reports()
+            message = "minion ejected" if self.breaker.is_ejected else "minion restored"
             _LOG.warning(message, extra={"fields": (("task", run.key.task),)})
-            self._counters.add("minion_judged", ejected=str(self.judge.is_ejected).lower())
+            self._counters.add("minion_judged", ejected=str(self.breaker.is_ejected).lower())
 
-    def note_progress(self, run: Run, now: float) -> None:
+    def record_progress(self, run: Run, now: float) -> None:
         """Update the minion's pace from a run that has exceeded its expected time."""
         if run.state is RunState.RUNNING and run.age_ms(now) >= run.order.expected_ms:
             predicted = run_progress.predict_total(run, now)
-            self.pace.note(run.order.expected_ms, predicted, PROGRESS_WEIGHT)
+            self.pace.record(run.order.expected_ms, predicted, PROGRESS_WEIGHT)
--- a/geraniumspool/run_progress.py
+++ b/geraniumspool/run_progress.py
@@ -23,7 +23,7 @@
 
 def predict_total(run: Run, now: float) -> float:
     """Return the predicted total duration of a run in milliseconds."""
-    return run.age_ms(now) / max(MIN_SHARE, run.share)
+    return run.age_ms(now) / max(MIN_SHARE, run.progress)
 
 
 def is_stalled(run: Run, pace: float, now: float) -> bool:
@@ -34,9 +34,9 @@
     :param pace: ratio of actual to expected run times on its minion
     :param now: current time in milliseconds
     """
-    if run.state is not RunState.RUNNING or run.share >= 1.0:
+    if run.state is not RunState.RUNNING or run.progress >= 1.0:
         return False
-    return now - run.moved_ms > max(STALLED_MS, STALLED_FACTOR * run.order.expected_ms * pace)
+    return now - run.progressed_ms > max(STALLED_MS, STALLED_FACTOR * run.order.expected_ms * pace)
 
 
 def find_stragglers(runs: Iterable[Run], now: float) -> tuple[Straggler, ...]:
--- a/geraniumspool/run_starts.py
+++ b/geraniumspool/run_starts.py
@@ -7,7 +7,7 @@
 
 from geraniumspool.contracts import Clock, Counters, RunKey, StartOutcome
 from geraniumspool.errors import Fenced, MinionDown, MinionReplaced, MinionSilent
-from geraniumspool.minion_life import LifeView
+from geraniumspool.minion_life import IncarnationState
 from geraniumspool.minion_session import MinionSession
 from geraniumspool.run_ends import RunEnds
 from geraniumspool.run_stops import RunStops
@@ -16,7 +16,7 @@
 
 _LOG = logging.getLogger(__name__)
 
-MAX_ATTEMPT_STEPS = 8
+MAX_START_CALLS = 8
 
 _REFUSAL_REASONS = {
     StartOutcome.FULL: "minion_full",
@@ -40,7 +40,7 @@
         reporter: WorkerReporter,
         ends: RunEnds,
         stops: RunStops,
-        end_life: Callable[[LifeView, str], None],
+        end_life: Callable[[IncarnationState, str], None],
     ):
         """Store the collaborators.
 
@@ -56,23 +56,23 @@
         self._stops = stops
         self._end_life = end_life
 
-    def fill(self) -> None:
+    def start_queued(self) -> None:
         """Start queued runs, the most urgent first, as far as the free capacity allows.
 
         If the most urgent run does not fit, less urgent ones wait as well.
         """
-        life = self._session.life
-        if life is None:
+        incarnation = self._session.incarnation
+        if incarnation is None:
             return
-        for run in self._table.waiting():
+        for run in self._table.queued_runs():
             if self._refuse_unleased(run):
                 continue
-            free = life.told.resources.subtract(self._table.used)
+            free = incarnation.report.resources.subtract(self._table.used_capacity)
             if not free.fits(run.order.need):
                 break
             self._table.reserve(run)
-            eventlet.spawn_n(self._start, life, run)
-        self._reporter.note_change()
+            eventlet.spawn_n(self._start, incarnation, run)
+        self._reporter.schedule_change_reports()
 
     def _refuse_unleased(self, run: Run) -> bool:
         """Refuse a run whose dispatcher has no valid lease; return whether it was refused.
@@ -80,48 +80,52 @@
         The dispatcher may already have started the run elsewhere. If this process was suspended for
         a while, this code can run before the expired lease has been enforced.
         """
-        if self._table.customer(run.home).lease_until_ms > self._clock.now():
+        if self._table.get_dispatcher(run.dispatcher).lease_until_ms > self._clock.now():
             return False
         self._ends.refuse(run, "dispatcher_silent")
         return True
 
-    def confirm(self, run: Run) -> None:
+    def record_started(self, run: Run) -> None:
         """Record that the minion has started a run."""
         now = self._clock.now()
         run.confirmed_ms = now
-        run.moved_ms = now
+        run.progressed_ms = now
         if run.state in (RunState.STARTING, RunState.DOUBTFUL):
             run.state = RunState.STOPPING if run.is_stopping else RunState.RUNNING
             self._counters.add("runs_started")
 
-    def _start(self, life: LifeView, run: Run) -> None:
+    def _start(self, incarnation: IncarnationState, run: Run) -> None:
         session = self._session
-        for _ in range(MAX_ATTEMPT_STEPS):
+        for _ in range(MAX_START_CALLS):
             if self._table.find(run.key) is not run:
                 return
-            if session.life is not life:
+            if session.incarnation is not incarnation:
                 self._ends.refuse(run, "minion_replaced")
                 return
             if self._refuse_unleased(run):
                 return
             now = self._clock.now()
             run.sent_ms = now
-            fence = run.fence = session.fence
+            fence = run.fencing_token = session.fencing_token
             try:
                 answer = session.control.start(
-                    life.told, run.key, run.order.payload, life.grant(now), fence
+                    incarnation.report,
+                    run.key,
+                    run.order.payload,
+                    incarnation.grant_lease(now),
+                    fence,
                 )
             except MinionDown:
                 self._ends.refuse(run, "minion_down")
                 return
             except MinionSilent:
-                self._resolve_unanswered(life, run)
+                self._resolve_unanswered(incarnation, run)
                 return
             except MinionReplaced:
-                self._end_life(life, "minion_replaced")
+                self._end_life(incarnation, "minion_replaced")
                 self._ends.refuse(run, "minion_replaced")
                 return
-            life.hear(answer.clock_ms, now, self._clock.now())
+            incarnation.record_answer(answer.clock_ms, now, self._clock.now())
             if self._table.find(run.key) is not run:
                 return
             if answer.outcome is not StartOutcome.OLD:
@@ -130,21 +134,21 @@
                 return
             # A run ordered by an earlier dispatcher of the same job has used this attempt number.
             run.early_end = None
-            self._table.rename(run, RunKey(run.key.task, run.key.attempt + 1))
+            self._table.rekey(run, RunKey(run.key.task, run.key.attempt + 1))
         if answer.outcome is StartOutcome.FENCED:
-            session.raise_fence(fence)
+            session.raise_fencing_token(fence)
         self._handle_outcome(run, answer.outcome)
 
     def _handle_outcome(self, run: Run, outcome: StartOutcome) -> None:
         if outcome is StartOutcome.STARTED:
-            if not self._ends.take_early(run):
-                self.confirm(run)
+            if not self._ends.finish_with_early_end(run):
+                self.record_started(run)
             return
         if outcome is StartOutcome.UNHEALTHY:
-            self._ends.note_outcome(run, False)
+            self._ends.record_outcome(run, False)
         self._ends.refuse(run, _REFUSAL_REASONS[outcome])
 
-    def _resolve_unanswered(self, life: LifeView, run: Run) -> None:
+    def _resolve_unanswered(self, incarnation: IncarnationState, run: Run) -> None:
         """Determine whether a run has started although its start call got no answer."""
         if self._table.find(run.key) is not run:
             return
@@ -155,23 +159,23 @@
             "start call got no answer",
             extra={"fields": (("task", run.key.task), ("attempt", run.key.attempt))},
         )
-        if not run.is_stopping and self._is_running(life, run):
-            self.confirm(run)
+        if not run.is_stopping and self._is_running(incarnation, run):
+            self.record_started(run)
             return
         # An end that was listed during the call settles the run. Even if it belongs to an earlier
         # run with the same attempt number, the minion no longer starts a run under that number.
-        if self._ends.take_early(run):
+        if self._ends.finish_with_early_end(run):
             return
         self._stops.stop(run, "unanswered")
 
-    def _is_running(self, life: LifeView, run: Run) -> bool:
+    def _is_running(self, incarnation: IncarnationState, run: Run) -> bool:
         """Return whether the minion currently lists a run as running.
 
         If only the answer to the start call was lost, the run continues, so that the work already
         done is not repeated.
         """
         try:
-            view = self._session.look_now(life)
+            view = self._session.poll_now(incarnation)
         except (MinionSilent, MinionReplaced, Fenced) as error:
             _LOG.info("poll after unanswered start failed: %s", error.code)
             return False
--- a/geraniumspool/run_stops.py
+++ b/geraniumspool/run_stops.py
@@ -7,7 +7,7 @@
 
 from geraniumspool.contracts import Clock, RunKey
 from geraniumspool.errors import Fenced, MinionReplaced, MinionSilent
-from geraniumspool.minion_life import LifeView
+from geraniumspool.minion_life import IncarnationState
 from geraniumspool.minion_session import MinionSession
 from geraniumspool.run_ends import RunEnds
 from geraniumspool.run_table import Run, RunState, RunTable
@@ -15,11 +15,11 @@
 _LOG = logging.getLogger(__name__)
 
 # Delay before a stop call without an answer is repeated.
-STOP_AGAIN_MS = 20.0
+STOP_RETRY_MS = 20.0
 # If a run is still active this long after its stop was requested, the minion's lease is not
 # renewed. The run then ends within the time after which dispatchers presume that the runs of a
 # silent dispatcher are over.
-STUCK_MS = 100.0
+STOP_STUCK_MS = 100.0
 
 # Stop reasons after which the dispatcher may be dead, or may presume after a fixed time that the
 # runs are over.
@@ -35,7 +35,7 @@
         session: MinionSession,
         table: RunTable,
         ends: RunEnds,
-        end_life: Callable[[LifeView, str], None],
+        end_life: Callable[[IncarnationState, str], None],
     ):
         """Store the collaborators.
 
@@ -57,7 +57,7 @@
             return
         run.is_stopping = True
         run.stop_reason = reason
-        run.stop_asked_ms = self._clock.now()
+        run.stop_requested_ms = self._clock.now()
         _LOG.info(
             "stop requested",
             extra={
@@ -65,37 +65,37 @@
                     ("task", run.key.task),
                     ("attempt", run.key.attempt),
                     ("reason", reason),
-                    ("dispatcher", run.home.address),
+                    ("dispatcher", run.dispatcher.address),
                     ("state", run.state.value),
-                    ("age_ms", round(run.stop_asked_ms - run.arrived_ms, 1)),
+                    ("age_ms", round(run.stop_requested_ms - run.arrived_ms, 1)),
                 )
             },
         )
         if run.state is RunState.RUNNING:
             run.state = RunState.STOPPING
-            run.moved_ms = self._clock.now()
-        self.repeat(run)
+            run.progressed_ms = self._clock.now()
+        self.resend(run)
 
-    def repeat(self, run: Run) -> None:
+    def resend(self, run: Run) -> None:
         """Send a stop to the current minion incarnation, which may not know an earlier one."""
-        eventlet.spawn_n(self._stop_until_answered, self._session.life, run)
+        eventlet.spawn_n(self._stop_until_answered, self._session.incarnation, run)
 
     def stop_all(self, reason: str) -> None:
         """Stop all runs."""
         for run in self._table:
             self.stop(run, reason)
 
-    def stop_stray(self, key: RunKey) -> None:
+    def stop_orphan(self, key: RunKey) -> None:
         """Stop a run that this process has not ordered, such as one of an earlier process."""
-        life = self._session.life
-        if life is None or key in life.strays:
+        incarnation = self._session.incarnation
+        if incarnation is None or key in incarnation.orphans:
             return
-        life.strays.add(key)
+        incarnation.orphans.add(key)
         _LOG.warning(
             "stopping orphaned run",
             extra={"fields": (("task", key.task), ("attempt", key.attempt))},
         )
-        eventlet.spawn_n(self._stop_orphan_once, life, key)
+        eventlet.spawn_n(self._stop_orphan_once, incarnation, key)
 
     def is_stuck(self, now: float) -> bool:
         """Return whether a stopped run is still active although dispatchers soon presume it over.
@@ -107,34 +107,38 @@
             run.is_stopping
             and run.confirmed_ms
             and run.stop_reason in _PRESUMED_OVER_REASONS
-            and now - run.stop_asked_ms > STUCK_MS
+            and now - run.stop_requested_ms > STOP_STUCK_MS
             for run in self._table
         )
 
-    def _stop_until_answered(self, life: LifeView | None, run: Run) -> None:
+    def _stop_until_answered(self, incarnation: IncarnationState | None, run: Run) -> None:
         session = self._session
-        while life is not None and session.life is life and self._table.find(run.key) is run:
-            fence = session.fence
+        while (
+            incarnation is not None
+            and session.incarnation is incarnation
+            and self._table.find(run.key) is run
+        ):
+            fence = session.fencing_token
             try:
-                session.control.stop(life.told, run.key, fence)
+                session.control.stop(incarnation.report, run.key, fence)
             except MinionSilent:
-                self._clock.sleep(STOP_AGAIN_MS)
+                self._clock.sleep(STOP_RETRY_MS)
                 continue
             except MinionReplaced:
-                self._end_life(life, "minion_replaced")
+                self._end_life(incarnation, "minion_replaced")
                 return
             except Fenced:
-                session.raise_fence(fence)
+                session.raise_fencing_token(fence)
                 continue
             if run.state in (RunState.STARTING, RunState.DOUBTFUL):
-                self._settle_unconfirmed(life, run)
+                self._settle_unconfirmed(incarnation, run)
             return
 
-    def _settle_unconfirmed(self, life: LifeView, run: Run) -> None:
+    def _settle_unconfirmed(self, incarnation: IncarnationState, run: Run) -> None:
         """Finish or keep a run that was stopped before its start was confirmed."""
         sent_ms = self._clock.now()
         try:
-            view = self._session.look_now(life)
+            view = self._session.poll_now(incarnation)
         except (MinionSilent, MinionReplaced, Fenced) as error:
             # The stop has still taken effect. The next poll shows whether the run is active, and
             # otherwise the lease ends it.
@@ -148,13 +152,13 @@
             return
         # The minion no longer starts a run under this attempt number, so the listed end is final
         # even if it belongs to an earlier run with the number.
-        if not self._ends.take_early(run):
+        if not self._ends.finish_with_early_end(run):
             self._ends.refuse(run, run.stop_reason)
 
-    def _stop_orphan_once(self, life: LifeView, key: RunKey) -> None:
+    def _stop_orphan_once(self, incarnation: IncarnationState, key: RunKey) -> None:
         try:
-            self._session.control.stop(life.told, key, self._session.fence)
+            self._session.control.stop(incarnation.report, key, self._session.fencing_token)
         except (MinionSilent, MinionReplaced, Fenced) as error:
             _LOG.info("stop of orphaned run failed: %s", error.code)
-        self._clock.sleep(STOP_AGAIN_MS)
-        life.strays.discard(key)
+        self._clock.sleep(STOP_RETRY_MS)
+        incarnation.orphans.discard(key)
--- a/geraniumspool/run_table.py
+++ b/geraniumspool/run_table.py
@@ -9,10 +9,10 @@
 from geraniumspool.run_messages import RunEnd, RunOrder
 
 # Outcomes are kept per dispatcher so that they can be reported again if a report was lost.
-KEPT_ENDS = 512
+MAX_KEPT_ENDS = 512
 
 
-def job_of(task: str) -> str:
+def job_id_of(task: str) -> str:
     """Return the id of the job that a task belongs to."""
     return task.partition(".")[0]
 
@@ -36,35 +36,35 @@
 class Run:
     """One run accepted from a dispatcher.
 
-    :ivar home: the dispatcher that ordered the run
+    :ivar dispatcher: the dispatcher that ordered the run
     :ivar key: task and attempt number under which the minion knows the run
     :ivar arrived_ms: when the order arrived
     :ivar sent_ms: when the latest start call was sent to the minion, 0 if none was
-    :ivar fence: fencing token of that call
+    :ivar fencing_token: fencing token of that call
     :ivar early_end: end that the minion listed before it answered that call; it belongs to this run
         or to an earlier run of the task with the same attempt number
     :ivar confirmed_ms: when the minion confirmed the start, 0 if it has not
-    :ivar share: progress, from 0 to 1, as last listed by the minion
-    :ivar moved_ms: when the progress last increased
-    :ivar stop_asked_ms: when the stop was requested
+    :ivar progress: progress, from 0 to 1, as last listed by the minion
+    :ivar progressed_ms: when the progress last increased
+    :ivar stop_requested_ms: when the stop was requested
     :ivar is_stopping: whether a stop has been requested
     :ivar stop_reason: why the stop was requested
     """
 
-    def __init__(self, home: Peer, order: RunOrder, now: float):
+    def __init__(self, dispatcher: Peer, order: RunOrder, now: float):
         """Create a queued run from an order that has just arrived."""
-        self.home = home
+        self.dispatcher = dispatcher
         self.order = order
         self.key = RunKey(order.task, order.attempt)
         self.state = RunState.QUEUED
         self.arrived_ms = now
         self.sent_ms = 0.0
-        self.fence = 0
+        self.fencing_token = 0
         self.early_end: ListedEnd | None = None
         self.confirmed_ms = 0.0
-        self.share = 0.0
-        self.moved_ms = now
-        self.stop_asked_ms = 0.0
+        self.progress = 0.0
+        self.progressed_ms = now
+        self.stop_requested_ms = 0.0
         self.is_stopping = False
         self.stop_reason = ""
 
@@ -74,7 +74,7 @@
         return self.arrived_ms + self.order.slack_ms
 
     @property
-    def limit_ms(self) -> float:
+    def expires_ms(self) -> float:
         """Return the time at which the caller stops waiting for the result."""
         return self.arrived_ms + self.order.limit_ms
 
@@ -83,54 +83,54 @@
         return now - self.confirmed_ms
 
 
-class Customer:
+class KnownDispatcher:
     """What an executor tracks per dispatcher: its lease, its runs and their outcomes.
 
     :ivar lease_until_ms: time at which its lease expires, after which its runs are stopped
-    :ivar heard_ms: when its last message arrived, 0 if none has
-    :ivar reset_ms: when the link to it was last reset
-    :ivar upto: highest order number handled
+    :ivar last_message_ms: when its last message arrived, 0 if none has
+    :ivar link_reset_ms: when the link to it was last reset
+    :ivar highest_number: highest order number handled
     :ivar runs: its active and queued runs, by order number
     :ivar ends: outcomes of its latest ended runs, by order number
-    :ivar untold: outcomes to put into the next report
-    :ivar is_told: whether the last report holds the current state of the worker
+    :ivar unreported_ends: outcomes to put into the next report
+    :ivar is_state_reported: whether the last report holds the current state of the worker
     """
 
     def __init__(self, peer: Peer):
         """Create the entry of a dispatcher that holds no lease yet."""
         self.peer = peer
         self.lease_until_ms = 0.0
-        self.heard_ms = 0.0
-        self.reset_ms = 0.0
-        self.upto = 0
+        self.last_message_ms = 0.0
+        self.link_reset_ms = 0.0
+        self.highest_number = 0
         self.runs: dict[int, Run] = {}
         self.ends: dict[int, RunEnd] = {}
-        self.untold: list[RunEnd] = []
+        self.unreported_ends: list[RunEnd] = []
         self.told_ms = 0.0
-        self.is_told = True
+        self.is_state_reported = True
 
-    def keep_end(self, end: RunEnd) -> None:
+    def record_end(self, end: RunEnd) -> None:
         """Store the outcome of a run and add it to the next report."""
         self.ends[end.number] = end
-        self.untold.append(end)
-        while len(self.ends) > KEPT_ENDS:
+        self.unreported_ends.append(end)
+        while len(self.ends) > MAX_KEPT_ENDS:
             del self.ends[next(iter(self.ends))]
 
 
 class RunTable:
     """All runs at one executor, indexed by dispatcher, by run key and by task.
 
-    :ivar used: capacity taken by all runs that are not queued
-    :ivar queued: capacity needed by all queued runs
+    :ivar used_capacity: capacity taken by all runs that are not queued
+    :ivar queued_capacity: capacity needed by all queued runs
     """
 
     def __init__(self):
         """Create an empty table."""
-        self.customers: dict[Peer, Customer] = {}
+        self.dispatchers: dict[Peer, KnownDispatcher] = {}
         self._by_key: dict[RunKey, Run] = {}
         self._by_task: dict[str, Run] = {}
-        self.used: Resources = NO_RESOURCES
-        self.queued: Resources = NO_RESOURCES
+        self.used_capacity: Resources = NO_RESOURCES
+        self.queued_capacity: Resources = NO_RESOURCES
 
     def __iter__(self) -> Iterator[Run]:
         """Iterate over a snapshot of all runs."""
@@ -140,11 +140,11 @@
         """Return the number of runs, queued ones included."""
         return len(self._by_key)
 
-    def customer(self, peer: Peer) -> Customer:
+    def get_dispatcher(self, peer: Peer) -> KnownDispatcher:
         """Return the entry of a dispatcher, and create it if there is none."""
-        dispatcher = self.customers.get(peer)
+        dispatcher = self.dispatchers.get(peer)
         if dispatcher is None:
-            dispatcher = self.customers[peer] = Customer(peer)
+            dispatcher = self.dispatchers[peer] = KnownDispatcher(peer)
         return dispatcher
 
     def find(self, key: RunKey) -> Run | None:
@@ -157,18 +157,18 @@
 
     def add(self, run: Run) -> None:
         """Add a queued run."""
-        self.customer(run.home).runs[run.order.number] = run
+        self.get_dispatcher(run.dispatcher).runs[run.order.number] = run
         self._by_key[run.key] = run
         self._by_task[run.order.task] = run
-        self.queued = self.queued.add(run.order.need)
+        self.queued_capacity = self.queued_capacity.add(run.order.need)
 
     def reserve(self, run: Run) -> None:
         """Reserve capacity for a queued run, which is about to start."""
-        self.queued = self.queued.subtract(run.order.need)
-        self.used = self.used.add(run.order.need)
+        self.queued_capacity = self.queued_capacity.subtract(run.order.need)
+        self.used_capacity = self.used_capacity.add(run.order.need)
         run.state = RunState.STARTING
 
-    def rename(self, run: Run, key: RunKey) -> None:
+    def rekey(self, run: Run, key: RunKey) -> None:
         """Change the key under which the minion knows a run."""
         self._by_key.pop(run.key, None)
         run.key = key
@@ -180,15 +180,15 @@
             return
         del self._by_key[run.key]
         self._by_task.pop(run.order.task, None)
-        dispatcher = self.customers.get(run.home)
+        dispatcher = self.dispatchers.get(run.dispatcher)
         if dispatcher is not None:
             dispatcher.runs.pop(run.order.number, None)
         if run.state is RunState.QUEUED:
-            self.queued = self.queued.subtract(run.order.need)
+            self.queued_capacity = self.queued_capacity.subtract(run.order.need)
         else:
-            self.used = self.used.subtract(run.order.need)
+            self.used_capacity = self.used_capacity.subtract(run.order.need)
 
-    def waiting(self) -> list[Run]:
+    def queued_runs(self) -> list[Run]:
         """Return the queued runs, those with the earliest latest start time first."""
         queued = [run for run in self._by_key.values() if run.state is RunState.QUEUED]
         return sorted(queued, key=lambda run: run.latest_start_ms)
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -58,7 +58,7 @@
 
     :param started_ms: time of its start
     :param estimate_ms: estimated run time
-    :param hazard: cumulative hazard at the latest check, see :class:`~pace.Pace`
+    :param hazard: cumulative hazard at the latest check, see :class:`SlownessDetector`
     """
 
     started_ms: float
@@ -163,7 +163,7 @@
             self._queued_urgent,
             self._predict_next_slot(),
             self.measure_backlog(),
-            self._health.pace.lateness,
+            self._health.slowness.lateness,
         )
 
     def _count_usable_slots(self) -> int:
@@ -439,7 +439,7 @@
         if ok and not entry.is_stopped:
             self._health.note_end(task.run_ms, run_ms)
         else:
-            self._health.pace.withdraw(run.hazard if run else 0.0)
+            self._health.slowness.discard_hazard(run.hazard if run else 0.0)
         if not ok and not entry.is_stopped:
             self._health.note(ok, run_ms, code)
         self._return_tasks_if_ejected()
@@ -466,11 +466,11 @@
             self._update_lateness(now)
 
     def _update_lateness(self, now: float) -> None:
-        pace = self._health.pace
+        pace = self._health.slowness
         for task_id, run in self._running.items():
             hazard = pace.hazard(run.estimate_ms, now - run.started_ms)
             if hazard > run.hazard:
-                pace.add(hazard - run.hazard)
+                pace.add_hazard(hazard - run.hazard)
                 self._running[task_id] = run._replace(hazard=hazard)
         self._health.note_late()
         self._return_tasks_if_ejected()
--- a/geraniumspool/worker_reporter.py
+++ b/geraniumspool/worker_reporter.py
@@ -8,14 +8,14 @@
 from geraniumspool.contracts import Clock
 from geraniumspool.messages import Message, Peer
 from geraniumspool.run_messages import WorkerReport, WorkerState
-from geraniumspool.run_table import Customer, RunTable
+from geraniumspool.run_table import KnownDispatcher, RunTable
 
 # Delay of a report of outcomes, so that several outcomes share one report.
-GATHER_MS = 2.0
+END_REPORT_DELAY_MS = 2.0
 # With n dispatchers, changes of capacity are reported at most once per n * n times this interval.
 # Capacity that has not been reported stays unused, so the interval is short; it grows with n so
 # that the total load of reports on each dispatcher falls as their number rises.
-TELL_EVERY_MS = 1.0
+CHANGE_REPORT_INTERVAL_MS = 1.0
 
 
 class WorkerReporter:
@@ -45,41 +45,42 @@
         self._get_state = get_state
         self._is_report_scheduled = False
 
-    def note_change(self) -> None:
+    def schedule_change_reports(self) -> None:
         """Schedule reports to all dispatchers because the free capacity has changed."""
-        for dispatcher in self._table.customers.values():
-            dispatcher.is_told = False
+        for dispatcher in self._table.dispatchers.values():
+            dispatcher.is_state_reported = False
         if not self._is_report_scheduled:
             self._is_report_scheduled = True
             eventlet.spawn_n(self._report_changes)
 
-    def tell_soon(self, dispatcher: Customer) -> None:
+    def schedule_end_report(self, dispatcher: KnownDispatcher) -> None:
         """Schedule a report of outcomes that also includes those that follow shortly."""
-        if len(dispatcher.untold) == 1:
+        if len(dispatcher.unreported_ends) == 1:
             self._clock.after(
-                GATHER_MS, lambda: self.tell(dispatcher) if dispatcher.untold else None
+                END_REPORT_DELAY_MS,
+                lambda: self.report_to(dispatcher) if dispatcher.unreported_ends else None,
             )
 
-    def tell_all(self) -> None:
+    def report_to_all(self) -> None:
         """Send a report to every dispatcher now."""
-        for dispatcher in list(self._table.customers.values()):
-            self.tell(dispatcher)
+        for dispatcher in list(self._table.dispatchers.values()):
+            self.report_to(dispatcher)
 
-    def tell(self, dispatcher: Customer) -> None:
+    def report_to(self, dispatcher: KnownDispatcher) -> None:
         """Send a report to one dispatcher now."""
-        ends = tuple(dispatcher.untold)
-        dispatcher.untold.clear()
-        dispatcher.is_told = True
+        ends = tuple(dispatcher.unreported_ends)
+        dispatcher.unreported_ends.clear()
+        dispatcher.is_state_reported = True
         now = self._clock.now()
         stragglers = run_progress.find_stragglers(dispatcher.runs.values(), now)
-        report = WorkerReport(now, dispatcher.upto, ends, self._get_state(), stragglers)
+        report = WorkerReport(now, dispatcher.highest_number, ends, self._get_state(), stragglers)
         self._send(dispatcher.peer, report)
 
     def _report_changes(self) -> None:
-        pause = TELL_EVERY_MS * max(1, len(self._table.customers)) ** 2
+        pause = CHANGE_REPORT_INTERVAL_MS * max(1, len(self._table.dispatchers)) ** 2
         self._clock.sleep(pause)
         self._is_report_scheduled = False
         now = self._clock.now()
-        for dispatcher in list(self._table.customers.values()):
-            if not dispatcher.is_told and dispatcher.lease_until_ms > now:
-                self.tell(dispatcher)
+        for dispatcher in list(self._table.dispatchers.values()):
+            if not dispatcher.is_state_reported and dispatcher.lease_until_ms > now:
+                self.report_to(dispatcher)
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -131,21 +131,21 @@
             self.guard,
         )
         handlers = {
-            StartRuns: self.executor.take_start,
-            StopRuns: self.executor.take_stop,
-            RenewRuns: self.executor.take_renewal,
-            FenceJobs: self.executor.fences.handle_fence_jobs,
-            WrongIncarnation: lambda sender, message: self.executor.lose_dispatcher(
+            StartRuns: self.executor.handle_start,
+            StopRuns: self.executor.handle_stop,
+            RenewRuns: self.executor.handle_renewal,
+            FenceJobs: self.executor.job_fences.handle_fence_jobs,
+            WrongIncarnation: lambda sender, message: self.executor.expire_dispatcher(
                 Peer(sender.address, message.meant)
             ),
         }
         self.messenger.start(lambda d: handlers[type(d.message)](d.sender, d.message))
         self.guard.check()
         self.tasks = [
-            eventlet.spawn(self.executor.run_looks),
+            eventlet.spawn(self.executor.run_poll_loop),
             eventlet.spawn(self.executor.run_periodic_checks),
         ]
-        eventlet.spawn_n(self.executor.take_life, self.minion.life)
+        eventlet.spawn_n(self.executor.handle_minion_report, self.minion.incarnation)
 
     @property
     def address(self):
@@ -231,7 +231,8 @@
         self.tasks = self._spawn_ticks()
         for worker in world.workers:
             self.list_member(
-                WORKER_PREFIX + worker.address, WorkerRecord(worker.domain, worker.minion.life)
+                WORKER_PREFIX + worker.address,
+                WorkerRecord(worker.domain, worker.minion.incarnation),
             )
         for other in (*world.dispatchers, self):
             self.list_member(DISPATCHER_PREFIX + other.address, other.record)
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -179,25 +179,25 @@
 
     def work(self, environ, path, query, body):
         minion = self.minion
-        if environ.get("HTTP_EXPECT_INSTANCE") != minion.life.instance:
+        if environ.get("HTTP_EXPECT_INSTANCE") != minion.incarnation.instance:
             return 421, {}
         clock = {"clock_ms": int(minion.clock_ms)}
         try:
             if path == "/run-start":
                 key = RunKey(body["task"], body["run"])
                 lease, fence = body["deadline_ms"], body["fence"]
-                outcome = minion.start(minion.life, key, body["spec"], lease, fence).outcome
+                outcome = minion.start(minion.incarnation, key, body["spec"], lease, fence).outcome
                 if outcome is StartOutcome.STARTED:
                     return 200, clock
                 if outcome is StartOutcome.UNHEALTHY:
                     return 503, {}
                 return 409, clock | {"reason": REASONS[outcome]}
             if path == "/run-stop":
-                minion.stop(minion.life, RunKey(body["task"], body["run"]), body["fence"])
+                minion.stop(minion.incarnation, RunKey(body["task"], body["run"]), body["fence"])
                 return 200, clock
             # Polls are answered by whichever incarnation runs; the client checks "born".
-            view = minion.look(
-                minion.life,
+            view = minion.poll(
+                minion.incarnation,
                 body["fence"],
                 body["acked_upto"],
                 body.get("deadline_ms"),
--- a/tests/storm_callers.py
+++ b/tests/storm_callers.py
@@ -201,7 +201,7 @@
     @staticmethod
     def _has_room(minion):
         used = TASK_CPU * len(minion.running)
-        return not minion.is_down and minion.life.resources.cpu - used >= TASK_CPU
+        return not minion.is_down and minion.incarnation.resources.cpu - used >= TASK_CPU
 
     def check(self):
         """Check all answers, and add violations to the storm's list."""
--- a/tests/test_claim_gaps.py
+++ b/tests/test_claim_gaps.py
@@ -243,7 +243,7 @@
             for dispatcher in self.all_dispatchers:
                 dispatcher.list_member(
                     WORKER_PREFIX + worker.address,
-                    WorkerRecord(worker.domain, worker.minion.life),
+                    WorkerRecord(worker.domain, worker.minion.incarnation),
                 )
                 dispatcher.router.update_members()
             self.advance(1_500)
--- a/tests/test_dispatch_agent.py
+++ b/tests/test_dispatch_agent.py
@@ -45,9 +45,9 @@
 
     def report(self, **changes):
         """Deliver a report of the minion with some fields changed."""
-        life = self.minion.life
-        self.minion.life = life._replace(sequence=life.sequence + 1, **changes)
-        eventlet.spawn_n(self.agent.executor.take_life, self.minion.life)
+        life = self.minion.incarnation
+        self.minion.incarnation = life._replace(sequence=life.sequence + 1, **changes)
+        eventlet.spawn_n(self.agent.executor.handle_minion_report, self.minion.incarnation)
         self.clock.advance(100)
 
     def replace(self):
@@ -61,11 +61,11 @@
 
     def test_a_draining_minion_gets_no_new_runs(self):
         # Only the predecessor got the report, and the next one may take up to 1.5 s.
-        before = self.minion.life
+        before = self.minion.incarnation
         self.report(draining=True)
         self.replace()
         self.assertFalse(self.agent.executor.state().accepts)
-        self.agent.executor.take_life(before)
+        self.agent.executor.handle_minion_report(before)
         self.assertFalse(self.agent.executor.state().accepts)
 
     def drain(self):
@@ -75,7 +75,7 @@
     def test_a_process_that_ends_after_its_minion_deletes_its_key(self):
         # Dispatchers that start later would otherwise wait for it to confirm earlier jobs.
         self.report(draining=True)
-        self.agent.executor.lose_life(self.minion.life.instance)
+        self.agent.executor.handle_minion_departure(self.minion.incarnation.instance)
         self.drain()
         self.assertIsNone(self.store.get(WORKER_PREFIX + ADDRESS))
 
@@ -87,14 +87,14 @@
         # Otherwise all dispatchers would redistribute the workers, and again when the minion is
         # back.
         self.agent.stop()
-        self.minion.reborn("i-2")
+        self.minion.restart_renamed("i-2")
         seen_records = set()
         self.agent = self.start(2)
         for _ in range(20):
             record = decode_record(self.store.get(WORKER_PREFIX + ADDRESS).value, WorkerRecord)
             seen_records.add((record.service, record.rack, record.domain))
             self.clock.advance(100)
-        life = self.minion.life
+        life = self.minion.incarnation
         self.assertEqual({(life.service, life.rack, "north")}, seen_records)
         self.assertFalse(self.agent.executor.state().accepts)
 
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -202,7 +202,9 @@
         if self.steps % (REPORT_MS // self.step_ms) == 0:
             for worker in self.world.workers:
                 if not worker.minion.is_down:
-                    eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
+                    eventlet.spawn_n(
+                        worker.executor.handle_minion_report, worker.minion.incarnation
+                    )
         now = self.world.clock.now()
         for due_ms, spec in [entry for entry in self.resubmissions if entry[0] <= now]:
             self.resubmissions.remove((due_ms, spec))
@@ -213,7 +215,7 @@
             self.resume_dispatcher(dispatcher)
         for due_ms, minion in [entry for entry in self.minion_starts if entry[0] <= now]:
             self.minion_starts.remove((due_ms, minion))
-            minion.reborn(f"{minion.life.instance}+")
+            minion.restart_renamed(f"{minion.incarnation.instance}+")
         if self.returns_early:
             self.replace_dispatchers(now)
             self.callers.step()
@@ -221,7 +223,7 @@
         if duplicates:
             self.violations.append(f"{now}: tasks run twice: {sorted(duplicates)}")
         for worker in self.world.workers:
-            if worker.minion.crowded:
+            if worker.minion.overcommitted_runs:
                 self.violations.append(f"{now}: {worker.name} exceeds its capacity")
         self.check_evacuations(now)
 
@@ -246,8 +248,8 @@
     def resize_minion(self):
         worker = self.pick_worker()
         worker.minion.resize(Resources(self.draw.choice(MINION_CPUS), 10_000))
-        eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
-        self.note(f"{worker.name} resized to CPU {worker.minion.life.resources.cpu}")
+        eventlet.spawn_n(worker.executor.handle_minion_report, worker.minion.incarnation)
+        self.note(f"{worker.name} resized to CPU {worker.minion.incarnation.resources.cpu}")
 
     def evacuate(self):
         if self.evacuated_ms and self.draw.random() < 0.5:
@@ -317,8 +319,10 @@
 
     def lose_calls(self):
         worker = self.pick_worker()
-        worker.minion.loss = self.draw.choice(LOSSES)
-        self.note(f"{worker.name} loses a share of {worker.minion.loss} of the minion's calls")
+        worker.minion.loss_probability = self.draw.choice(LOSSES)
+        self.note(
+            f"{worker.name} loses a share of {worker.minion.loss_probability} of the minion's calls"
+        )
 
     def part(self):
         dispatcher = self.draw.choice(self.world.dispatchers)
@@ -333,16 +337,16 @@
     def heal(self):
         self.world.network.heal()
         for worker in self.world.workers:
-            worker.minion.silent = worker.minion.mute = False
+            worker.minion.is_silent = worker.minion.loses_answers = False
 
     def silence_minion(self):
         worker = self.pick_worker()
-        worker.minion.silent = True
+        worker.minion.is_silent = True
         self.note(f"{worker.name} silent")
 
     def mute_minion(self):
         worker = self.pick_worker()
-        worker.minion.mute = True
+        worker.minion.loses_answers = True
         self.note(f"{worker.name} mute")
 
     def crash_minion(self):
@@ -350,8 +354,8 @@
         if self.keeps_names and self.draw.random() < 0.5:
             worker.minion.restart()
         else:
-            worker.minion.reborn(f"{worker.minion.life.instance}+")
-        self.note(f"{worker.name} crashes, now {worker.minion.life.instance}")
+            worker.minion.restart_renamed(f"{worker.minion.incarnation.instance}+")
+        self.note(f"{worker.name} crashes, now {worker.minion.incarnation.instance}")
 
     def leave_minion(self):
         worker = self.pick_worker()
@@ -360,13 +364,13 @@
             return
         run_on_ms = self.draw.choice(RUN_ON_MS)
         minion.leave(run_on_ms)
-        life = minion.life
+        incarnation = minion.incarnation
         if self.draw.random() < 0.5:
             # The last report is lost in half of the cases.
-            eventlet.spawn_n(worker.executor.take_life, life)
+            eventlet.spawn_n(worker.executor.handle_minion_report, incarnation)
         if self.draw.random() < 0.5:
-            minion.refuses = True
-        worker.executor.lose_life(life.instance, life.started_unix_ms)
+            minion.refuses_connections = True
+        worker.executor.handle_minion_departure(incarnation.instance, incarnation.started_unix_ms)
         self.minion_starts.append((self.world.clock.now() + run_on_ms + REPLACEMENT_GAP_MS, minion))
         self.note(f"{worker.name} deregisters and keeps running for {run_on_ms} ms")
 
@@ -504,7 +508,7 @@
         self.world.evacuate()
         self.evacuated_ms = {}
         for worker in self.world.workers:
-            worker.minion.loss = 0.0
+            worker.minion.loss_probability = 0.0
 
     def calm_early(self):
         self.message_faults = (0.0, 0.0, 0.0)
@@ -600,6 +604,6 @@
     def test_lost_calls_are_reproducible_by_seed(self):
         minions = [MemoryMinion(ManualClock(), seed=7) for _ in range(2)]
         for minion in minions:
-            minion.loss = 0.5
+            minion.loss_probability = 0.5
         draws = [[minion._random.random() for _ in range(5)] for minion in minions]
         self.assertEqual(*draws)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -9,7 +9,7 @@
 from geraniumspool.dispatch_entry import DispatcherProcess
 from geraniumspool.job_specs import JobOutcome, JobSpec, StepSpec
 from geraniumspool.link import MemoryMessenger, MemoryNetwork
-from geraniumspool.memory_minion import CallFault, Scripted
+from geraniumspool.memory_minion import CallFault, ScriptedFault
 from geraniumspool.memory_store import MemoryStore
 from geraniumspool.messages import Peer
 from geraniumspool.operator_keys import OperatorKeys
@@ -208,7 +208,7 @@
         self.advance(400)
         self.assertEqual([JobOutcome.SUCCEEDED] * 2, [caller.outcome for caller in callers])
         for worker in self.world.workers:
-            self.assertLessEqual(worker.minion.most_used.cpu, 10_000)
+            self.assertLessEqual(worker.minion.peak_used.cpu, 10_000)
 
 
 class ShutdownTest(DispatchCase):
@@ -390,7 +390,7 @@
         for number, fault in enumerate(CallFault):
             with self.subTest(fault=fault):
                 for worker in self.world.workers:
-                    worker.minion.script(Scripted("start", fault))
+                    worker.minion.inject(ScriptedFault("start", fault))
                 job = f"j{number}"
                 caller = self.dispatcher.submit(make_spec(job, run_ms=300), timeout_ms=8_000.0)
                 self.advance(2_500)
@@ -401,7 +401,7 @@
         caller = self.dispatcher.submit(make_spec("j1", run_ms=300), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        worker.minion.reborn("i-new")
+        worker.minion.restart_renamed("i-new")
         self.advance(700)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
@@ -432,7 +432,7 @@
         late = SimulatedWorker(self.world, "w9")
         self.world.workers.append(late)
         self.clock.advance(50)
-        late.executor.take_renewal(Peer(self.dispatcher.address, 1), RenewRuns(self.clock.now()))
+        late.executor.handle_renewal(Peer(self.dispatcher.address, 1), RenewRuns(self.clock.now()))
         self.advance(100)
         self.assertEqual(4, len(self.dispatcher.dispatcher.fleet.owned_workers("fitting")))
 
@@ -444,11 +444,11 @@
 
     def shrink(self, cpu):
         for worker in self.world.workers:
-            life = worker.minion.life
-            worker.minion.life = life._replace(
-                resources=Resources(cpu, 10_000), sequence=life.sequence + 1
+            incarnation = worker.minion.incarnation
+            worker.minion.incarnation = incarnation._replace(
+                resources=Resources(cpu, 10_000), sequence=incarnation.sequence + 1
             )
-            worker.executor.take_life(worker.minion.life)
+            worker.executor.handle_minion_report(worker.minion.incarnation)
 
     def test_a_queued_job_that_no_longer_fits_on_any_worker_is_refused_at_once(self):
         for name in ("a", "b"):
@@ -477,9 +477,11 @@
             self.dispatcher.submit(make_spec(name, cpu=8_000, run_ms=300))
         waiting = self.dispatcher.submit(make_spec("c", cpu=8_000, run_ms=300), timeout_ms=9_000.0)
         self.advance(20)
-        life = self.world.workers[0].minion.life
-        shrunk = life._replace(resources=Resources(7_000, 10_000), sequence=life.sequence + 1)
-        self.world.workers[0].executor.take_life(shrunk)
+        incarnation = self.world.workers[0].minion.incarnation
+        shrunk = incarnation._replace(
+            resources=Resources(7_000, 10_000), sequence=incarnation.sequence + 1
+        )
+        self.world.workers[0].executor.handle_minion_report(shrunk)
         self.advance(900)
         self.assertEqual(JobOutcome.SUCCEEDED, waiting.outcome)
 
@@ -537,7 +539,7 @@
         for _ in range(2):
             self.advance(100)
             worker = self.find_worker("j.0.0.0")
-            worker.minion.silent = True
+            worker.minion.is_silent = True
             self.advance(900)
         self.advance(4_000)
         self.assertEqual(JobOutcome.SUCCEEDED, job.outcome)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -9,9 +9,9 @@
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.executor import Executor
 from geraniumspool.fleet import RUNS_LOST_AFTER_MS
-from geraniumspool.memory_minion import CallFault, MemoryMinion, Scripted
+from geraniumspool.memory_minion import CallFault, MemoryMinion, ScriptedFault
 from geraniumspool.messages import Peer
-from geraniumspool.minion_watch import LOOK_AGAIN_MS, LOOK_WAIT_MS
+from geraniumspool.minion_watch import POLL_RETRY_MS, POLL_WAIT_MS
 from geraniumspool.platform.minion import LOOK_ANSWER_MS
 from geraniumspool.rooms import Resources
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS, LONGEST_LEASE_MS, MINION_LEASE_MS
@@ -75,10 +75,10 @@
         for green_thread in self.tasks:
             green_thread.kill()
         self.tasks = [
-            eventlet.spawn(executor.run_looks),
+            eventlet.spawn(executor.run_poll_loop),
             eventlet.spawn(executor.run_periodic_checks),
         ]
-        executor.take_life(self.minion.life)
+        executor.handle_minion_report(self.minion.incarnation)
         self.clock.advance(50)
         return executor
 
@@ -89,12 +89,12 @@
         return True
 
     def start(self, *orders, dispatcher=DISPATCHER):
-        self.executor.take_start(dispatcher, StartRuns(self.clock.now(), orders))
+        self.executor.handle_start(dispatcher, StartRuns(self.clock.now(), orders))
         self.clock.settle()
 
     def renew(self, *numbers, dispatcher=DISPATCHER, echo_ms=None):
         echo = self.clock.now() if echo_ms is None else echo_ms
-        self.executor.take_renewal(dispatcher, RenewRuns(echo, numbers, max(numbers, default=0)))
+        self.executor.handle_renewal(dispatcher, RenewRuns(echo, numbers, max(numbers, default=0)))
 
     def advance_renewing(self, total_ms, *numbers, dispatcher=DISPATCHER):
         """Advance the clock while a dispatcher renews its lease and lists the runs given."""
@@ -121,16 +121,16 @@
         orders = [make_order(n, f"j.0.0.{n}", patience_ms=1_000.0) for n in range(1, 7)]
         self.start(*orders)
         self.advance_renewing(600, *range(1, 7))
-        self.assertLessEqual(self.minion.most_used.cpu, 10_000)
+        self.assertLessEqual(self.minion.peak_used.cpu, 10_000)
         self.assertEqual([RUN_DONE] * 6, [self.outcome(n) for n in range(1, 7)])
 
     def test_stopping_run_holds_its_capacity(self):
         self.start(make_order(1, cpu=10_000, run_ms=900))
-        self.executor.take_stop(DISPATCHER, StopRuns((1,)))
+        self.executor.handle_stop(DISPATCHER, StopRuns((1,)))
         self.start(make_order(2, "k.0.0.0", cpu=10_000))
         self.clock.advance(300)
         self.assertEqual((RUN_STOPPED, RUN_DONE), (self.outcome(1), self.outcome(2)))
-        self.assertLessEqual(self.minion.most_used.cpu, 10_000)
+        self.assertLessEqual(self.minion.peak_used.cpu, 10_000)
 
     def test_order_that_must_not_wait_is_refused_without_capacity(self):
         self.start(make_order(1, cpu=10_000))
@@ -208,7 +208,7 @@
         for number, fault in enumerate(CallFault, 1):
             with self.subTest(fault=fault):
                 task = f"j{number}.0.0.0"
-                self.minion.script(Scripted("start", fault))
+                self.minion.inject(ScriptedFault("start", fault))
                 self.start(make_order(number, task, run_ms=400))
                 self.advance_renewing(500, number)
                 expected = RUN_DONE if fault is CallFault.LOST_AFTER else RUN_REFUSED
@@ -220,8 +220,8 @@
                 self.assertTrue(self.executor.is_idle)
 
     def test_late_executed_start_is_over_before_its_end_is_reported(self):
-        self.minion.script(Scripted("start", CallFault.LATE, late_ms=150.0))
-        self.minion.script(Scripted("look", CallFault.LOST_BEFORE))
+        self.minion.inject(ScriptedFault("start", CallFault.LATE, late_ms=150.0))
+        self.minion.inject(ScriptedFault("look", CallFault.LOST_BEFORE))
         self.start(make_order(1, run_ms=400))
         for _ in range(60):
             self.renew(1)
@@ -231,22 +231,22 @@
 
     def test_stop_is_repeated_until_it_is_answered(self):
         self.start(make_order(1, run_ms=2_000))
-        self.minion.script(Scripted("stop", CallFault.LOST_BEFORE))
-        self.minion.script(Scripted("stop", CallFault.LOST_BEFORE))
-        self.executor.take_stop(DISPATCHER, StopRuns((1,)))
+        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.executor.handle_stop(DISPATCHER, StopRuns((1,)))
         self.advance_renewing(500, 1)
         self.assertEqual(RUN_STOPPED, self.outcome(1))
 
     def test_runs_of_silent_minion_lapse_when_its_lease_has_expired(self):
         self.start(make_order(1, run_ms=5_000))
         self.advance_renewing(200, 1)
-        self.minion.silent = True
+        self.minion.is_silent = True
         self.advance_renewing(300, 1)
         self.assertIsNone(self.outcome(1))
         self.advance_renewing(900, 1)
         self.assertEqual(RUN_LAPSED, self.outcome(1))
         self.assertFalse(self.executor.state().accepts)
-        self.minion.silent = False
+        self.minion.is_silent = False
         self.assertEqual(set(), self.minion.running)
 
     def test_runs_of_mute_minion_lapse_only_after_they_have_ended(self):
@@ -259,7 +259,7 @@
                 self.start(make_order(number, run_ms=9_000))
                 self.advance_renewing(300, number)
                 self.clock.advance(15 * number)
-                self.minion.mute = True
+                self.minion.loses_answers = True
                 while self.outcome(number) is None:
                     self.renew(number)
                     self.clock.advance(10)
@@ -267,12 +267,12 @@
                 self.assertEqual(set(), self.minion.running)
 
     def test_minion_lease_outlasts_two_lost_polls(self):
-        self.assertLess(2 * (LOOK_WAIT_MS + LOOK_ANSWER_MS + LOOK_AGAIN_MS), MINION_LEASE_MS)
+        self.assertLess(2 * (POLL_WAIT_MS + LOOK_ANSWER_MS + POLL_RETRY_MS), MINION_LEASE_MS)
 
     def test_lost_polls_end_no_run(self):
         self.start(make_order(1, run_ms=600))
-        self.minion.script(Scripted("look", CallFault.LOST_BEFORE))
-        self.minion.script(Scripted("look", CallFault.LOST_AFTER))
+        self.minion.inject(ScriptedFault("look", CallFault.LOST_BEFORE))
+        self.minion.inject(ScriptedFault("look", CallFault.LOST_AFTER))
         self.advance_renewing(900, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
 
@@ -288,15 +288,15 @@
     def test_runs_of_silent_dispatcher_end_even_if_stops_are_lost(self):
         # Stops are lost while polls are answered, so the minion's lease must end the runs.
         self.start(make_order(1, run_ms=5_000))
-        self.minion.deaf_to = {"stop"}
+        self.minion.ignored_calls = {"stop"}
         self.clock.advance(RUNS_LOST_AFTER_MS)
         self.assertEqual(set(), self.minion.running)
 
     def test_lost_stop_ends_no_other_run(self):
         self.start(make_order(1, "j.0.0.0", run_ms=5_000))
         self.start(make_order(1, "k.0.0.0", run_ms=5_000), dispatcher=OTHER_DISPATCHER)
-        self.minion.script(Scripted("stop", CallFault.LOST_BEFORE))
-        self.minion.script(Scripted("stop", CallFault.LOST_BEFORE))
+        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
         self.advance_renewing(2_000, 1, dispatcher=OTHER_DISPATCHER)
         self.assertEqual({"k.0.0.0"}, self.minion.running)
 
@@ -304,7 +304,7 @@
         self.start(make_order(1, run_ms=5_000))
         self.clock.advance(DISPATCHER_LEASE_MS - 10)
         self.assertEqual({"j.0.0.0"}, self.minion.running)
-        self.minion.silent = True
+        self.minion.is_silent = True
         self.clock.advance(MINION_LEASE_MS + 20)
         self.assertEqual(set(), self.minion.running)
 
@@ -319,7 +319,7 @@
     def test_delayed_order_is_refused(self):
         echo = self.clock.now()
         self.clock.advance(DISPATCHER_LEASE_MS + 1)
-        self.executor.take_start(DISPATCHER, StartRuns(echo, (make_order(1),)))
+        self.executor.handle_start(DISPATCHER, StartRuns(echo, (make_order(1),)))
         self.clock.advance(50)
         self.assertEqual(RUN_REFUSED, self.outcome(1))
         self.assertEqual([], self.minion.started)
@@ -334,14 +334,14 @@
         echo = self.clock.now()
         self.clock.advance(400)
         self.sent.clear()
-        self.executor.take_start(DISPATCHER, StartRuns(echo, (make_order(1),)))
+        self.executor.handle_start(DISPATCHER, StartRuns(echo, (make_order(1),)))
         self.clock.settle()
         self.assertEqual([DISPATCHER], [peer for peer, _ in self.sent])
         self.assertEqual(1, self.sent[0][1].upto)
 
     def test_runs_of_replaced_dispatcher_are_stopped_at_once(self):
         self.start(make_order(1, run_ms=5_000))
-        self.executor.lose_dispatcher(DISPATCHER)
+        self.executor.expire_dispatcher(DISPATCHER)
         self.clock.advance(100)
         self.assertEqual(set(), self.minion.running)
 
@@ -351,13 +351,13 @@
 
     def test_runs_missing_from_a_renewal_are_stopped(self):
         self.start(make_order(1, run_ms=5_000), make_order(2, "k.0.0.0", run_ms=5_000))
-        self.executor.take_renewal(DISPATCHER, RenewRuns(self.clock.now(), (2,), 2))
+        self.executor.handle_renewal(DISPATCHER, RenewRuns(self.clock.now(), (2,), 2))
         self.clock.advance(100)
         self.assertEqual({"k.0.0.0"}, self.minion.running)
 
     def test_run_newer_than_the_renewal_continues(self):
         self.start(make_order(1, run_ms=5_000), make_order(2, "k.0.0.0", run_ms=5_000))
-        self.executor.take_renewal(DISPATCHER, RenewRuns(self.clock.now(), (1,), 1))
+        self.executor.handle_renewal(DISPATCHER, RenewRuns(self.clock.now(), (1,), 1))
         self.clock.advance(100)
         self.assertEqual({"j.0.0.0", "k.0.0.0"}, self.minion.running)
 
@@ -380,25 +380,25 @@
 
     def test_new_incarnation_ends_the_runs_of_the_old_one(self):
         self.start(make_order(1, run_ms=5_000))
-        self.minion.reborn("i-2")
-        self.executor.take_life(self.minion.life)
+        self.minion.restart_renamed("i-2")
+        self.executor.handle_minion_report(self.minion.incarnation)
         self.clock.advance(50)
         self.assertEqual(RUN_LAPSED, self.outcome(1))
         self.assertEqual("i-2", self.executor.state().instance)
 
     def test_restart_is_detected_without_a_report(self):
         self.start(make_order(1, run_ms=5_000))
-        self.minion.reborn("i-2")
+        self.minion.restart_renamed("i-2")
         self.advance_renewing(300, 1)
         self.assertEqual(RUN_LAPSED, self.outcome(1))
 
     def test_delayed_report_of_old_incarnation_is_ignored(self):
-        old = self.minion.life
-        self.minion.reborn("i-2")
-        self.executor.take_life(self.minion.life)
+        old = self.minion.incarnation
+        self.minion.restart_renamed("i-2")
+        self.executor.handle_minion_report(self.minion.incarnation)
         self.clock.advance(50)
         self.start(make_order(1, run_ms=300))
-        self.executor.take_life(old)
+        self.executor.handle_minion_report(old)
 
         self.advance_renewing(500, 1)
         self.assertEqual("i-2", self.executor.state().instance)
@@ -406,25 +406,27 @@
 
     def test_draining_minion_finishes_its_runs_and_gets_no_new_ones(self):
         self.start(make_order(1, run_ms=300))
-        self.executor.take_life(self.minion.life._replace(draining=True, sequence=2))
+        self.executor.handle_minion_report(
+            self.minion.incarnation._replace(draining=True, sequence=2)
+        )
         self.start(make_order(2, "k.0.0.0"))
         self.advance_renewing(500, 1, 2)
         self.assertEqual((RUN_DONE, RUN_REFUSED), (self.outcome(1), self.outcome(2)))
 
     def test_new_executor_stops_orphaned_runs_before_it_starts_runs(self):
-        self.minion.start(self.minion.life, RunKey("old.0.0.0", 1), "8000:900", 1e9, 5)
+        self.minion.start(self.minion.incarnation, RunKey("old.0.0.0", 1), "8000:900", 1e9, 5)
         self.executor = self.make_executor(fence=9)
         self.clock.advance(100)
         self.assertEqual(set(), self.minion.running)
         self.start(make_order(1, cpu=10_000))
         self.clock.advance(200)
         self.assertEqual(RUN_DONE, self.outcome(1))
-        self.assertLessEqual(self.minion.most_used.cpu, 10_000)
+        self.assertLessEqual(self.minion.peak_used.cpu, 10_000)
 
     def test_new_executor_accepts_nothing_while_orphaned_runs_continue(self):
-        self.minion.start(self.minion.life, RunKey("old.0.0.0", 1), "8000:900", 1e9, 5)
+        self.minion.start(self.minion.incarnation, RunKey("old.0.0.0", 1), "8000:900", 1e9, 5)
         for _ in range(3):
-            self.minion.script(Scripted("stop", CallFault.LOST_BEFORE))
+            self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
         self.executor = self.make_executor(fence=9)
         for _ in range(20):
             self.assertFalse(self.minion.running and self.executor.state().accepts)
@@ -433,7 +435,7 @@
         self.assertTrue(self.executor.state().accepts)
 
     def test_unknown_run_is_reported_as_lapsed_only_once_it_must_have_ended(self):
-        self.minion.silent = True
+        self.minion.is_silent = True
         self.executor = Executor(
             self.clock,
             self.minion,
@@ -453,7 +455,7 @@
         self.assertEqual(RUN_LAPSED, self.outcome(3))
 
     def test_fencing_token_is_raised_after_clock_stepped_back(self):
-        self.minion.stop(self.minion.life, RunKey("x", 1), 100_000)
+        self.minion.stop(self.minion.incarnation, RunKey("x", 1), 100_000)
         self.executor = self.make_executor(fence=50_000)
         self.start(make_order(1))
         self.clock.advance(200)
@@ -471,11 +473,11 @@
     """A minion whose capacity changes while runs are active."""
 
     def resize(self, cpu):
-        life = self.minion.life
-        self.minion.life = life._replace(
-            resources=Resources(cpu, 10_000), sequence=life.sequence + 1
+        incarnation = self.minion.incarnation
+        self.minion.incarnation = incarnation._replace(
+            resources=Resources(cpu, 10_000), sequence=incarnation.sequence + 1
         )
-        self.executor.take_life(self.minion.life)
+        self.executor.handle_minion_report(self.minion.incarnation)
         self.clock.settle()
 
     def test_run_exceeding_the_reduced_capacity_is_not_started(self):
@@ -514,9 +516,9 @@
         self.assertEqual({"j.0.0.0", "k.0.0.0"}, self.minion.running)
 
     def test_start_in_progress_counts_against_reduced_capacity(self):
-        self.minion.deaf_to.add("start")
+        self.minion.ignored_calls.add("start")
         self.start(make_order(1, cpu=6_000, run_ms=900))
-        self.minion.deaf_to.clear()
+        self.minion.ignored_calls.clear()
         self.resize(7_000)
         self.start(make_order(2, "k.0.0.0", cpu=4_000, patience_ms=0.0))
         self.clock.advance(50)
@@ -538,23 +540,25 @@
     def test_restarted_minion_is_adopted_once_it_reports(self):
         self.minion.crash(300)
         self.clock.advance(400)
-        self.executor.take_life(self.minion.life)
+        self.executor.handle_minion_report(self.minion.incarnation)
         self.start(make_order(1, run_ms=100))
         self.clock.advance(200)
         self.assertEqual(RUN_DONE, self.outcome(1))
 
     def test_runs_of_leaving_minion_with_closed_listener_lapse_only_after_they_end(self):
         self.start(make_order(1, run_ms=900))
-        life = self.minion.life = self.minion.life._replace(draining=True, sequence=2)
-        self.executor.take_life(life)
-        self.minion.refuses = True
+        incarnation = self.minion.incarnation = self.minion.incarnation._replace(
+            draining=True, sequence=2
+        )
+        self.executor.handle_minion_report(incarnation)
+        self.minion.refuses_connections = True
         while self.outcome(1) is None:
             self.renew(1)
             self.clock.advance(10)
         self.assertEqual(set(), self.minion.running)
 
     def test_start_with_refused_connection_is_reported_as_refused(self):
-        self.minion.refuses = True
+        self.minion.refuses_connections = True
         self.start(make_order(1))
         self.clock.advance(5)
         self.assertEqual(RUN_REFUSED, self.outcome(1))
@@ -563,6 +567,6 @@
     def test_one_refused_connection_ends_no_run(self):
         self.start(make_order(1, run_ms=400))
         self.advance_renewing(100, 1)
-        self.minion.script(Scripted("look", CallFault.REFUSED))
+        self.minion.inject(ScriptedFault("look", CallFault.REFUSED))
         self.advance_renewing(400, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
--- a/tests/test_job_fences.py
+++ b/tests/test_job_fences.py
@@ -119,20 +119,20 @@
         self.assertEqual(set(), minion.running)
 
     def test_a_run_that_relies_on_an_unknown_or_lower_fence_is_refused(self):
-        self.assertTrue(self.worker.executor.fences.excludes(self.requester.me, TASK, RANK))
-        self.assertFalse(self.worker.executor.fences.excludes(self.requester.me, TASK, 0))
+        self.assertTrue(self.worker.executor.job_fences.excludes(self.requester.me, TASK, RANK))
+        self.assertFalse(self.worker.executor.job_fences.excludes(self.requester.me, TASK, 0))
         self.request_fence()
         self.world.clock.advance(5)
-        self.assertFalse(self.worker.executor.fences.excludes(self.requester.me, TASK, RANK))
-        self.assertTrue(self.worker.executor.fences.excludes(self.requester.me, TASK, RANK + 1))
+        self.assertFalse(self.worker.executor.job_fences.excludes(self.requester.me, TASK, RANK))
+        self.assertTrue(self.worker.executor.job_fences.excludes(self.requester.me, TASK, RANK + 1))
 
     def test_a_fence_expires(self):
         self.request_fence()
         self.world.clock.advance(5)
         other = Peer("tcp://other", 1)
-        self.assertTrue(self.worker.executor.fences.excludes(other, TASK, 0))
+        self.assertTrue(self.worker.executor.job_fences.excludes(other, TASK, 0))
         self.world.clock.advance(FENCE_LIFETIME_MS)
-        self.assertFalse(self.worker.executor.fences.excludes(other, TASK, 0))
+        self.assertFalse(self.worker.executor.job_fences.excludes(other, TASK, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_memory_minion.py
+++ b/tests/test_memory_minion.py
@@ -4,7 +4,7 @@
 
 from geraniumspool.clock import ManualClock
 from geraniumspool.contracts import RunKey
-from geraniumspool.memory_minion import LISTED_ENDS, MemoryMinion
+from geraniumspool.memory_minion import MAX_LISTED_ENDS, MemoryMinion
 
 FAR_MS = 1e9
 LONGEST_STOP_MS = 50.0
@@ -18,17 +18,17 @@
         self.clock = ManualClock()
 
     def start(self, minion, number, run_ms):
-        minion.start(minion.life, RunKey(f"j.0.0.{number}", 1), f"1:{run_ms}", FAR_MS, FENCE)
+        minion.start(minion.incarnation, RunKey(f"j.0.0.{number}", 1), f"1:{run_ms}", FAR_MS, FENCE)
 
     def poll(self, minion, acknowledged=0):
-        return minion.look(minion.life, FENCE, acknowledged, FAR_MS, 0.0)
+        return minion.poll(minion.incarnation, FENCE, acknowledged, FAR_MS, 0.0)
 
     def test_leaving_minion_continues_its_runs_until_it_exits(self):
         minion = MemoryMinion(self.clock)
         self.start(minion, 1, 900)
         minion.leave(200.0)
         self.clock.advance(190)
-        self.assertTrue(minion.life.draining)
+        self.assertTrue(minion.incarnation.draining)
         self.assertEqual({"j.0.0.1"}, minion.running)
         self.clock.advance(20)
         self.assertEqual(set(), minion.running)
@@ -40,7 +40,7 @@
             times = []
             for number in range(20):
                 self.start(minion, number, 9_000)
-                minion.stop(minion.life, RunKey(f"j.0.0.{number}", 1), FENCE)
+                minion.stop(minion.incarnation, RunKey(f"j.0.0.{number}", 1), FENCE)
                 begin = self.clock.now()
                 while minion.running:
                     self.clock.advance(1)
@@ -54,10 +54,10 @@
 
     def test_further_ends_are_listed_after_acknowledgement(self):
         minion = MemoryMinion(self.clock)
-        for number in range(LISTED_ENDS + 1):
+        for number in range(MAX_LISTED_ENDS + 1):
             self.start(minion, number, 1)
         self.clock.advance(5)
         view = self.poll(minion)
-        self.assertEqual((LISTED_ENDS, True), (len(view.ended), view.is_partial))
-        view = self.poll(minion, LISTED_ENDS)
+        self.assertEqual((MAX_LISTED_ENDS, True), (len(view.ended), view.is_partial))
+        view = self.poll(minion, MAX_LISTED_ENDS)
         self.assertEqual((1, False), (len(view.ended), view.is_partial))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from geraniumspool.pace import MAX_HAZARD, SLOW, Pace
+from geraniumspool.pace import MAX_HAZARD, SLOW_LATENESS, SlownessDetector
 
 LEARNING_TASKS = 300
 
@@ -29,9 +29,9 @@
     was_slow = False
     for _ in range(count):
         estimate_ms, run_ms = draw(source)
-        pace.add(pace.hazard(estimate_ms, run_ms * factor))
+        pace.add_hazard(pace.hazard(estimate_ms, run_ms * factor))
         was_slow = was_slow or pace.is_slow
-        pace.end(estimate_ms, run_ms * factor)
+        pace.record_run_time(estimate_ms, run_ms * factor)
     return was_slow
 
 
@@ -44,12 +44,12 @@
             ("usual speed, inexact estimates", draw_mean, 1.0, 0.0, False),
             ("ten times slower, exact estimates", draw_exact, 10.0, 0.0, True),
             ("ten times slower, inexact estimates", draw_mean, 10.0, 0.0, True),
-            ("ten times slower, like all peers", draw_mean, 10.0, 2 * SLOW, False),
+            ("ten times slower, like all peers", draw_mean, 10.0, 2 * SLOW_LATENESS, False),
         ]
         for name, draw, factor, peers, expected in cases:
             with self.subTest(name):
                 source = random.Random(1)
-                pace = Pace(lambda peers=peers: peers)
+                pace = SlownessDetector(lambda peers=peers: peers)
                 self.assertFalse(run_tasks(pace, draw, source, LEARNING_TASKS))
                 self.assertEqual(run_tasks(pace, draw, source, 2_000, factor), expected)
 
@@ -57,14 +57,14 @@
         """Overdue tasks count before they have results, but one alone does not."""
         for tasks, expected in ((1, False), (8, True)):
             with self.subTest(tasks=tasks):
-                pace = Pace()
+                pace = SlownessDetector()
                 for _ in range(tasks):
-                    pace.add(pace.hazard(100.0, 1e9))
+                    pace.add_hazard(pace.hazard(100.0, 1e9))
                 self.assertEqual(pace.is_slow, expected)
 
     def test_hazard_grows_up_to_its_bound(self):
         """The hazard never decreases with the run time, whatever the estimate."""
-        pace = Pace()
+        pace = SlownessDetector()
         for estimate_ms in (0.0, 1.0, 300.0, 1e9):
             hazards = [pace.hazard(estimate_ms, age) for age in (0.0, 60.0, 600.0, 1e12)]
             self.assertEqual(hazards, sorted(hazards))
@@ -72,10 +72,10 @@
 
     def test_wider_spread_is_learned(self):
         """A wider spread of run times is learned even while it makes many tasks late."""
-        source, pace = random.Random(1), Pace()
+        source, pace = random.Random(1), SlownessDetector()
         run_tasks(pace, draw_exact, source, LEARNING_TASKS)
         self.assertEqual(pace.hazard(400.0, 1_000.0), MAX_HAZARD)
         for _ in range(LEARNING_TASKS):
-            pace.add(SLOW)
-            pace.end(*draw_mean(source))
+            pace.add_hazard(SLOW_LATENESS)
+            pace.record_run_time(*draw_mean(source))
         self.assertLess(pace.hazard(400.0, 1_000.0), MAX_HAZARD)
--- a/tests/test_patterns.py
+++ b/tests/test_patterns.py
@@ -44,7 +44,7 @@
         row = played.run()
         for worker in played.world.workers:
             minion = worker.minion
-            self.assertLessEqual(minion.most_used.cpu, minion.life.resources.cpu)
+            self.assertLessEqual(minion.peak_used.cpu, minion.incarnation.resources.cpu)
         return row
 
     def test_a_service_that_is_just_full_serves_nearly_all_in_time(self):
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -229,7 +229,7 @@
             "room": {"cpu": 16000, "mem_mb": 32768, "gpu": 0},
             "labels": ["a", "r1-3"],
             "seq": 4,
-            "born": self.minion.life.started_unix_ms,
+            "born": self.minion.incarnation.started_unix_ms,
             "machine": "m-1",
         }
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/heartbeat", body))
@@ -242,7 +242,7 @@
         self.post("/instances/i-7f3a91c2/heartbeat", body | {"seq": 4})
         eventlet.sleep(0.05)
         self.assertFalse(self.executor.state().accepts)
-        earlier = {"born": self.minion.life.started_unix_ms - 1}
+        earlier = {"born": self.minion.incarnation.started_unix_ms - 1}
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/deregister", earlier))
         self.assertEqual("i-7f3a91c2", self.executor.state().instance)
         self.assertEqual(400, self.post("/instances/i-7f3a91c2/deregister", {"born": "x"}))
@@ -260,7 +260,7 @@
             "state": "ready",
             "room": {"cpu": 16000, "mem_mb": 32768},
             "seq": 4,
-            "born": self.minion.life.started_unix_ms,
+            "born": self.minion.incarnation.started_unix_ms,
         }
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/heartbeat", body))
         wait_until(lambda: self.executor.state().instance)
--- a/tests/test_platform_minion.py
+++ b/tests/test_platform_minion.py
@@ -26,7 +26,7 @@
         self.clock = ManualClock(5_000.0)
         self.minion = MemoryMinion(self.clock)
         self.standin = MinionStandin(self.minion)
-        self.life = self.minion.life._replace(address=serve(self, self.standin))
+        self.life = self.minion.incarnation._replace(address=serve(self, self.standin))
         self.control = HttpMinionControl(SystemClock(), MemoryCounters())
 
     def start(self, task="j.0.0.0", attempt=1, payload="1000:100", lease=FAR_FUTURE_MS, fence=3):
@@ -62,11 +62,11 @@
                     self.start()
 
     def test_an_incarnation_with_another_name_is_detected(self):
-        self.minion.reborn("i-2")
+        self.minion.restart_renamed("i-2")
         for call in (
             self.start,
             lambda: self.control.stop(self.life, RunKey("j", 1), 3),
-            lambda: self.control.look(self.life, 3, 0, None, 0.0),
+            lambda: self.control.poll(self.life, 3, 0, None, 0.0),
         ):
             with self.assertRaises(MinionReplaced):
                 call()
@@ -75,10 +75,10 @@
         self.clock.advance(10)
         self.minion.restart()
         with self.assertRaises(MinionReplaced):
-            self.control.look(self.life, 3, 0, None, 0.0)
-        self.life = self.minion.life._replace(address=self.life.address)
+            self.control.poll(self.life, 3, 0, None, 0.0)
+        self.life = self.minion.incarnation._replace(address=self.life.address)
         self.assertEqual(
-            self.life.started_unix_ms, self.control.look(self.life, 3, 0, None, 0.0).started_unix_ms
+            self.life.started_unix_ms, self.control.poll(self.life, 3, 0, None, 0.0).started_unix_ms
         )
 
     def test_calls_without_an_answer(self):
@@ -86,7 +86,7 @@
             for name, call in (
                 ("start", self.start),
                 ("stop", lambda: self.control.stop(self.life, RunKey("j", 1), 3)),
-                ("look", lambda: self.control.look(self.life, 3, 0, None, 0.0)),
+                ("look", lambda: self.control.poll(self.life, 3, 0, None, 0.0)),
             ):
                 with self.subTest(call=name, **fault):
                     self.standin.lose, self.standin.hang = 0, False
@@ -103,37 +103,37 @@
         with self.assertRaises(MinionDown):
             self.start()
         with self.assertRaises(MinionDown):
-            self.control.look(self.life, 3, 0, None, 0.0)
+            self.control.poll(self.life, 3, 0, None, 0.0)
 
     def test_a_full_list_of_finished_runs_is_marked_as_partial(self):
         for number in range(LISTED_ENDS):
             self.minion.start(
-                self.minion.life, RunKey(f"j.0.0.{number}", 1), "1:1", FAR_FUTURE_MS, 3
+                self.minion.incarnation, RunKey(f"j.0.0.{number}", 1), "1:1", FAR_FUTURE_MS, 3
             )
         self.clock.advance(5)
-        view = self.control.look(self.life, 3, 0, None, 0.0)
+        view = self.control.poll(self.life, 3, 0, None, 0.0)
         self.assertEqual((LISTED_ENDS, True), (len(view.ended), view.is_partial))
-        view = self.control.look(self.life, 3, 1, None, 0.0)
+        view = self.control.poll(self.life, 3, 1, None, 0.0)
         self.assertEqual((LISTED_ENDS - 1, False), (len(view.ended), view.is_partial))
 
     def test_a_lower_fencing_token_is_refused(self):
-        self.control.look(self.life, 9, 0, None, 0.0)
+        self.control.poll(self.life, 9, 0, None, 0.0)
         with self.assertRaises(Fenced):
-            self.control.look(self.life, 8, 0, None, 0.0)
+            self.control.poll(self.life, 8, 0, None, 0.0)
         with self.assertRaises(Fenced):
             self.control.stop(self.life, RunKey("j", 1), 8)
 
     def test_a_session_matches_the_golden_file(self):
         self.start(payload="1000:100")
         self.start("k.0.0.1", payload="1000:900")
-        view = self.control.look(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
+        view = self.control.poll(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
         self.assertEqual({RunKey("j.0.0.0", 1): 0.4, RunKey("k.0.0.1", 1): 0.4}, view.running)
         self.control.stop(self.life, RunKey("k.0.0.1", 1), 3)
         self.clock.advance(150)
-        view = self.control.look(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
+        view = self.control.poll(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
         ends = {end.key.task: end for end in view.ended}
         self.assertEqual(RUN_STOPPED, ends["k.0.0.1"].how)
         self.assertEqual(ListedEnd(2, RunKey("j.0.0.0", 1), RUN_DONE), ends["j.0.0.0"])
-        view = self.control.look(self.life, 3, 2, FAR_FUTURE_MS, 0.0)
+        view = self.control.poll(self.life, 3, 2, FAR_FUTURE_MS, 0.0)
         self.assertEqual(((), {}), (view.ended, view.running))
         self.assertEqual(json.loads(GOLDEN.read_text()), self.standin.session)
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from geraniumspool.contracts import KeyValue, MinionLife
+from geraniumspool.contracts import KeyValue, MinionIncarnation
 from geraniumspool.registrations import (
     DISPATCHER_PREFIX,
     KEEP_UNLISTED_MS,
@@ -15,7 +15,7 @@
 )
 from geraniumspool.rooms import Resources
 
-LIFE = MinionLife("i-1", "fitting", "127.0.0.1:1", Resources(1), ("a", "r1"))
+LIFE = MinionIncarnation("i-1", "fitting", "127.0.0.1:1", Resources(1), ("a", "r1"))
 WORKER = WorkerRecord("north", LIFE)
 DISPATCHER = DispatcherRecord("north", 2.0)
 
--- a/tests/test_restarted_minion.py
+++ b/tests/test_restarted_minion.py
@@ -7,7 +7,7 @@
 done and 158 lapsed as vanished, so that their tasks ran again elsewhere.
 """
 
-from geraniumspool.memory_minion import CallFault, Scripted
+from geraniumspool.memory_minion import CallFault, ScriptedFault
 from geraniumspool.run_messages import RUN_DONE, RUN_LAPSED, RUN_REFUSED
 from tests.test_executor import ExecutorCase, make_order
 
@@ -19,9 +19,9 @@
 
     def report(self, **changes):
         """Let the minion send its next report."""
-        life = self.minion.life
-        self.minion.life = life._replace(sequence=life.sequence + 1, **changes)
-        self.executor.take_life(self.minion.life)
+        life = self.minion.incarnation
+        self.minion.incarnation = life._replace(sequence=life.sequence + 1, **changes)
+        self.executor.handle_minion_report(self.minion.incarnation)
         self.clock.advance(50)
 
     def run_and_restart(self):
@@ -30,9 +30,9 @@
         self.advance_renewing(2_000, 1, 2)
         for _ in range(REPORTS_BEFORE_RESTART):
             self.report()
-        self.minion.silent = True
+        self.minion.is_silent = True
         self.advance_renewing(1_500)
-        self.minion.silent = False
+        self.minion.is_silent = False
         self.minion.restart()
         self.report()
 
@@ -68,7 +68,7 @@
         self.assertEqual((RUN_LAPSED, RUN_DONE), (self.outcome(1), self.outcome(2)))
 
     def test_delayed_start_for_previous_incarnation_is_not_executed(self):
-        self.minion.script(Scripted("start", CallFault.LATE, late_ms=1_000.0))
+        self.minion.inject(ScriptedFault("start", CallFault.LATE, late_ms=1_000.0))
         self.start(make_order(1, run_ms=900))
         self.minion.restart()
         self.advance_renewing(700, 1)
@@ -80,11 +80,11 @@
         # The announcement of a departure may be delayed, as a report may be.
         self.run_and_restart()
         self.start(make_order(3, "l.0.0.0", run_ms=300))
-        self.executor.lose_life(self.minion.life.instance)
+        self.executor.handle_minion_departure(self.minion.incarnation.instance)
         self.advance_renewing(500, 3)
         self.assertEqual(RUN_DONE, self.outcome(3))
         self.report(draining=True)
-        self.executor.lose_life(self.minion.life.instance)
+        self.executor.handle_minion_departure(self.minion.incarnation.instance)
         self.assertEqual("", self.executor.state().instance)
 
     def test_lease_set_by_poll_with_old_clock_is_waited_for(self):
@@ -92,10 +92,10 @@
         # lease that it grants, twice as long as the executor requests. Here the first poll renews
         # it.
         self.advance_renewing(300)
-        self.minion.silent = True
+        self.minion.is_silent = True
         self.clock.advance(65)
         self.minion.restart()
-        self.minion.silent = False
+        self.minion.is_silent = False
         self.clock.advance(30)
         self.report()
         self.start(make_order(1, run_ms=9_000))
@@ -110,7 +110,7 @@
     def check_lapses_only_when_over(self, number):
         """Silence the minion, and check that its run has ended when it is reported as lapsed."""
         self.assertTrue(self.minion.running)
-        self.minion.silent = True
+        self.minion.is_silent = True
         while self.outcome(number) is None:
             self.renew(number)
             self.clock.advance(10)
@@ -121,9 +121,9 @@
         # The minion restarts and is mute: it executes calls without answering, so the executor does
         # not learn of the new incarnation. A start given up earlier must not be executed there
         # seconds later.
-        self.minion.script(Scripted("start", CallFault.LATE, late_ms=2_500.0))
+        self.minion.inject(ScriptedFault("start", CallFault.LATE, late_ms=2_500.0))
         self.start(make_order(1, run_ms=900))
-        self.minion.mute = True
+        self.minion.loses_answers = True
         self.minion.restart()
         self.advance_renewing(1_500, 1)
         self.assertIsNotNone(self.outcome(1))
--- a/tests/test_run_certainty.py
+++ b/tests/test_run_certainty.py
@@ -9,9 +9,9 @@
 from geraniumspool.contracts import RunKey
 from geraniumspool.executor import Executor
 from geraniumspool.fleet import RUNS_LOST_AFTER_MS
-from geraniumspool.memory_minion import LISTED_ENDS, CallFault, MemoryMinion, Scripted
-from geraniumspool.minion_life import LAPSE_MARGIN_MS
-from geraniumspool.minion_watch import IDLE_LOOK_WAIT_MS
+from geraniumspool.memory_minion import MAX_LISTED_ENDS, CallFault, MemoryMinion, ScriptedFault
+from geraniumspool.minion_life import LEASE_EXPIRY_MARGIN_MS
+from geraniumspool.minion_watch import IDLE_POLL_WAIT_MS
 from geraniumspool.run_leases import MINION_LEASE_MS
 from geraniumspool.run_messages import RUN_DONE, RUN_LAPSED, RUN_REFUSED, StopRuns
 from tests.dispatch_world import make_guard
@@ -35,8 +35,8 @@
 
     def start_directly(self, key, payload):
         """Start a run on the minion as an earlier executor would, unknown to this one."""
-        fence = self.executor._session.fence
-        self.minion.start(self.minion.life, key, payload, FAR_MS, fence)
+        fence = self.executor._session.fencing_token
+        self.minion.start(self.minion.incarnation, key, payload, FAR_MS, fence)
 
     def start_runs(self, *numbers, run_ms=900, **changes):
         """Start one run per number, and advance the clock until they are active."""
@@ -64,9 +64,9 @@
     def leave(self, run_on_ms):
         """Let the minion drain and announce its departure at once."""
         self.minion.leave(run_on_ms)
-        life = self.minion.life
-        self.executor.take_life(life)
-        self.executor.lose_life(life.instance, life.started_unix_ms)
+        incarnation = self.minion.incarnation
+        self.executor.handle_minion_report(incarnation)
+        self.executor.handle_minion_departure(incarnation.instance, incarnation.started_unix_ms)
         self.clock.settle()
 
     def test_active_runs_of_departed_minion_are_not_reported_as_over(self):
@@ -79,7 +79,7 @@
 
     def test_active_runs_of_departed_minion_with_closed_listener_are_not_reported_as_over(self):
         self.start_runs(1)
-        self.minion.refuses = True
+        self.minion.refuses_connections = True
         self.leave(300.0)
         self.advance_checking(1_200, 1)
         self.assertEqual(RUN_LAPSED, self.outcome(1))
@@ -111,9 +111,9 @@
 
     def test_late_report_of_departed_minion_is_ignored(self):
         self.start_runs(1)
-        before = self.minion.life
+        before = self.minion.incarnation
         self.leave(300.0)
-        self.executor.take_life(before._replace(sequence=before.sequence + 9))
+        self.executor.handle_minion_report(before._replace(sequence=before.sequence + 9))
         self.clock.settle()
         self.assertFalse(self.executor.state().accepts)
 
@@ -121,8 +121,8 @@
         self.start_runs(1)
         self.leave(200.0)
         self.advance_checking(250, 1)
-        self.minion.reborn("i-2")
-        self.executor.take_life(self.minion.life)
+        self.minion.restart_renamed("i-2")
+        self.executor.handle_minion_report(self.minion.incarnation)
         self.advance_checking(50, 1)
         self.assertEqual(RUN_LAPSED, self.outcome(1))
         self.start(make_order(2, "j.0.0.2"))
@@ -135,9 +135,9 @@
 
     def end_more_runs_than_listed(self):
         """End more other runs than one poll lists, before the run of this executor ends."""
-        self.minion.deaf_to = {"look", "stop"}
+        self.minion.ignored_calls = {"look", "stop"}
         self.clock.advance(150)
-        for number in range(LISTED_ENDS + 20):
+        for number in range(MAX_LISTED_ENDS + 20):
             key = RunKey(f"other.0.0.{number}", 1)
             self.start_directly(key, "1:1")
         self.clock.advance(5)
@@ -147,18 +147,18 @@
         self.end_more_runs_than_listed()
         self.advance_checking(60, 1)
         self.assertEqual(set(), self.minion.running)
-        self.minion.deaf_to = set()
+        self.minion.ignored_calls = set()
         self.advance_checking(300, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
 
     def test_stopped_run_whose_end_is_not_listed_yet_is_not_refused(self):
-        self.minion.script(Scripted("start", CallFault.LOST_AFTER))
-        self.minion.deaf_to = {"look"}
+        self.minion.inject(ScriptedFault("start", CallFault.LOST_AFTER))
+        self.minion.ignored_calls = {"look"}
         self.start(make_order(1, "j.0.0.1", run_ms=200))
         self.end_more_runs_than_listed()
         self.advance_checking(100, 1)
         self.assertEqual(set(), self.minion.running)
-        self.minion.deaf_to = set()
+        self.minion.ignored_calls = set()
         self.advance_checking(300, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
 
@@ -180,7 +180,7 @@
         self.start(make_order(2, "j.0.0.2", cpu=10_000, patience_ms=9_000.0))
         self.suspend(RUNS_LOST_AFTER_MS)
         # On resumption, the answer of the minion is handled before the timers that are due.
-        self.tasks = [eventlet.spawn(self.executor.run_looks)]
+        self.tasks = [eventlet.spawn(self.executor.run_poll_loop)]
         self.clock.advance(STEP_MS)
         self.assertEqual(["j.0.0.0"], [key.task for key in self.minion.started])
         self.assertEqual(RUN_REFUSED, self.outcome(2))
@@ -201,7 +201,7 @@
         self.start_runs(1)
         self.minion.restart()
         views = []
-        look = self.minion.look
+        look = self.minion.poll
 
         def poll_slowly(*args):
             view = look(*args)
@@ -210,12 +210,12 @@
                 self.clock.sleep(20.0)
             return view
 
-        self.minion.look = poll_slowly
-        eventlet.spawn(self.executor.take_life, self.minion.life)
+        self.minion.poll = poll_slowly
+        eventlet.spawn(self.executor.handle_minion_report, self.minion.incarnation)
         self.clock.advance(10)
         self.start(make_order(2, "j.0.0.2", run_ms=300))
         self.assertEqual({"j.0.0.2"}, self.minion.running)
-        self.minion.look = look
+        self.minion.poll = look
         self.advance_checking(600, 1, 2)
         self.assertEqual((RUN_LAPSED, RUN_DONE), (self.outcome(1), self.outcome(2)))
 
@@ -237,27 +237,27 @@
     """Time until a new executor knows that all runs of the earlier one are over."""
 
     def is_reported_as_over_after(self, lease_ms):
-        self.clock.advance(lease_ms + LAPSE_MARGIN_MS + 40)
+        self.clock.advance(lease_ms + LEASE_EXPIRY_MARGIN_MS + 40)
         self.renew(1)
         return self.outcome(1) == RUN_LAPSED
 
     def test_runs_of_minion_with_another_name_now_are_over(self):
-        kept = self.minion.life
+        kept = self.minion.incarnation
         self.replace_process()
-        self.minion.reborn("i-2")
-        eventlet.spawn_n(self.executor.take_life, kept)
+        self.minion.restart_renamed("i-2")
+        eventlet.spawn_n(self.executor.handle_minion_report, kept)
         self.assertTrue(self.is_reported_as_over_after(MINION_LEASE_MS))
 
     def test_runs_of_minion_refusing_connections_are_over(self):
         self.replace_process()
-        self.minion.refuses = True
-        eventlet.spawn_n(self.executor.take_life, self.minion.life)
+        self.minion.refuses_connections = True
+        eventlet.spawn_n(self.executor.handle_minion_report, self.minion.incarnation)
         self.assertTrue(self.is_reported_as_over_after(MINION_LEASE_MS))
 
     def test_silent_minion_may_hold_its_runs_for_the_longest_lease(self):
         self.replace_process()
-        self.minion.silent = True
-        eventlet.spawn_n(self.executor.take_life, self.minion.life)
+        self.minion.is_silent = True
+        eventlet.spawn_n(self.executor.handle_minion_report, self.minion.incarnation)
         self.assertFalse(self.is_reported_as_over_after(MINION_LEASE_MS))
 
 
@@ -270,8 +270,8 @@
         :param answer_ms: delay of the answer
         """
         key = RunKey("j.0.0.1", 1)
-        self.minion.deaf_to = {"look"}
-        self.clock.advance(IDLE_LOOK_WAIT_MS)
+        self.minion.ignored_calls = {"look"}
+        self.clock.advance(IDLE_POLL_WAIT_MS)
         self.start_directly(key, "1:10:fail")
         self.clock.advance(20)
         start = self.minion.start
@@ -284,7 +284,7 @@
 
         self.minion.start = start_slowly
         self.start(make_order(1, "j.0.0.1", run_ms=300))
-        self.minion.deaf_to = set()
+        self.minion.ignored_calls = set()
 
     def test_end_of_earlier_run_does_not_end_the_next_one(self):
         self.start_during_end_of_earlier_run(150.0)
@@ -318,7 +318,7 @@
         self.minion.start = start_slowly
         self.start(make_order(1, "j.0.0.1", run_ms=10))
         self.advance_checking(250, 1)
-        self.executor.take_stop(DISPATCHER, StopRuns((1,)))
+        self.executor.handle_stop(DISPATCHER, StopRuns((1,)))
         self.advance_checking(400, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
         self.assertTrue(self.executor.is_idle)
@@ -328,10 +328,12 @@
         # number is used.
         self.start_during_end_of_earlier_run(150.0)
         self.clock.advance(5)
-        self.executor.lives.end_life(self.executor._session.life, "minion_down")
+        self.executor.incarnations.end_incarnation(
+            self.executor._session.incarnation, "minion_down"
+        )
         self.clock.advance(150)
         self.assertTrue(self.executor.is_idle)
-        self.assertEqual(0, self.executor._table.used.cpu)
+        self.assertEqual(0, self.executor._table.used_capacity.cpu)
         self.assertEqual(1, len(self.minion.started))
 
 
@@ -339,11 +341,11 @@
     """Minion control that routes calls to one of several minions by address."""
 
     def __init__(self, *minions):
-        self.minions = {minion.life.address: minion for minion in minions}
+        self.minions = {minion.incarnation.address: minion for minion in minions}
 
     def __getattr__(self, name):
-        def call(life, *args):
-            return getattr(self.minions[life.address], name)(life, *args)
+        def call(incarnation, *args):
+            return getattr(self.minions[incarnation.address], name)(incarnation, *args)
 
         return call
 
@@ -354,16 +356,16 @@
     def setUp(self):
         super().setUp()
         self.next = MemoryMinion(self.clock, "i-2")
-        self.next.life = self.next.life._replace(address="127.0.0.1:2")
+        self.next.incarnation = self.next.incarnation._replace(address="127.0.0.1:2")
         self.executor._session.control = MinionRouter(self.minion, self.next)
 
     def test_active_runs_of_previous_minion_are_not_reported_as_over(self):
         self.start_runs(1, run_ms=9_000)
-        eventlet.spawn(self.executor.take_life, self.next.life)
+        eventlet.spawn(self.executor.handle_minion_report, self.next.incarnation)
         self.advance_checking(800, 1)
         self.assertEqual((RUN_LAPSED, "i-2"), (self.outcome(1), self.executor.state().instance))
 
     def test_previous_minion_without_runs_is_replaced_at_once(self):
-        eventlet.spawn(self.executor.take_life, self.next.life)
+        eventlet.spawn(self.executor.handle_minion_report, self.next.incarnation)
         self.clock.advance(STEP_MS)
         self.assertEqual("i-2", self.executor.state().instance)
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -12,7 +12,7 @@
 from geraniumspool.health import PROBES_TO_RESTORE, Health
 from geraniumspool.messages import Offer, OfferedTask, Peer, Results, Revoke, Revoked
 from geraniumspool.minion import Fault, FaultKind, MemoryMinionClient
-from geraniumspool.pace import SLOW, Pace
+from geraniumspool.pace import SLOW_LATENESS, SlownessDetector
 from geraniumspool.runner import RESERVE_MS, Runner
 from tests.world import ProcessClock
 
@@ -269,7 +269,12 @@
             ("ejection limit reached", silent, {"may_eject": lambda: False}, ""),
             ("ejection turned off", silent, {"failure_share": lambda: 1.0}, ""),
             ("twice as slow", Fault(slow_factor=2.0), {}, ""),
-            ("as slow as all others", silent, {"pace": Pace(lambda: 2 * SLOW)}, ""),
+            (
+                "as slow as all others",
+                silent,
+                {"slowness": SlownessDetector(lambda: 2 * SLOW_LATENESS)},
+                "",
+            ),
         )
         for name, fault, health, code in cases:
             with self.subTest(case=name):
--- a/tests/test_unheard_holder.py
+++ b/tests/test_unheard_holder.py
@@ -112,9 +112,9 @@
                 world.dispatchers[0].submit_locally(spec, PATIENT, WAIT_MS)
                 world.clock.advance(CUT_MS)
                 worker = next(candidate for candidate in world.workers if candidate.minion.running)
-                worker.minion.deaf_to = {"stop"} if fault == "stops not heard" else set()
-                worker.minion.mute = fault == "calls not answered"
-                worker.minion.silent = fault == "silent"
+                worker.minion.ignored_calls = {"stop"} if fault == "stops not heard" else set()
+                worker.minion.loses_answers = fault == "calls not answered"
+                worker.minion.is_silent = fault == "silent"
                 for dispatcher in world.dispatchers:
                     dispatcher.kill()
                     world.network.part(worker.address, dispatcher.address)
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -96,11 +96,11 @@
         ]
         for outlook, least, most, of_use in rows:
             with self.subTest(outlook=outlook):
-                chances = urgency.predict_probabilities(TIMING, 100.0, outlook, 1_000.0)
-                self.assertGreaterEqual(chances.in_time, least)
-                self.assertLessEqual(chances.in_time, most)
-                self.assertGreaterEqual(chances.useful, max(of_use, chances.in_time))
-                self.assertLessEqual(chances.useful, 1.0)
+                probabilities = urgency.predict_probabilities(TIMING, 100.0, outlook, 1_000.0)
+                self.assertGreaterEqual(probabilities.in_time, least)
+                self.assertLessEqual(probabilities.in_time, most)
+                self.assertGreaterEqual(probabilities.useful, max(of_use, probabilities.in_time))
+                self.assertLessEqual(probabilities.useful, 1.0)
 
     def test_the_wait_factor_is_learnt_and_one_outlier_changes_it_little(self):
         learner = WaitLearner()
