--- a/benchmarks/soak_witness.py
+++ b/benchmarks/soak_witness.py
@@ -170,7 +170,7 @@
         before = self._next_end
         super()._advance()
         for end in self._ended:
-            if end.number >= before:
+            if end.sequence >= before:
                 self._tell("run ended", end.key, how=end.how)
         self._witness.done.update(end.key.task for end in self._ended if end.how == RUN_DONE)
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -235,7 +235,7 @@
 
     def _propose(self, entry: Process, weight: float, name: str) -> None:
         application = entry.application
-        held = application.configuration.held(KEY)
+        held = application.configuration.get(KEY)
         body = json.dumps({"weight": weight}).encode()
         expected = held.revision if held else 0
         try:
@@ -248,7 +248,7 @@
 
     def _watch_configuration(self) -> None:
         for process in self.world.processes:
-            held = process.application.configuration.held(KEY)
+            held = process.application.configuration.get(KEY)
             revision = held.revision if held else 0
             before = self._revisions.get(process, 0)
             if revision < before:
@@ -260,7 +260,7 @@
         self._watch_configuration()
         newest = max(self._accepted, default=0)
         for process in self.world.processes:
-            held = process.application.configuration.held(KEY)
+            held = process.application.configuration.get(KEY)
             revision = held.revision if held else 0
             address = process.peer.address
             if revision < newest:
--- a/geraniumspool/callers.py
+++ b/geraniumspool/callers.py
@@ -275,7 +275,7 @@
     def _deadline(self, submission: Submission) -> float:
         if submission.deadline_ms > 0:
             return submission.deadline_ms
-        if self._configuration.held(f"service/{submission.service}") is None:
+        if self._configuration.get(f"service/{submission.service}") is None:
             return self._default_deadline_ms
         return self._configuration.service(submission.service).deadline_ms
 
--- a/geraniumspool/change_desk.py
+++ b/geraniumspool/change_desk.py
@@ -231,7 +231,7 @@
             self._on_change(taken)
 
     def _find_base(self, key: str, stored: KeyValue | None) -> _Base:
-        held = self._configuration.held(key)
+        held = self._configuration.get(key)
         stored_revision = stored.revision if stored else 0
         if held is not None and held.revision > stored_revision:
             return _Base(stored_revision, held.revision, held.body.decode() or None)
--- a/geraniumspool/configuration.py
+++ b/geraniumspool/configuration.py
@@ -165,7 +165,7 @@
         rejected = self._rejections.keys() - in_force.keys()
         return (stored | rejected) - listed
 
-    def since(self, revision: int, limit_bytes: int) -> tuple[Document, ...]:
+    def documents_after(self, revision: int, limit_bytes: int) -> tuple[Document, ...]:
         """Return documents and deletions that are newer than a revision.
 
         Documents of one revision are never split between two answers.
@@ -190,7 +190,7 @@
         """Return the documents in force, in the order of their revisions."""
         return tuple(document for document in self._by_revision if document.body)
 
-    def held(self, key: str) -> Document | None:
+    def get(self, key: str) -> Document | None:
         """Return the document or deletion in force for a key, None if there is none."""
         return self._in_force.get(key)
 
--- a/geraniumspool/configuration_watcher.py
+++ b/geraniumspool/configuration_watcher.py
@@ -14,8 +14,8 @@
 WATCH_WATCHING = "watching"
 WATCH_WAITING = "waiting"
 # Pauses between attempts double from the first value to the last.
-WATCH_FIRST_DELAY_MS = 100.0
-WATCH_LAST_DELAY_MS = 5_000.0
+FIRST_RETRY_DELAY_MS = 100.0
+MAX_RETRY_DELAY_MS = 5_000.0
 
 _LOG = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
         self._configuration = configuration
         self._clock = clock
         self._on_change = on_change
-        self._delay_ms = WATCH_FIRST_DELAY_MS
+        self._delay_ms = FIRST_RETRY_DELAY_MS
         self.state = WATCH_LISTING
         self.last_contact_ms: float | None = None
 
@@ -62,10 +62,10 @@
                 _LOG.log(level, "cannot follow configuration store: %s", error)
             self.state = WATCH_WAITING
             self._clock.sleep(self._delay_ms)
-            self._delay_ms = min(self._delay_ms * 2, WATCH_LAST_DELAY_MS)
+            self._delay_ms = min(self._delay_ms * 2, MAX_RETRY_DELAY_MS)
 
     def _is_retrying(self) -> bool:
-        return self._delay_ms > WATCH_FIRST_DELAY_MS
+        return self._delay_ms > FIRST_RETRY_DELAY_MS
 
     def _list_and_watch(self) -> None:
         self.state = WATCH_LISTING
@@ -74,7 +74,7 @@
         self._report(self._configuration.apply_snapshot(snapshot, known_revision))
         self.state = WATCH_WATCHING
         for change in self._store.watch(CONFIG_PREFIX, snapshot.revision):
-            self._delay_ms = WATCH_FIRST_DELAY_MS
+            self._delay_ms = FIRST_RETRY_DELAY_MS
             changes = [] if change is None else [change]
             self._report(self._configuration.apply_stored(changes))
 
--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -267,31 +267,31 @@
     clock_ms: float
 
 
-class ListedEnd(NamedTuple):
+class FinishedRun(NamedTuple):
     """A finished run in a minion's list of unacknowledged finished runs.
 
-    :param number: sequence number, rising within an incarnation of the minion
+    :param sequence: sequence number, rising within an incarnation of the minion
     :param how: one of the RUN_ constants of :mod:`geraniumspool.run_messages`
     """
 
-    number: int
+    sequence: int
     key: RunKey
     how: str
 
 
-class MinionView(NamedTuple):
+class MinionStatus(NamedTuple):
     """A minion's answer to a poll: its current runs and its unacknowledged finished runs.
 
     :param clock_ms: the minion's clock in milliseconds
     :param running: progress of each current run, 0..1
-    :param ended: finished runs that have not been acknowledged, oldest first
+    :param finished: finished runs that have not been acknowledged, oldest first
     :param started_unix_ms: start of the incarnation that answered, as in :class:`MinionIncarnation`
     :param is_partial: whether there may be finished runs beyond those listed
     """
 
     clock_ms: float
     running: dict[RunKey, float]
-    ended: tuple[ListedEnd, ...]
+    finished: tuple[FinishedRun, ...]
     started_unix_ms: int = 0
     is_partial: bool = False
 
@@ -335,7 +335,7 @@
         acknowledged_number: int,
         lease_until_ms: float | None,
         wait_ms: float,
-    ) -> MinionView:
+    ) -> MinionStatus:
         """Poll the minion: renew the lease, acknowledge finished runs, return its runs.
 
         :param fencing_token: fencing token, as in :meth:`start`
--- a/geraniumspool/daemon_settings.py
+++ b/geraniumspool/daemon_settings.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from geraniumspool.errors import Finding, InvalidInput
-from geraniumspool.registrations import MOST_CAPACITY
+from geraniumspool.registrations import MAX_CAPACITY
 
 Settings = TypeVar("Settings")
 
@@ -33,8 +33,8 @@
     store: str
     callers_listen: str
     ready_listen: str
-    processor_share: Annotated[float, msgspec.Meta(gt=0, le=MOST_CAPACITY)] = 1.0
-    processors: Annotated[float, msgspec.Meta(gt=0, le=MOST_CAPACITY)] = 1.0
+    processor_share: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
+    processors: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
     metrics_listen: str = ""
     grace_s: float = 6.0
     log_level: str = "info"
@@ -50,7 +50,7 @@
 
     :param minion_listen: ``host:port`` that the minion sends its reports to
     :param evacuation_ms: time in milliseconds within which an evacuation must be in force,
-        None for ``DEFAULT_BOUND_MS`` of :mod:`geraniumspool.evacuation_guard`
+        None for ``DEFAULT_EVACUATION_MS`` of :mod:`geraniumspool.evacuation_guard`
     """
 
     name: str
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -9,7 +9,7 @@
 from geraniumspool.contracts import Clock, Messenger, MinionControl, MinionIncarnation, Store
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings
-from geraniumspool.evacuation_guard import DEFAULT_BOUND_MS, EvacuationGuard
+from geraniumspool.evacuation_guard import DEFAULT_EVACUATION_MS, EvacuationGuard
 from geraniumspool.evacuations import Evacuations
 from geraniumspool.executor import Executor
 from geraniumspool.leased_key import LeasedKey
@@ -61,7 +61,7 @@
             Evacuations(clock, metrics),
             lambda: store.list(evacuations_prefix),
             evacuations_prefix,
-            settings.evacuation_ms or DEFAULT_BOUND_MS,
+            settings.evacuation_ms or DEFAULT_EVACUATION_MS,
         )
         self.executor = Executor(
             clock,
@@ -95,7 +95,7 @@
         """Bind the listeners and start the green threads."""
         self._messenger.start(self._receive)
         # No task may start before the evacuated failure domains are known.
-        self.guard.check()
+        self.guard.refresh()
         self._run(self.executor.run_poll_loop)
         self._run(self.executor.run_periodic_checks)
         self._run(self._maintain_key)
@@ -146,7 +146,9 @@
             # The previous process withdrew its key, or ended so long ago that the key expired.
             self.executor.incarnations.is_earlier_minion_over = True
         if record is not None and record.life is not None:
-            self._key.go_on_with(encode_record(WorkerRecord(self._settings.domain, record.life)))
+            self._key.set_initial_value(
+                encode_record(WorkerRecord(self._settings.domain, record.life))
+            )
             self.executor.handle_minion_report(record.life)
         self._key.run()
 
@@ -157,7 +159,7 @@
         """Renew a dispatcher's lease; check the key if the dispatcher doesn't see it."""
         self.executor.handle_renewal(dispatcher, message)
         if not message.is_listed:
-            eventlet.spawn_n(self._key.check)
+            eventlet.spawn_n(self._key.check_exists)
 
     def _handle_wrong_incarnation(self, sender: Peer, message: Message) -> None:
         self.executor.expire_dispatcher(Peer(sender.address, message.meant))
--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -209,7 +209,7 @@
         """Apply all operators' keys after the watch has read them anew."""
         prefix = self._keys.evacuations
         domains = list_evacuated(snapshot, prefix)
-        self.evacuations.replace(domains, snapshot.revision, self.evacuations.heard_ms)
+        self.evacuations.replace(domains, snapshot.revision, self.evacuations.confirmed_ms)
         for pair in snapshot.pairs:
             self._apply_configuration(pair.key, pair.value)
 
@@ -217,7 +217,7 @@
         prefix = self._keys.evacuations
         if change.key.startswith(prefix):
             domain = change.key.removeprefix(prefix)
-            self.evacuations.change(domain, change.value is not None, change.revision)
+            self.evacuations.apply_change(domain, change.value is not None, change.revision)
         self._apply_configuration(change.key, change.value)
 
     def _apply_configuration(self, key: str, value: bytes | None) -> None:
@@ -230,11 +230,11 @@
 
     def _load_members(self, snapshot: Snapshot) -> None:
         """Replace the known members after the watch has read them anew."""
-        self._peers.directory.replace(snapshot.pairs, self._clock.now())
+        self._peers.directory.apply_listing(snapshot.pairs, self._clock.now())
         self.router.update_members()
 
     def _apply_member_change(self, change: Change) -> None:
-        self._peers.directory.change(change.key, change.value, self._clock.now())
+        self._peers.directory.apply_change(change.key, change.value, self._clock.now())
         self.router.update_members()
         if change.value is not None and change.key.startswith(WORKER_PREFIX):
             address = change.key.removeprefix(WORKER_PREFIX)
--- a/geraniumspool/dispatcher_peers.py
+++ b/geraniumspool/dispatcher_peers.py
@@ -14,7 +14,7 @@
 from geraniumspool.groups import GROUP_WORKERS, Owner, WorkerLocation, assign_workers
 from geraniumspool.job_messages import DispatcherReport, ServiceLoad
 from geraniumspool.messages import ANY_INCARNATION, Peer
-from geraniumspool.registrations import Directory, DispatcherRecord
+from geraniumspool.registrations import DispatcherRecord, MemberDirectory
 
 _LOG = logging.getLogger(__name__)
 
@@ -158,7 +158,7 @@
         self._me = me
         self._record = record
         self._evacuations = evacuations
-        self.directory = Directory()
+        self.directory = MemberDirectory()
         self.is_leaving = False
         self.views: dict[str, PeerView] = {}
         self.is_connection_closed: Callable[[Peer], bool] = _assume_connected
@@ -193,7 +193,7 @@
         Dispatchers that are neither registered nor alive are removed.
         """
         now = self._clock.now()
-        self.directory.forget(now)
+        self.directory.remove_expired(now)
         listed = self.directory.dispatchers
         for address, record in listed.items():
             if address != self._me.address and address not in self.views:
@@ -271,7 +271,7 @@
         evacuated: dict[str, WorkerLocation] = {}
         for address, site in self._find_sites().items():
             if site.service == service:
-                group = evacuated if self._evacuations.covers(site.domain) else usable
+                group = evacuated if self._evacuations.is_evacuated(site.domain) else usable
                 group[address] = site
         owners = assign_workers(members, usable, self._group_workers)
         return owners | assign_workers(members, evacuated, self._group_workers)
--- a/geraniumspool/evacuations.py
+++ b/geraniumspool/evacuations.py
@@ -22,7 +22,7 @@
 
     :ivar domains: names of the evacuated domains
     :ivar revision: store revision of the list, 0 while no list has been received
-    :ivar heard_ms: latest time on this process's clock at which the store is known to have had
+    :ivar confirmed_ms: latest time on this process's clock at which the store is known to have had
         this list
     :ivar on_change: called when the first list is received, and after each change of the
         domains
@@ -37,7 +37,7 @@
         self._counters = counters
         self.domains: frozenset[str] = frozenset()
         self.revision = 0
-        self.heard_ms = clock.now() - UNKNOWN_AGE_MS
+        self.confirmed_ms = clock.now() - UNKNOWN_AGE_MS
         self.on_change: Callable[[], None] = _ignore
 
     @property
@@ -48,20 +48,20 @@
     @property
     def age_ms(self) -> float:
         """Time in milliseconds since the store is known to have had this list."""
-        return self._clock.now() - self.heard_ms
+        return self._clock.now() - self.confirmed_ms
 
-    def covers(self, domain: str) -> bool:
+    def is_evacuated(self, domain: str) -> bool:
         """Return whether a domain is evacuated, so that no task may be started there."""
         return domain in self.domains
 
-    def replace(self, domains: Iterable[str], revision: int, heard_ms: float) -> None:
+    def replace(self, domains: Iterable[str], revision: int, confirmed_ms: float) -> None:
         """Replace the list if ``revision`` is newer than that of the known list.
 
         :param domains: all evacuated domains
         :param revision: store revision of the list
-        :param heard_ms: time at which the store still had this list
+        :param confirmed_ms: time at which the store still had this list
         """
-        self.confirm(heard_ms)
+        self.confirm(confirmed_ms)
         if revision <= self.revision:
             return
         is_first = not self.is_known
@@ -71,26 +71,26 @@
             self._log_change(before)
             self.on_change()
 
-    def change(self, domain: str, is_evacuated: bool, revision: int) -> None:
+    def apply_change(self, domain: str, is_evacuated: bool, revision: int) -> None:
         """Apply a change of one domain.
 
         :param is_evacuated: whether the domain is evacuated, False if it is back in use
         :param revision: store revision of the change
         """
         combine = self.domains.union if is_evacuated else self.domains.difference
-        self.replace(combine((domain,)), revision, self.heard_ms)
+        self.replace(combine((domain,)), revision, self.confirmed_ms)
 
-    def confirm(self, heard_ms: float) -> None:
+    def confirm(self, confirmed_ms: float) -> None:
         """Record a time at which the store still had the known list."""
-        self.heard_ms = max(self.heard_ms, heard_ms)
+        self.confirmed_ms = max(self.confirmed_ms, confirmed_ms)
 
-    def tell(self) -> EvacuationNews:
+    def to_message(self) -> EvacuationNews:
         """Return the list as a message to other processes."""
         if not self.is_known:
             return EvacuationNews()
         return EvacuationNews(self.revision, tuple(sorted(self.domains)), round(self.age_ms))
 
-    def hear(self, news: EvacuationNews, sent_ms: float) -> None:
+    def merge(self, news: EvacuationNews, sent_ms: float) -> None:
         """Merge the list that another process sent.
 
         The sender echoes the last time that it received from this process's clock, so that
--- a/geraniumspool/executor.py
+++ b/geraniumspool/executor.py
@@ -150,7 +150,7 @@
 
     def handle_start(self, peer: Peer, message: StartRuns) -> None:
         """Accept or refuse the runs that a dispatcher orders, and renew its lease."""
-        self._guard.evacuations.hear(message.evacuations, message.echo_ms)
+        self._guard.evacuations.merge(message.evacuations, message.echo_ms)
         dispatcher = self._renew_lease(peer, message.echo_ms)
         now = self._clock.now()
         for order in message.orders:
@@ -177,7 +177,7 @@
 
     def handle_renewal(self, peer: Peer, message: RenewRuns) -> None:
         """Renew a dispatcher's lease and reconcile its list of runs with the runs here."""
-        self._guard.evacuations.hear(message.evacuations, message.echo_ms)
+        self._guard.evacuations.merge(message.evacuations, message.echo_ms)
         dispatcher = self._renew_lease(peer, message.echo_ms)
         wanted = set(message.numbers)
         for number, run in list(dispatcher.runs.items()):
@@ -196,7 +196,7 @@
         """Enforce time limits periodically, forever."""
         while True:
             self._clock.sleep(IDLE_TICK_MS if self.is_idle else TICK_MS)
-            self._guard.check()
+            self._guard.refresh()
             self._enforce_limits(self._clock.now())
 
     def leave(self) -> None:
@@ -235,7 +235,7 @@
 
     def _handle_guard_change(self) -> None:
         """Handle a change in whether tasks may start here."""
-        refusal = self._guard.refusal
+        refusal = self._guard.refusal_reason
         fields = (("reason", refusal), ("runs", len(self._table)))
         _LOG.info(
             "task starts blocked" if refusal else "task starts allowed", extra={"fields": fields}
@@ -279,8 +279,8 @@
     def _refuse_reason(self, dispatcher: KnownDispatcher, order: RunOrder, now: float) -> str:
         if dispatcher.lease_until_ms <= now:
             return "lease_over"
-        if self._guard.refusal:
-            return self._guard.refusal
+        if self._guard.refusal_reason:
+            return self._guard.refusal_reason
         if not self._accepts():
             return "not_accepting"
         if order.limit_ms <= 0:
@@ -303,7 +303,7 @@
             self.is_leaving
             or incarnation is None
             or incarnation.report.draining
-            or self._guard.refusal
+            or self._guard.refusal_reason
         ):
             return False
         if not (incarnation.is_free_of_orphans and incarnation.has_reported):
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -363,7 +363,7 @@
         """Send the queued runs, in one message to each worker."""
         outbox, self._outbox = self._outbox, {}
         now = self._clock.now()
-        evacuations = self._evacuations.tell()
+        evacuations = self._evacuations.to_message()
         for peer, orders in outbox.items():
             view = self._views[peer.address]
             view.note_sent(now)
@@ -449,7 +449,7 @@
 
     def _mark_evacuated(self, view: WorkerView, domain: str) -> None:
         """Set whether a worker is evacuated; all are until the evacuated domains are known."""
-        view.is_evacuated = not self._evacuations.is_known or self._evacuations.covers(domain)
+        view.is_evacuated = not self._evacuations.is_known or self._evacuations.is_evacuated(domain)
 
     def _apply_domain(self, view: WorkerView, domain: str) -> None:
         """Stop using an evacuated worker; ask one of a restored domain for its state."""
@@ -470,7 +470,7 @@
         listed_before = now - LISTED_AFTER_MS
         numbers = [run.number for run in view.runs.values() if run.sent_ms < listed_before]
         upto = max(numbers, default=0)
-        evacuations = self._evacuations.tell()
+        evacuations = self._evacuations.to_message()
         message = RenewRuns(view.worker_clock_ms, tuple(numbers), upto, view.is_listed, evacuations)
         self._send(view.peer, message)
 
--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -379,7 +379,7 @@
     def handle_report(self, sender: Peer, report: DispatcherReport) -> None:
         """Handle another dispatcher's report of its load and of the jobs that it waits for."""
         now = self._clock.now()
-        self._evacuations.hear(report.evacuations, report.echo_ms)
+        self._evacuations.merge(report.evacuations, report.echo_ms)
         view = self.peers.find_or_add(sender)
         was_leaving, was_alive = view.is_leaving, view.was_alive
         view.apply_report(report, now)
@@ -582,7 +582,7 @@
         A dispatcher that gains its first workers or loses its last one reports to all at once.
         """
         loads = self._dispatcher.describe_loads()
-        evacuation_news = self._evacuations.tell()
+        evacuation_news = self._evacuations.to_message()
         unlisted = self._dispatcher.fleet.list_unregistered()
         has_changed_loads = bool(loads) != self._had_loads
         self._had_loads = bool(loads)
@@ -634,7 +634,7 @@
         return [
             address
             for address, record in workers.items()
-            if not self._evacuations.covers(record.domain)
+            if not self._evacuations.is_evacuated(record.domain)
         ]
 
     def _update_groups(self) -> None:
--- a/geraniumspool/leased_key.py
+++ b/geraniumspool/leased_key.py
@@ -59,7 +59,7 @@
         self.was_absent = found is None
         return found.value if found else None
 
-    def go_on_with(self, value: bytes) -> None:
+    def set_initial_value(self, value: bytes) -> None:
         """Set the value of the first write; only valid before :meth:`run`."""
         self._value = value
 
@@ -91,7 +91,7 @@
             _LOG.info("leased key written", extra={"fields": fields})
         return True
 
-    def check(self) -> None:
+    def check_exists(self) -> None:
         """Read the key after another process reported it missing, and restore it if needed.
 
         At most one read is made per time to live.
--- a/geraniumspool/memory_minion.py
+++ b/geraniumspool/memory_minion.py
@@ -7,9 +7,9 @@
 
 from geraniumspool.contracts import (
     Clock,
-    ListedEnd,
+    FinishedRun,
     MinionIncarnation,
-    MinionView,
+    MinionStatus,
     RunKey,
     StartAnswer,
     StartOutcome,
@@ -126,7 +126,7 @@
             instance, "fitting", "127.0.0.1:1", resources, labels, False, 1, started_unix_ms
         )
         self._running: dict[RunKey, _Running] = {}
-        self._ended: list[ListedEnd] = []
+        self._ended: list[FinishedRun] = []
         self._closed_attempts: dict[str, int] = {}
         self._next_end = 1
         self._fence = 0
@@ -255,7 +255,7 @@
         acknowledged_number: int,
         lease_until_ms: float | None,
         wait_ms: float,
-    ) -> MinionView:
+    ) -> MinionStatus:
         """Renew the lease and list runs; see :class:`~geraniumspool.contracts.MinionControl`."""
         self._call(
             "look",
@@ -276,7 +276,7 @@
         }
         ended = tuple(self._ended[:MAX_LISTED_ENDS])
         is_partial = len(self._ended) > MAX_LISTED_ENDS
-        return MinionView(
+        return MinionStatus(
             self.clock_ms, running, ended, self.incarnation.started_unix_ms, is_partial
         )
 
@@ -388,7 +388,7 @@
 
     def _renew(self, fence: int, acknowledged: int, lease_until_ms: float | None) -> None:
         self._raise_fence(fence)
-        self._ended = [end for end in self._ended if end.number > acknowledged]
+        self._ended = [end for end in self._ended if end.sequence > acknowledged]
         if lease_until_ms is not None:
             self._extend(lease_until_ms)
 
@@ -418,5 +418,5 @@
                 run.key.attempt, self._closed_attempts.get(run.key.task, 0)
             )
             how = RUN_LAPSED if has_lapsed else run.how
-            self._ended.append(ListedEnd(self._next_end, run.key, how))
+            self._ended.append(FinishedRun(self._next_end, run.key, how))
             self._next_end += 1
--- a/geraniumspool/minion_life.py
+++ b/geraniumspool/minion_life.py
@@ -31,9 +31,9 @@
     :ivar orphans: orphaned runs, which nobody here has ordered, that are being stopped
     """
 
-    def __init__(self, life: MinionIncarnation, now: float, has_reported: bool = True):
+    def __init__(self, report: MinionIncarnation, now: float, has_reported: bool = True):
         """Initialize from the first report of the minion."""
-        self.report = life
+        self.report = report
         self.has_reported = has_reported
         self.clock_ms = 0.0
         self.clock_received_ms = now
--- a/geraniumspool/minion_lives.py
+++ b/geraniumspool/minion_lives.py
@@ -5,7 +5,7 @@
 
 import eventlet
 
-from geraniumspool.contracts import Clock, Counters, MinionIncarnation, MinionView
+from geraniumspool.contracts import Clock, Counters, MinionIncarnation, MinionStatus
 from geraniumspool.errors import (
     DispatchError,
     Fenced,
@@ -61,7 +61,7 @@
         )
         self.is_earlier_minion_over = False
         self.on_incarnation: Callable[[MinionIncarnation], None] = _ignore_life
-        self.on_adopted: Callable[[IncarnationState, MinionView, float], None] = _ignore_view
+        self.on_adopted: Callable[[IncarnationState, MinionStatus, float], None] = _ignore_view
 
     def handle_report(self, report: MinionIncarnation) -> None:
         """Handle a report in which a minion describes itself.
@@ -85,7 +85,7 @@
             session.control.poll(report, fence, 0, None, 0.0)
             sent_ms = self._clock.now()
             min_fence = session.invalidate_earlier_calls()
-            view = session.control.poll(report, min_fence, 0, None, 0.0)
+            status = session.control.poll(report, min_fence, 0, None, 0.0)
         except (MinionReplaced, MinionSilent) as error:
             self._note_earlier_minion(error)
             _log_not_adopted(report, error)
@@ -101,7 +101,7 @@
             # one has ended. At another address it does not.
             self._await_end(incarnation)
             return self.handle_report(report)
-        self._adopt(report, view, sent_ms, min_fence)
+        self._adopt(report, status, sent_ms, min_fence)
         return None
 
     def _note_earlier_minion(self, error: DispatchError) -> None:
@@ -193,12 +193,12 @@
         sent_ms = self._clock.now()
         min_fence = session.invalidate_earlier_calls()
         try:
-            view = session.control.poll(report, min_fence, 0, None, 0.0)
+            status = session.control.poll(report, min_fence, 0, None, 0.0)
         except (MinionSilent, MinionReplaced, Fenced) as error:
             _log_not_adopted(report, error)
             return
         if session.incarnation is incarnation:
-            self._adopt(report, view, sent_ms, min_fence, is_described=False)
+            self._adopt(report, status, sent_ms, min_fence, is_described=False)
 
     def _ignore_stale(self, incarnation: IncarnationState, report: MinionIncarnation) -> None:
         """Count and log a report that is older than one already handled."""
@@ -252,7 +252,7 @@
     def _adopt(
         self,
         report: MinionIncarnation,
-        view: MinionView,
+        status: MinionStatus,
         sent_ms: float,
         min_fence: int,
         is_described: bool = True,
@@ -260,7 +260,7 @@
         """Serve another incarnation from now on.
 
         :param report: its report, or one derived from the previous incarnation's
-        :param view: its answer to a poll that invalidated all earlier calls
+        :param status: its answer to a poll that invalidated all earlier calls
         :param sent_ms: when that poll was sent
         :param min_fence: fencing token of that poll; calls sent with it since then may also have
             started runs
@@ -276,15 +276,15 @@
                 "fields": (
                     *_life_fields(report),
                     ("sequence", report.sequence),
-                    ("running", len(view.running)),
+                    ("running", len(status.running)),
                     ("fence", session.fencing_token),
                 )
             },
         )
         self._ends.reset_minion_health()
         if previous is not None:
-            self._transfer_runs(previous, incarnation, view, min_fence)
-        self.on_adopted(incarnation, view, sent_ms)
+            self._transfer_runs(previous, incarnation, status, min_fence)
+        self.on_adopted(incarnation, status, sent_ms)
         self._reporter.report_to_all()
         if is_described:
             eventlet.spawn_n(self.on_incarnation, report)
@@ -293,7 +293,7 @@
         self,
         previous: IncarnationState,
         incarnation: IncarnationState,
-        view: MinionView,
+        status: MinionStatus,
         min_fence: int,
     ) -> None:
         """Give up the runs of an incarnation that has ended, except those that its successor holds.
@@ -303,7 +303,7 @@
         self._log_lost(previous, "minion_replaced")
         if previous.report.instance == incarnation.report.instance:
             incarnation.assume_longest_lease(self._clock.now())
-        listed_keys = view.running.keys() | {end.key for end in view.ended}
+        listed_keys = status.running.keys() | {end.key for end in status.finished}
         for run in self._table:
             # The outcome of a start sent since then follows from its answer or from the next poll.
             may_run = run.key in listed_keys or run.fencing_token >= min_fence
@@ -334,5 +334,5 @@
     pass
 
 
-def _ignore_view(_life: IncarnationState, _view: MinionView, _sent_ms: float) -> None:
+def _ignore_view(_life: IncarnationState, _view: MinionStatus, _sent_ms: float) -> None:
     pass
--- a/geraniumspool/minion_session.py
+++ b/geraniumspool/minion_session.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from geraniumspool.contracts import MinionControl, MinionView
+from geraniumspool.contracts import MinionControl, MinionStatus
 from geraniumspool.minion_life import IncarnationState
 
 _LOG = logging.getLogger(__name__)
@@ -43,7 +43,7 @@
         self.fencing_token += 1
         return self.fencing_token
 
-    def poll_now(self, incarnation: IncarnationState) -> MinionView:
+    def poll_now(self, incarnation: IncarnationState) -> MinionStatus:
         """Poll the minion at once, without renewing its lease.
 
         :returns: the runs that are active and those that have ended
--- a/geraniumspool/minion_watch.py
+++ b/geraniumspool/minion_watch.py
@@ -2,7 +2,7 @@
 
 from eventlet.event import Event
 
-from geraniumspool.contracts import Clock, MinionView
+from geraniumspool.contracts import Clock, MinionStatus
 from geraniumspool.errors import Fenced, MinionDown, MinionReplaced, MinionSilent
 from geraniumspool.minion_life import IncarnationState
 from geraniumspool.minion_lives import MinionIncarnations
@@ -59,7 +59,7 @@
         self._lives = incarnations
         self._stops = incarnations.stops
         self._starts = incarnations.starts
-        incarnations.on_adopted = self._handle_first_view
+        incarnations.on_adopted = self._handle_first_status
 
     @property
     def is_responding(self) -> bool:
@@ -94,7 +94,7 @@
         )
         fence = session.fencing_token
         try:
-            view = session.control.poll(
+            status = session.control.poll(
                 incarnation.report, fence, incarnation.acknowledged_end, lease, wait_ms
             )
         except MinionSilent as error:
@@ -108,7 +108,7 @@
             return False
         incarnation.refused_polls = 0
         if session.incarnation is incarnation:
-            self._handle_view(incarnation, view, now)
+            self._handle_status(incarnation, status, now)
             if not incarnation.is_free_of_orphans:
                 self._clock.sleep(ORPHAN_POLL_INTERVAL_MS)
             self._lives.end_departed(incarnation)
@@ -131,28 +131,30 @@
         elif self._clock.now() - incarnation.answered_ms > SILENT_MS:
             self._lapse_unleased(incarnation)
 
-    def _handle_first_view(
-        self, incarnation: IncarnationState, view: MinionView, sent_ms: float
+    def _handle_first_status(
+        self, incarnation: IncarnationState, status: MinionStatus, sent_ms: float
     ) -> None:
         """Handle the first poll answer of an incarnation just adopted, and start polling."""
         if not self._arrived.ready():
             self._arrived.send()
-        self._handle_view(incarnation, view, sent_ms)
+        self._handle_status(incarnation, status, sent_ms)
 
-    def _handle_view(self, incarnation: IncarnationState, view: MinionView, sent_ms: float) -> None:
-        incarnation.record_answer(view.clock_ms, sent_ms, self._clock.now())
-        for end in sorted(view.ended):
-            if end.number > incarnation.acknowledged_end:
-                incarnation.acknowledged_end = end.number
+    def _handle_status(
+        self, incarnation: IncarnationState, status: MinionStatus, sent_ms: float
+    ) -> None:
+        incarnation.record_answer(status.clock_ms, sent_ms, self._clock.now())
+        for end in sorted(status.finished):
+            if end.sequence > incarnation.acknowledged_end:
+                incarnation.acknowledged_end = end.sequence
                 self._ends.handle_listed_end(end)
-        self._update_running(view, sent_ms)
+        self._update_running(status, sent_ms)
         if not incarnation.is_free_of_orphans:
-            self._clear_if_known(incarnation, view)
+            self._clear_if_known(incarnation, status)
         self._starts.start_queued()
 
-    def _update_running(self, view: MinionView, sent_ms: float) -> None:
+    def _update_running(self, status: MinionStatus, sent_ms: float) -> None:
         now = self._clock.now()
-        for key, progress in view.running.items():
+        for key, progress in status.running.items():
             run = self._table.find(key)
             if run is None:
                 self._stops.stop_orphan(key)
@@ -163,22 +165,22 @@
                 run.progress = progress
                 run.progressed_ms = now
             self._ends.record_progress(run, now)
-        if not view.is_partial:
-            self._lapse_missing(view, sent_ms)
+        if not status.is_partial:
+            self._lapse_missing(status, sent_ms)
 
-    def _lapse_missing(self, view: MinionView, sent_ms: float) -> None:
+    def _lapse_missing(self, status: MinionStatus, sent_ms: float) -> None:
         """Finish confirmed runs that the minion lists neither as active nor as ended.
 
         Called only for views that list all ends.
         """
         for run in self._table:
             is_confirmed = run.confirmed_ms and run.confirmed_ms < sent_ms
-            if is_confirmed and run.key not in view.running and run.state is not RunState.QUEUED:
+            if is_confirmed and run.key not in status.running and run.state is not RunState.QUEUED:
                 self._ends.finish(run, RunEnd(run.order.number, RUN_LAPSED, reason="vanished"))
 
-    def _clear_if_known(self, incarnation: IncarnationState, view: MinionView) -> None:
+    def _clear_if_known(self, incarnation: IncarnationState, status: MinionStatus) -> None:
         """Begin to accept runs once no run of an earlier executor is active on the minion."""
-        if any(self._table.find(key) is None for key in view.running):
+        if any(self._table.find(key) is None for key in status.running):
             return
         incarnation.is_free_of_orphans = True
         self._reporter.report_to_all()
--- a/geraniumspool/platform/__main__.py
+++ b/geraniumspool/platform/__main__.py
@@ -27,7 +27,7 @@
 from geraniumspool.program import run_application
 
 SETTINGS_VARIABLE = "GERANIUMSPOOL_SETTINGS"
-BAD_SETTINGS = 2
+EXIT_BAD_SETTINGS = 2
 # Imported by role, so that a program loads only its own modules: after a power loss callers
 # wait for its start.
 PROGRAMS = {
@@ -53,13 +53,13 @@
     """
     if len(arguments) != 1 or arguments[0] not in PROGRAMS:
         print(f"usage: python3 -m geraniumspool.platform {'|'.join(PROGRAMS)}", file=sys.stderr)
-        return BAD_SETTINGS
+        return EXIT_BAD_SETTINGS
     try:
         app = build(arguments[0])
     except InvalidInput as error:
         for finding in error.findings:
             print(finding, file=sys.stderr)
-        return BAD_SETTINGS
+        return EXIT_BAD_SETTINGS
     code = run_application(app)
     logging.shutdown()
     return code
--- a/geraniumspool/platform/configuration.py
+++ b/geraniumspool/platform/configuration.py
@@ -12,7 +12,7 @@
 OPERATOR_KEYS = OperatorKeys("op/", "op/config", "op/evacuate/")
 
 
-class Route(msgspec.Struct):
+class RouteBody(msgspec.Struct):
     """A queue, as a stored configuration describes it.
 
     :ivar host: host name in the callers' requests
@@ -46,21 +46,21 @@
     max_body_bytes: int = 0
 
 
-class Configuration(msgspec.Struct):
+class ConfigurationBody(msgspec.Struct):
     """A stored configuration; each version replaces the one before it completely."""
 
     version: int
-    routes: list[Route] = []
+    routes: list[RouteBody] = []
     limits: Limits = Limits()
 
 
 def decode_configuration(data: bytes) -> QueueTable | None:
     """Return the queues of a stored configuration, or None if it is invalid.
 
-    :param data: JSON text of a :class:`Configuration`
+    :param data: JSON text of a :class:`ConfigurationBody`
     """
     try:
-        configuration = msgspec.json.decode(data, type=Configuration)
+        configuration = msgspec.json.decode(data, type=ConfigurationBody)
     except msgspec.MsgspecError as error:
         _LOG.error("invalid stored configuration", extra={"fields": (("error", str(error)),)})
         return None
@@ -68,7 +68,7 @@
     return QueueTable(configuration.version, queues, configuration.limits.max_body_bytes)
 
 
-def _queue_from_route(route: Route) -> Queue:
+def _queue_from_route(route: RouteBody) -> Queue:
     return Queue(
         route.name,
         route.host,
--- a/geraniumspool/platform/dispatcher_program.py
+++ b/geraniumspool/platform/dispatcher_program.py
@@ -13,7 +13,7 @@
 from geraniumspool.platform.configuration import OPERATOR_KEYS, decode_configuration
 from geraniumspool.platform.ingress import Ingress, ReadyCheck
 from geraniumspool.platform.store import KeyValueStore
-from geraniumspool.process_start import STARTED_MS
+from geraniumspool.process_start import PROCESS_STARTED_MS
 from geraniumspool.webserver import WebServer
 
 
@@ -37,7 +37,7 @@
         store,
         OPERATOR_KEYS,
         decode_configuration,
-        STARTED_MS,
+        PROCESS_STARTED_MS,
     )
     callers = WebServer(
         Ingress(entry.router, entry.configuration, metrics), settings.callers_listen, clock
--- a/geraniumspool/platform/executor_program.py
+++ b/geraniumspool/platform/executor_program.py
@@ -12,9 +12,9 @@
 from geraniumspool.metrics_page import serve_metrics
 from geraniumspool.platform.configuration import OPERATOR_KEYS
 from geraniumspool.platform.minion import HttpMinionControl
-from geraniumspool.platform.reports import Reports
+from geraniumspool.platform.reports import MinionReportsApplication
 from geraniumspool.platform.store import KeyValueStore
-from geraniumspool.process_start import STARTED_MS
+from geraniumspool.process_start import PROCESS_STARTED_MS
 from geraniumspool.webserver import WebServer
 
 
@@ -39,9 +39,11 @@
         store,
         control,
         OPERATOR_KEYS.evacuations,
-        STARTED_MS,
+        PROCESS_STARTED_MS,
+    )
+    reports = WebServer(
+        MinionReportsApplication(agent.executor, metrics), settings.minion_listen, clock
     )
-    reports = WebServer(Reports(agent.executor, metrics), settings.minion_listen, clock)
     pages = serve_metrics(metrics, "executor", settings.domain, settings.metrics_listen, clock)
     agent.serve([reports, *pages])
     return agent
--- a/geraniumspool/platform/minion.py
+++ b/geraniumspool/platform/minion.py
@@ -10,9 +10,9 @@
 from geraniumspool.contracts import (
     Clock,
     Counters,
-    ListedEnd,
+    FinishedRun,
     MinionIncarnation,
-    MinionView,
+    MinionStatus,
     RunKey,
     StartAnswer,
     StartOutcome,
@@ -23,13 +23,13 @@
 # Timeout of a start or stop. A call on the same host takes 1 to 2 ms, ten times as long on a
 # slow host. A task whose start is lost is sent to another worker after this; the shortest
 # jobs have 250 ms in all.
-ORDER_ANSWER_MS = 120.0
+COMMAND_TIMEOUT_MS = 120.0
 # Timeout of a poll: two polls in a row may be lost before the lease of 500 ms expires.
-LOOK_ANSWER_MS = 80.0
+POLL_TIMEOUT_MS = 80.0
 # Connection limits per minion. Calls are short compared with the pauses between them, so that
 # a few connections suffice and stay in use; more would be closed as idle and opened again.
-ORDER_CONNECTIONS = 3
-LOOK_CONNECTIONS = 1
+COMMAND_CONNECTIONS = 3
+POLL_CONNECTIONS = 1
 # Most finished runs in one answer to a poll; more follow once these are acknowledged.
 LISTED_ENDS = 500
 
@@ -75,7 +75,7 @@
     fence: int
 
 
-class Answered(msgspec.Struct):
+class CommandAnswer(msgspec.Struct):
     """Answer to a start, a stop or a refused poll.
 
     :ivar clock_ms: the minion's clock in milliseconds
@@ -86,7 +86,7 @@
     reason: str = ""
 
 
-class Held(msgspec.Struct):
+class PollAnswer(msgspec.Struct):
     """Answer to a poll.
 
     :ivar clock_ms: the minion's clock in milliseconds
@@ -127,8 +127,8 @@
     ) -> StartAnswer:
         """Start a run; see :meth:`geraniumspool.contracts.MinionControl.start`."""
         body = StartBody(key.task, key.attempt, payload, int(lease_until_ms), fencing_token)
-        endpoint = self._endpoint_for(self._command_endpoints, incarnation, ORDER_CONNECTIONS)
-        response = self._call(endpoint, incarnation, "/run-start", body, ORDER_ANSWER_MS)
+        endpoint = self._endpoint_for(self._command_endpoints, incarnation, COMMAND_CONNECTIONS)
+        response = self._call(endpoint, incarnation, "/run-start", body, COMMAND_TIMEOUT_MS)
         if response.status in (429, 503):
             return StartAnswer(StartOutcome.UNHEALTHY, 0.0)
         if response.status == 400:
@@ -136,7 +136,7 @@
         if response.status not in (200, 409):
             # Any other status leaves open whether the run started.
             raise MinionSilent(f"minion answered a start with status {response.status}")
-        answer = _decode(response, Answered)
+        answer = _decode(response, CommandAnswer)
         if response.status == 200:
             return StartAnswer(StartOutcome.STARTED, answer.clock_ms)
         outcome = _OUTCOMES.get(answer.reason, StartOutcome.REJECTED)
@@ -145,8 +145,8 @@
     def stop(self, incarnation: MinionIncarnation, key: RunKey, fencing_token: int) -> None:
         """Stop a run; see :meth:`geraniumspool.contracts.MinionControl.stop`."""
         body = StopBody(key.task, key.attempt, fencing_token)
-        endpoint = self._endpoint_for(self._command_endpoints, incarnation, ORDER_CONNECTIONS)
-        response = self._call(endpoint, incarnation, "/run-stop", body, ORDER_ANSWER_MS)
+        endpoint = self._endpoint_for(self._command_endpoints, incarnation, COMMAND_CONNECTIONS)
+        response = self._call(endpoint, incarnation, "/run-stop", body, COMMAND_TIMEOUT_MS)
         _raise_unless_ok(response)
 
     def poll(
@@ -156,17 +156,17 @@
         acknowledged_number: int,
         lease_until_ms: float | None,
         wait_ms: float,
-    ) -> MinionView:
+    ) -> MinionStatus:
         """Poll the minion; see :meth:`geraniumspool.contracts.MinionControl.poll`."""
         body = {"fence": fencing_token, "acked_upto": acknowledged_number}
         if lease_until_ms is not None:
             body["deadline_ms"] = int(lease_until_ms)
         if wait_ms:
             body["wait_ms"] = round(wait_ms)
-        endpoint = self._endpoint_for(self._poll_endpoints, incarnation, LOOK_CONNECTIONS)
-        response = self._call(endpoint, incarnation, "/hold", body, LOOK_ANSWER_MS + wait_ms)
+        endpoint = self._endpoint_for(self._poll_endpoints, incarnation, POLL_CONNECTIONS)
+        response = self._call(endpoint, incarnation, "/hold", body, POLL_TIMEOUT_MS + wait_ms)
         _raise_unless_ok(response)
-        held = _decode(response, Held)
+        held = _decode(response, PollAnswer)
         if held.born != incarnation.started_unix_ms:
             detail = (
                 f"minion {incarnation.instance} started at {held.born}, "
@@ -174,9 +174,9 @@
             )
             raise MinionReplaced(detail, held.born)
         running = {RunKey(row[0], row[1]): row[3] / 100 for row in held.running}
-        ended = tuple(ListedEnd(row[0], RunKey(row[1], row[2]), row[3]) for row in held.ended)
+        ended = tuple(FinishedRun(row[0], RunKey(row[1], row[2]), row[3]) for row in held.ended)
         is_partial = len(ended) >= LISTED_ENDS
-        return MinionView(held.clock_ms, running, ended, held.born, is_partial)
+        return MinionStatus(held.clock_ms, running, ended, held.born, is_partial)
 
     def _call(
         self,
@@ -220,7 +220,7 @@
 def _raise_unless_ok(response: urllib3.BaseHTTPResponse) -> None:
     if response.status == 200:
         return
-    if response.status == 409 and _decode(response, Answered).reason == "fence":
+    if response.status == 409 and _decode(response, CommandAnswer).reason == "fence":
         raise Fenced("the minion has seen a higher fencing token")
     raise MinionSilent(f"minion answered with status {response.status}")
 
--- a/geraniumspool/platform/reports.py
+++ b/geraniumspool/platform/reports.py
@@ -57,7 +57,7 @@
     labels: list[str] = []
 
 
-class LeaveBody(msgspec.Struct):
+class DeregistrationBody(msgspec.Struct):
     """A minion's last report, sent as it shuts down.
 
     :ivar born: as in :class:`ReportBody`, 0 if the minion does not say
@@ -66,7 +66,7 @@
     born: int = 0
 
 
-class Reports(Application):
+class MinionReportsApplication(Application):
     """WSGI application that passes a minion's reports to the executor."""
 
     def __init__(self, executor: Executor, counters: Counters):
@@ -104,7 +104,7 @@
 
     def _handle_leave(self, request: Request) -> Reply:
         try:
-            body = msgspec.json.decode(request.body or b"{}", type=LeaveBody)
+            body = msgspec.json.decode(request.body or b"{}", type=DeregistrationBody)
         except msgspec.MsgspecError as error:
             return _reject_report(request, error)
         self._executor.handle_minion_departure(request.parameters[0], body.born)
--- a/geraniumspool/platform/store.py
+++ b/geraniumspool/platform/store.py
@@ -25,7 +25,7 @@
 # timeout, which is less than the two seconds within which a configuration must be in force.
 # Shorter waits cost more calls.
 WATCH_WAIT_MS = 1_000
-CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 
 AnswerT = TypeVar("AnswerT")
 
@@ -55,7 +55,7 @@
     has_more: bool = False
 
 
-class Events(msgspec.Struct):
+class WatchAnswer(msgspec.Struct):
     """Answer to a watch call.
 
     :ivar as_of: revision that the next watch call starts after
@@ -65,7 +65,7 @@
     as_of: int
 
 
-class Granted(msgspec.Struct):
+class LeaseAnswer(msgspec.Struct):
     """A new lease or the renewal of one.
 
     :ivar ttl_ms: time to live in milliseconds
@@ -76,7 +76,7 @@
     lease: int = 0
 
 
-class Written(msgspec.Struct):
+class CommitAnswer(msgspec.Struct):
     """A transaction that was committed.
 
     :ivar revision: store revision of the transaction
@@ -85,7 +85,7 @@
     revision: int
 
 
-class Conflict(msgspec.Struct):
+class ConflictAnswer(msgspec.Struct):
     """A transaction whose precondition failed.
 
     :ivar items: current state of the compared keys; keys that do not exist are left out
@@ -113,7 +113,7 @@
         :param counters: where ``store_calls`` is counted by kind and outcome
         :param timeout_ms: longest wait for an answer in milliseconds
         """
-        self._endpoint = Endpoint(f"http://{address}", CONNECTIONS, clock)
+        self._endpoint = Endpoint(f"http://{address}", MAX_CONNECTIONS, clock)
         self._counters = counters
         self._timeout_ms = timeout_ms
 
@@ -159,14 +159,14 @@
         """Return the id of a new lease; see :meth:`geraniumspool.contracts.Store.grant_lease`."""
         body = {"ttl_ms": round(ttl_ms)}
         response = self._call("grant", "POST", "/kv-lease", StoreUnknown, body)
-        return _decode(response, Granted, StoreUnknown).lease
+        return _decode(response, LeaseAnswer, StoreUnknown).lease
 
     def keep_alive(self, lease: int) -> float:
         """Renew a lease and return its time to live in milliseconds."""
         response = self._call("keep", "POST", f"/kv-keep/{lease}", StoreUnknown, {})
         if response.status == 404:
             raise LeaseExpired(f"lease {lease} does not exist in the store")
-        return _decode(response, Granted, StoreUnknown).ttl_ms
+        return _decode(response, LeaseAnswer, StoreUnknown).ttl_ms
 
     def watch(self, prefix: str, revision: int) -> Iterator[Change | None]:
         """Yield changes under a prefix after ``revision``, and None after each call.
@@ -179,7 +179,7 @@
             response = self._call("watch", "GET", path, StoreUnavailable, None, WATCH_WAIT_MS)
             if response.status == 410:
                 raise CompactedRevision(f"revision {revision} of {prefix!r} has been compacted")
-            batch = _decode(response, Events, StoreUnavailable)
+            batch = _decode(response, WatchAnswer, StoreUnavailable)
             for event in batch.events:
                 value = None if event.deleted else base64.b64decode(event.value)
                 yield Change(event.key, value, event.revision)
@@ -190,12 +190,12 @@
         body = {"expect": [{"key": key, "revision": expected_revision}], **body}
         response = self._call("swap", "POST", "/kv-txn", StoreUnknown, body)
         if response.status == 412:
-            items = _decode(response, Conflict, StoreUnavailable, 412).items
+            items = _decode(response, ConflictAnswer, StoreUnavailable, 412).items
             current = next((_key_value(item) for item in items if item.revision), None)
             return SwapOutcome(False, current.revision if current else 0, current)
         if response.status == 404:
             raise LeaseExpired(f"the lease for the write to {key!r} does not exist in the store")
-        return SwapOutcome(True, _decode(response, Written, StoreUnknown).revision, None)
+        return SwapOutcome(True, _decode(response, CommitAnswer, StoreUnknown).revision, None)
 
     def _call(
         self,
--- a/geraniumspool/process_start.py
+++ b/geraniumspool/process_start.py
@@ -11,4 +11,4 @@
 # CLOCK_BOOTTIME, unlike CLOCK_MONOTONIC, includes the time for which the host was suspended;
 # leases that other processes hold expire meanwhile.
 STEADY_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-STARTED_MS = time.clock_gettime(STEADY_CLOCK) * MS_PER_SECOND
+PROCESS_STARTED_MS = time.clock_gettime(STEADY_CLOCK) * MS_PER_SECOND
--- a/geraniumspool/registrar.py
+++ b/geraniumspool/registrar.py
@@ -29,26 +29,26 @@
         store: Store,
         roster: Roster,
         clock: Clock,
-        me: Callable[[], Member],
+        describe_self: Callable[[], Member],
         ttl_ms: float,
     ):
         """Create the registrar; nothing is written before :meth:`refresh`.
 
         :param roster: where the other entries are recorded
-        :param me: returns the current description of this entry
+        :param describe_self: returns the current description of this entry
         :param ttl_ms: time to live of the lease in milliseconds
         """
         self._store = store
         self._roster = roster
         self._clock = clock
-        self._describe_self = me
+        self._describe_self = describe_self
         self._ttl_ms = ttl_ms
         self._lease = 0
         self._revision = 0
         self._written_value = b""
 
     @property
-    def registered(self) -> bool:
+    def is_registered(self) -> bool:
         """Whether this entry's key existed at the store's last answer."""
         return self._lease != 0 and self._written_value != b""
 
--- a/geraniumspool/registrations.py
+++ b/geraniumspool/registrations.py
@@ -22,10 +22,10 @@
 # How long a member stays known after its key disappears. Keys that expired during a store outage
 # are written again within two seconds after it; the third second is for the watch to report
 # them.
-KEEP_UNLISTED_MS = 3_000.0
+UNLISTED_GRACE_MS = 3_000.0
 # Largest valid capacity in cores, far more than a single-threaded process can use. A record
 # with more was not written by a dispatcher.
-MOST_CAPACITY = 1_000.0
+MAX_CAPACITY = 1_000.0
 
 Record = TypeVar("Record", "WorkerRecord", "DispatcherRecord")
 
@@ -59,11 +59,11 @@
     """
 
     domain: str = ""
-    capacity: Annotated[float, msgspec.Meta(gt=0, le=MOST_CAPACITY)] = 1.0
+    capacity: Annotated[float, msgspec.Meta(gt=0, le=MAX_CAPACITY)] = 1.0
 
 
-class Directory:
-    """The members that the store lists, or listed within the last ``KEEP_UNLISTED_MS``.
+class MemberDirectory:
+    """The members that the store lists, or listed within the last ``UNLISTED_GRACE_MS``.
 
     :ivar workers: executors by address
     :ivar dispatchers: dispatchers by address
@@ -79,7 +79,7 @@
         self.version = 0
         self._unlisted_since_ms: dict[str, float] = {}
 
-    def replace(self, pairs: Iterable[KeyValue], now: float) -> None:
+    def apply_listing(self, pairs: Iterable[KeyValue], now: float) -> None:
         """Apply a complete listing of the registration keys.
 
         :param pairs: all keys under ``MEMBER_PREFIX``
@@ -90,11 +90,11 @@
             map(_dispatcher_key, self.dispatchers)
         ):
             if key not in present:
-                self.change(key, None, now)
+                self.apply_change(key, None, now)
         for key, value in present.items():
-            self.change(key, value, now)
+            self.apply_change(key, value, now)
 
-    def change(self, key: str, value: bytes | None, now: float) -> None:
+    def apply_change(self, key: str, value: bytes | None, now: float) -> None:
         """Apply the change of one registration key.
 
         An invalid record does not replace the member's last valid one. A worker with an
@@ -120,12 +120,12 @@
             if record is not None:
                 self.dispatchers[address] = record
 
-    def forget(self, now: float) -> bool:
-        """Remove members unlisted for over ``KEEP_UNLISTED_MS``; return whether there were any."""
+    def remove_expired(self, now: float) -> bool:
+        """Remove members unlisted for over ``UNLISTED_GRACE_MS``; return whether there were any."""
         expired = [
             key
             for key, since_ms in self._unlisted_since_ms.items()
-            if now - since_ms > KEEP_UNLISTED_MS
+            if now - since_ms > UNLISTED_GRACE_MS
         ]
         for key in expired:
             del self._unlisted_since_ms[key]
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -55,7 +55,7 @@
     ):
         """Connect the parts.
 
-        :param configuration: has ``revision`` and ``since(revision, limit_bytes)``
+        :param configuration: has ``revision`` and ``documents_after(revision, limit_bytes)``
         :param period_ms: returns how long agents should wait before they beat again
         :param generator: source of random samples
         """
@@ -98,7 +98,7 @@
         """Return the documents to send next to somebody who has a revision."""
         if revision >= self._configuration.revision:
             return ()
-        return tuple(self._configuration.since(revision, DOCUMENT_BYTES))
+        return tuple(self._configuration.documents_after(revision, DOCUMENT_BYTES))
 
     def served_revisions(self) -> dict[str, int]:
         """Return the lowest configuration revision per failure domain of the agents here."""
--- a/geraniumspool/run_ends.py
+++ b/geraniumspool/run_ends.py
@@ -3,7 +3,7 @@
 import logging
 
 from geraniumspool import run_progress
-from geraniumspool.contracts import Clock, Counters, ListedEnd
+from geraniumspool.contracts import Clock, Counters, FinishedRun
 from geraniumspool.minion_trust import CircuitBreaker, RunPace
 from geraniumspool.run_messages import (
     RUN_DONE,
@@ -90,7 +90,7 @@
         how = RUN_LAPSED if may_have_started else RUN_REFUSED
         self.finish(run, RunEnd(run.order.number, how, reason=reason))
 
-    def handle_listed_end(self, end: ListedEnd) -> None:
+    def handle_listed_end(self, end: FinishedRun) -> None:
         """Handle an ended run that the minion lists."""
         run = self._table.find(end.key)
         if run is None or run.state is RunState.QUEUED:
@@ -110,7 +110,7 @@
         self._finish_listed(run, run.early_end)
         return True
 
-    def _finish_listed(self, run: Run, end: ListedEnd) -> None:
+    def _finish_listed(self, run: Run, end: FinishedRun) -> None:
         now = self._clock.now()
         ran_ms = now - (run.confirmed_ms or run.sent_ms)
         self._counters.observe("run_ms", ran_ms, how=end.how)
--- a/geraniumspool/run_starts.py
+++ b/geraniumspool/run_starts.py
@@ -175,8 +175,8 @@
         done is not repeated.
         """
         try:
-            view = self._session.poll_now(incarnation)
+            status = self._session.poll_now(incarnation)
         except (MinionSilent, MinionReplaced, Fenced) as error:
             _LOG.info("poll after unanswered start failed: %s", error.code)
             return False
-        return run.key in view.running
+        return run.key in status.running
--- a/geraniumspool/run_stops.py
+++ b/geraniumspool/run_stops.py
@@ -138,7 +138,7 @@
         """Finish or keep a run that was stopped before its start was confirmed."""
         sent_ms = self._clock.now()
         try:
-            view = self._session.poll_now(incarnation)
+            status = self._session.poll_now(incarnation)
         except (MinionSilent, MinionReplaced, Fenced) as error:
             # The stop has still taken effect. The next poll shows whether the run is active, and
             # otherwise the lease ends it.
@@ -146,8 +146,8 @@
             run.confirmed_ms = sent_ms
             return
         run.confirmed_ms = sent_ms
-        is_listed = run.key in view.running or any(end.key == run.key for end in view.ended)
-        if is_listed or view.is_partial:
+        is_listed = run.key in status.running or any(end.key == run.key for end in status.finished)
+        if is_listed or status.is_partial:
             run.state = RunState.STOPPING
             return
         # The minion no longer starts a run under this attempt number, so the listed end is final
--- a/geraniumspool/run_table.py
+++ b/geraniumspool/run_table.py
@@ -3,7 +3,7 @@
 import enum
 from collections.abc import Iterator
 
-from geraniumspool.contracts import ListedEnd, RunKey
+from geraniumspool.contracts import FinishedRun, RunKey
 from geraniumspool.messages import Peer
 from geraniumspool.rooms import NO_RESOURCES, Resources
 from geraniumspool.run_messages import RunEnd, RunOrder
@@ -60,7 +60,7 @@
         self.arrived_ms = now
         self.sent_ms = 0.0
         self.fencing_token = 0
-        self.early_end: ListedEnd | None = None
+        self.early_end: FinishedRun | None = None
         self.confirmed_ms = 0.0
         self.progress = 0.0
         self.progressed_ms = now
--- a/geraniumspool/store_watch.py
+++ b/geraniumspool/store_watch.py
@@ -10,12 +10,12 @@
 
 # First pause between retries, short compared with the two seconds within which a change must
 # be in force.
-FIRST_DELAY_MS = 100.0
+FIRST_RETRY_DELAY_MS = 100.0
 # Longest pause between retries: processes resume within this time of the store's recovery.
-LAST_DELAY_MS = 600.0
+MAX_RETRY_DELAY_MS = 600.0
 # An answer to a watch that took longer, as after a freeze of this host, may be out of date: it
 # only proves that all changes up to the time of the request are known.
-PROMPT_MS = 1_500.0
+MAX_ANSWER_AGE_MS = 1_500.0
 
 
 class StoreWatch:
@@ -31,13 +31,13 @@
         clock: Clock,
         on_snapshot: Callable[[Snapshot], None],
         on_change: Callable[[Change], None],
-        on_heard: Callable[[float], None] | None = None,
+        on_confirmed: Callable[[float], None] | None = None,
     ):
         """Create the watch; nothing is read before :meth:`run`.
 
         :param on_snapshot: called with all keys under the prefix, after each listing
         :param on_change: called with each change after that listing
-        :param on_heard: called with a time in milliseconds up to which all changes have been
+        :param on_confirmed: called with a time in milliseconds up to which all changes have been
             reported
         """
         self._store = store
@@ -45,8 +45,8 @@
         self._clock = clock
         self._on_snapshot = on_snapshot
         self._on_change = on_change
-        self._on_heard = on_heard or _ignore
-        self._delay_ms = FIRST_DELAY_MS
+        self._on_confirmed = on_confirmed or _ignore
+        self._delay_ms = FIRST_RETRY_DELAY_MS
         self.is_connected = False
 
     def run(self) -> None:
@@ -63,13 +63,13 @@
             except StoreError as error:
                 self._note_disconnected(error)
             self._clock.sleep(self._delay_ms)
-            self._delay_ms = min(self._delay_ms * 2, LAST_DELAY_MS)
+            self._delay_ms = min(self._delay_ms * 2, MAX_RETRY_DELAY_MS)
 
     def _list_and_watch(self) -> None:
         asked_ms = self._clock.now()
         snapshot = self._store.list(self._prefix)
         self._on_snapshot(snapshot)
-        self._on_heard(asked_ms)
+        self._on_confirmed(asked_ms)
         self._note_connected(snapshot.revision)
         asked_ms = self._clock.now()
         for change in self._store.watch(self._prefix, snapshot.revision):
@@ -77,11 +77,11 @@
                 self._on_change(change)
                 continue
             now = self._clock.now()
-            self._on_heard(now if now - asked_ms < PROMPT_MS else asked_ms)
+            self._on_confirmed(now if now - asked_ms < MAX_ANSWER_AGE_MS else asked_ms)
             asked_ms = now
 
     def _note_connected(self, revision: int) -> None:
-        self._delay_ms = FIRST_DELAY_MS
+        self._delay_ms = FIRST_RETRY_DELAY_MS
         if not self.is_connected:
             self.is_connected = True
             fields = (("prefix", self._prefix), ("revision", revision))
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -140,7 +140,7 @@
             ),
         }
         self.messenger.start(lambda d: handlers[type(d.message)](d.sender, d.message))
-        self.guard.check()
+        self.guard.refresh()
         self.tasks = [
             eventlet.spawn(self.executor.run_poll_loop),
             eventlet.spawn(self.executor.run_periodic_checks),
@@ -267,11 +267,11 @@
 
     def unlist_member(self, key):
         """Apply that a member's key was deleted from the store."""
-        self.peers.directory.change(key, None, self.world.clock.now())
+        self.peers.directory.apply_change(key, None, self.world.clock.now())
 
     def list_member(self, key, record):
         """Apply that a member's key was written to the store."""
-        self.peers.directory.change(key, encode_record(record), self.world.clock.now())
+        self.peers.directory.apply_change(key, encode_record(record), self.world.clock.now())
 
     def note_written(self, address):
         """Notify the dispatcher, as its watch does, that an executor has written its key."""
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -208,5 +208,5 @@
         except MinionSilent as error:
             raise ConnectionDropped from error
         running = [[key.task, key.attempt, "", 40] for key in view.running]
-        ended = [[end.number, *end.key, end.how, ""] for end in view.ended]
+        ended = [[end.sequence, *end.key, end.how, ""] for end in view.finished]
         return 200, clock | {"born": view.started_unix_ms, "running": running, "ended": ended}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -122,7 +122,9 @@
         ]
         for revision, limit, expected in cases:
             with self.subTest(revision=revision, limit=limit):
-                self.assertEqual(tuple(expected), self.configuration.since(revision, limit))
+                self.assertEqual(
+                    tuple(expected), self.configuration.documents_after(revision, limit)
+                )
         in_force = [document.key for document in self.configuration.documents()]
         self.assertEqual(["team/a", "team/c", "team/d"], in_force)
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -33,7 +33,7 @@
 
     def test_nothing_is_known_at_first(self):
         self.assertFalse(self.evacuations.is_known)
-        self.assertEqual(EvacuationNews(), self.evacuations.tell())
+        self.assertEqual(EvacuationNews(), self.evacuations.to_message())
 
     def test_an_older_revision_never_replaces_a_newer_one(self):
         now = self.clock.now()
@@ -41,30 +41,30 @@
         cases = (
             ("an older list", lambda: self.evacuations.replace([], 19, now)),
             ("the same revision", lambda: self.evacuations.replace([], 20, now)),
-            ("an older change", lambda: self.evacuations.change("north", False, 18)),
-            ("an older word", lambda: self.evacuations.hear(EvacuationNews(12), now)),
-            ("one who knows nothing", lambda: self.evacuations.hear(EvacuationNews(), now)),
+            ("an older change", lambda: self.evacuations.apply_change("north", False, 18)),
+            ("an older word", lambda: self.evacuations.merge(EvacuationNews(12), now)),
+            ("one who knows nothing", lambda: self.evacuations.merge(EvacuationNews(), now)),
         )
         for name, act in cases:
             with self.subTest(name):
                 act()
-                self.assertTrue(self.evacuations.covers("north"))
+                self.assertTrue(self.evacuations.is_evacuated("north"))
                 self.assertEqual(20, self.evacuations.revision)
 
     def test_each_change_is_reported_once(self):
         self.evacuations.replace([], 5, 0)
-        self.evacuations.change("north", True, 6)
-        self.evacuations.change("south", True, 7)
+        self.evacuations.apply_change("north", True, 6)
+        self.evacuations.apply_change("south", True, 7)
         self.evacuations.replace(["north", "south"], 9, 0)
-        self.evacuations.change("north", False, 10)
+        self.evacuations.apply_change("north", False, 10)
         expected = [set(), {"north"}, {"north", "south"}, {"south"}]
         self.assertEqual(expected, self.changes)
 
     def test_age_counts_from_the_read_of_the_store(self):
         now = self.clock.now()
-        self.evacuations.hear(EvacuationNews(3, ("north",), 700.0), now - 200)
+        self.evacuations.merge(EvacuationNews(3, ("north",), 700.0), now - 200)
         self.assertEqual(900, self.evacuations.age_ms)
-        self.evacuations.hear(EvacuationNews(3, ("north",), 5_000.0), now)
+        self.evacuations.merge(EvacuationNews(3, ("north",), 5_000.0), now)
         self.assertEqual(900, self.evacuations.age_ms)
         self.evacuations.confirm(now)
         self.assertEqual(0, self.evacuations.age_ms)
@@ -344,7 +344,7 @@
         self.assertFalse(dispatcher.evacuations.is_known)
         self.load(600)
         self.assertEqual(before, self.count_starts("south"))
-        self.assertTrue(dispatcher.evacuations.covers("south"))
+        self.assertTrue(dispatcher.evacuations.is_evacuated("south"))
 
     def test_a_dispatcher_that_was_frozen_does_not_use_its_outdated_list(self):
         dispatcher = self.world.dispatchers[1]
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -12,7 +12,7 @@
 from geraniumspool.memory_minion import CallFault, MemoryMinion, ScriptedFault
 from geraniumspool.messages import Peer
 from geraniumspool.minion_watch import POLL_RETRY_MS, POLL_WAIT_MS
-from geraniumspool.platform.minion import LOOK_ANSWER_MS
+from geraniumspool.platform.minion import POLL_TIMEOUT_MS
 from geraniumspool.rooms import Resources
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS, LONGEST_LEASE_MS, MINION_LEASE_MS
 from geraniumspool.run_messages import (
@@ -267,7 +267,7 @@
                 self.assertEqual(set(), self.minion.running)
 
     def test_minion_lease_outlasts_two_lost_polls(self):
-        self.assertLess(2 * (POLL_WAIT_MS + LOOK_ANSWER_MS + POLL_RETRY_MS), MINION_LEASE_MS)
+        self.assertLess(2 * (POLL_WAIT_MS + POLL_TIMEOUT_MS + POLL_RETRY_MS), MINION_LEASE_MS)
 
     def test_lost_polls_end_no_run(self):
         self.start(make_order(1, run_ms=600))
--- a/tests/test_heartbeat.py
+++ b/tests/test_heartbeat.py
@@ -40,7 +40,7 @@
         self.revision = max([self.revision, *self.documents])
         return list(documents)
 
-    def since(self, revision, limit_bytes):
+    def documents_after(self, revision, limit_bytes):
         return tuple(self.documents[r] for r in sorted(self.documents) if r > revision)
 
 
--- a/tests/test_leased_key.py
+++ b/tests/test_leased_key.py
@@ -69,7 +69,7 @@
     def test_a_deleted_key_is_written_again_when_it_is_checked(self):
         self.clock.advance(TTL_MS + 1)
         self.store.delete(KEY, self.store.get(KEY).revision)
-        self.key.check()
+        self.key.check_exists()
         self.assertEqual(b"one", self.value())
 
     def test_another_value_replaces_the_first(self):
--- a/tests/test_memory_minion.py
+++ b/tests/test_memory_minion.py
@@ -58,6 +58,6 @@
             self.start(minion, number, 1)
         self.clock.advance(5)
         view = self.poll(minion)
-        self.assertEqual((MAX_LISTED_ENDS, True), (len(view.ended), view.is_partial))
+        self.assertEqual((MAX_LISTED_ENDS, True), (len(view.finished), view.is_partial))
         view = self.poll(minion, MAX_LISTED_ENDS)
-        self.assertEqual((1, False), (len(view.ended), view.is_partial))
+        self.assertEqual((1, False), (len(view.finished), view.is_partial))
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -12,7 +12,7 @@
 from geraniumspool.memory_minion import MemoryMinion
 from geraniumspool.platform.configuration import decode_configuration
 from geraniumspool.platform.ingress import Ingress, ReadyCheck
-from geraniumspool.platform.reports import Reports
+from geraniumspool.platform.reports import MinionReportsApplication
 from geraniumspool.queues import QueueConfiguration
 from geraniumspool.webserver import WebServer
 from tests.dispatch_world import DispatchWorld, make_guard
@@ -209,7 +209,9 @@
         counters = MemoryCounters()
         guard = make_guard(clock, counters)
         self.executor = Executor(clock, self.minion, lambda *_: True, counters, "north", 1, guard)
-        self.server = WebServer(Reports(self.executor, MemoryCounters()), "127.0.0.1:0", clock)
+        self.server = WebServer(
+            MinionReportsApplication(self.executor, MemoryCounters()), "127.0.0.1:0", clock
+        )
         self.server.start()
         self.addCleanup(self.server.stop)
         self.http = urllib3.PoolManager(retries=False)
--- a/tests/test_platform_minion.py
+++ b/tests/test_platform_minion.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from geraniumspool.clock import ManualClock, SystemClock
-from geraniumspool.contracts import ListedEnd, RunKey, StartOutcome
+from geraniumspool.contracts import FinishedRun, RunKey, StartOutcome
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.errors import Fenced, MinionDown, MinionReplaced, MinionSilent
 from geraniumspool.memory_minion import MemoryMinion
@@ -112,9 +112,9 @@
             )
         self.clock.advance(5)
         view = self.control.poll(self.life, 3, 0, None, 0.0)
-        self.assertEqual((LISTED_ENDS, True), (len(view.ended), view.is_partial))
+        self.assertEqual((LISTED_ENDS, True), (len(view.finished), view.is_partial))
         view = self.control.poll(self.life, 3, 1, None, 0.0)
-        self.assertEqual((LISTED_ENDS - 1, False), (len(view.ended), view.is_partial))
+        self.assertEqual((LISTED_ENDS - 1, False), (len(view.finished), view.is_partial))
 
     def test_a_lower_fencing_token_is_refused(self):
         self.control.poll(self.life, 9, 0, None, 0.0)
@@ -131,9 +131,9 @@
         self.control.stop(self.life, RunKey("k.0.0.1", 1), 3)
         self.clock.advance(150)
         view = self.control.poll(self.life, 3, 0, FAR_FUTURE_MS, 0.0)
-        ends = {end.key.task: end for end in view.ended}
+        ends = {end.key.task: end for end in view.finished}
         self.assertEqual(RUN_STOPPED, ends["k.0.0.1"].how)
-        self.assertEqual(ListedEnd(2, RunKey("j.0.0.0", 1), RUN_DONE), ends["j.0.0.0"])
+        self.assertEqual(FinishedRun(2, RunKey("j.0.0.0", 1), RUN_DONE), ends["j.0.0.0"])
         view = self.control.poll(self.life, 3, 2, FAR_FUTURE_MS, 0.0)
-        self.assertEqual(((), {}), (view.ended, view.running))
+        self.assertEqual(((), {}), (view.finished, view.running))
         self.assertEqual(json.loads(GOLDEN.read_text()), self.standin.session)
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -41,10 +41,10 @@
                 self.setUp()
                 self.set_store(fault)
                 self.registrar.refresh()
-                self.assertEqual(self.registrar.registered, registered)
+                self.assertEqual(self.registrar.is_registered, registered)
                 self.set_store(dict.fromkeys(fault, 0))
                 self.registrar.refresh()
-                self.assertTrue(self.registrar.registered)
+                self.assertTrue(self.registrar.is_registered)
                 self.assertEqual(set(discover_entries(self.store)), {self.me, self.other})
                 self.assertEqual(self.roster.entries(), [self.other])
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -328,8 +328,8 @@
             entry.configuration.apply(documents)
         self.network.run(2 * len(documents))
         for entry in self.entries:
-            whole = entry.configuration.since
-            entry.configuration.since = lambda *limits, whole=whole: whole(*limits)[:2]
+            whole = entry.configuration.documents_after
+            entry.configuration.documents_after = lambda *limits, whole=whole: whole(*limits)[:2]
         agent = self.add(16, "north", "agent")
         self.network.introduce()
         self.network.count.clear()
