--- a/benchmarks/slope_configuration.py
+++ b/benchmarks/slope_configuration.py
@@ -130,7 +130,7 @@
     demand = [PeerDemand(Peer(f"tcp://10.0.0.{n}:7400", n), rows) for n in range(reports)]
     quotas = Quotas(clock, configuration, lambda: demand, lambda: reports + 1)
     for number in range(teams):
-        quotas.take(f"team-{number:03}", 8)
+        quotas.charge(f"team-{number:03}", 8)
     return quotas
 
 
@@ -150,7 +150,7 @@
 
 def _take(quotas: Quotas) -> None:
     for number in range(40):
-        quotas.take(f"team-{number:03}", 1)
+        quotas.charge(f"team-{number:03}", 1)
 
 
 def _measure_reports() -> list[Slope]:
@@ -187,8 +187,8 @@
             side.outbox.reset()
         for name in names * DRAWS:
             if draw.random() < JOBS_PER_S * PERIOD_MS / 1000.0 / DRAWS:
-                quotas.take(name, JOB_TASKS)
-                quotas.give_back(name, JOB_TASKS)
+                quotas.charge(name, JOB_TASKS)
+                quotas.release(name, JOB_TASKS)
         side.let_pass()
         side.registry.run_round()
     return side.outbox.bytes / DEMAND_ROUNDS
--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -112,7 +112,7 @@
         agent = make_agent(self.wire, me.domain)
         for number in range(workers):
             member = make_member(number % 2, number // 2, ROLE_AGENT)
-            agent.roster.observe(member._replace(load=Load(SLOTS, SLOTS)))
+            agent.roster.apply_indirect(member._replace(load=Load(SLOTS, SLOTS)))
         self.home = agent.home
         self.home.service = SERVICE
         self.keyring = Keyring([KEY])
@@ -145,9 +145,9 @@
         def take() -> None:
             delivery = decode(data)
             if isinstance(delivery.message, Submit):
-                self.home.take_submit(delivery.sender, delivery.message)
+                self.home.handle_submit(delivery.sender, delivery.message)
             else:
-                self.home.take_results(delivery.sender, delivery.message)
+                self.home.handle_results(delivery.sender, delivery.message)
             eventlet.sleep(0)
             eventlet.sleep(0)
 
@@ -239,7 +239,7 @@
     me = peer_of(make_member(0, 1, ROLE_AGENT))
     wire = Wire(me)
     runner = make_agent(wire, "domain-00").runner
-    runner.announce(Announcement(SERVICE, "http://127.0.0.1:9", SLOTS, 64))
+    runner.set_minion(Announcement(SERVICE, "http://127.0.0.1:9", SLOTS, 64))
     home = peer_of(make_member(0, 2, ROLE_AGENT))
     numbers = iter(range(1, 1 << 30))
     offers = [_offer(numbers, batch, job) for job in range(count)]
@@ -248,7 +248,7 @@
     def run() -> None:
         for message in data:
             delivery = decode(message)
-            runner.take_offer(delivery.sender, delivery.message)
+            runner.handle_offer(delivery.sender, delivery.message)
             while not runner.is_idle:
                 eventlet.sleep(0)
 
@@ -303,7 +303,7 @@
         text = keyring.issue(home, SERVICE, 1_790_000_000_000)
         results = tuple(bytes(bytearray(RESULT)) for _ in range(tasks))
         answer = Answer(1, text, "complete", results=results)
-        records.keep(read_ticket(text), Record(text, bytes(bytearray(b"d" * 16)), answer))
+        records.add(read_ticket(text), Record(text, bytes(bytearray(b"d" * 16)), answer))
     return records
 
 
--- a/benchmarks/slope_membership.py
+++ b/benchmarks/slope_membership.py
@@ -117,7 +117,7 @@
         ][1:]
         self.near = [make_member(0, number, ROLE_AGENT) for number in range(self.per_domain)]
         for entry in self.entries:
-            self.registry.take_digest(peer_of(entry), self.digest(entry, True))
+            self.registry.handle_digest(peer_of(entry), self.digest(entry, True))
         if join:
             for member in self.near:
                 self.beat(member, 0, 0)
@@ -147,17 +147,17 @@
         """Take a message as it came from the wire."""
         delivery: Delivery = decode(data)
         if isinstance(delivery.message, Digest):
-            self.registry.take_digest(delivery.sender, delivery.message)
+            self.registry.handle_digest(delivery.sender, delivery.message)
         elif isinstance(delivery.message, ShortHeartbeat):
-            self.registry.take_short_heartbeat(delivery.sender, delivery.message)
+            self.registry.handle_short_heartbeat(delivery.sender, delivery.message)
         else:
-            self.registry.take_heartbeat(delivery.sender, delivery.message)
+            self.registry.handle_heartbeat(delivery.sender, delivery.message)
 
     def let_pass(self) -> None:
         """Let a period pass in which every process was heard."""
         self.clock.advance(PERIOD_MS)
         for entry in self.entries:
-            self.registry.take_digest(peer_of(entry), self.digest(entry, False))
+            self.registry.handle_digest(peer_of(entry), self.digest(entry, False))
         for data in self.heartbeats(len(self.near)):
             self.take(data)
 
@@ -189,7 +189,7 @@
 def _fill_roster(count: int) -> Roster:
     roster = Roster(ManualClock(), "domain-00")
     for number in range(count):
-        roster.observe(make_member(number % DOMAINS, number // DOMAINS, ROLE_AGENT))
+        roster.apply_indirect(make_member(number % DOMAINS, number // DOMAINS, ROLE_AGENT))
     return roster
 
 
@@ -238,7 +238,7 @@
             base = make_member(1, number % side.per_domain, ROLE_AGENT)
             member = base._replace(incarnation=base.incarnation + 1000 + number)
             beat = side.heartbeats(1)[0]
-            side.roster.relay(member, source)
+            side.roster.apply_relayed(member, source)
             steps.append(processor_us(lambda s=side, b=beat: s.take(b)))
         points.append(Point(members, sorted(steps)[len(steps) // 2]))
     return [
@@ -356,12 +356,12 @@
     def take(self, data: bytes) -> None:
         """Take an entry's reply as it came from the wire."""
         delivery = decode(data)
-        self.beater.take_reply(delivery.sender, delivery.message)
+        self.beater.handle_reply(delivery.sender, delivery.message)
 
     def work(self, count: int) -> None:
         """Beat and take the reply, ``count`` times."""
         for _ in range(count):
-            self.beater.beat()
+            self.beater.send_heartbeat()
             self.take(self.reply)
 
 
--- a/geraniumspool/admission.py
+++ b/geraniumspool/admission.py
@@ -23,7 +23,7 @@
 DEADLINE_SHARE = {Width.NARROW: 0.9, Width.MEDIUM: 0.5, Width.WIDE: 0.4}
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """Outcome of admission control.
 
     :param code: decision code of the refusal, empty if the job is accepted
@@ -38,7 +38,7 @@
     wait_ms: float
 
 
-class Ahead(NamedTuple):
+class HomeBacklog(NamedTuple):
     """Work that waits at the home when a new job arrives.
 
     :param tasks: number of waiting tasks
@@ -51,7 +51,7 @@
     size_bytes: int
 
 
-def judge(job: Job, workers: list[Worker], ahead: Ahead) -> Verdict:
+def check_admission(job: Job, workers: list[Worker], backlog: HomeBacklog) -> AdmissionDecision:
     """Decide whether a home accepts a job.
 
     A narrow job is predicted to wait only for the narrow jobs' tasks in the
@@ -59,11 +59,11 @@
     homes and workers. Either amount is divided by the workers' slots.
 
     :param workers: workers that accept offers, the home's own one included
-    :param ahead: work that waits at the home
+    :param backlog: work that waits at the home
     """
     if not workers or not _fits_all(job, workers):
         retry_ms = 0.0 if workers else NO_CAPACITY_RETRY_MS
-        return Verdict(
+        return AdmissionDecision(
             JOB_REFUSED_NO_CAPACITY,
             "no known minion is large enough for every task",
             retry_ms,
@@ -71,14 +71,14 @@
         )
     slots = max(1, sum(worker.load.slots for worker in workers))
     if job.width == Width.NARROW:
-        wait_ms = ahead.narrow_ms / slots + _next_slot_ms(workers)
+        wait_ms = backlog.narrow_ms / slots + _next_slot_ms(workers)
     else:
         wait_ms = _sum_queued_work(workers) / slots
-    tasks = ahead.tasks + len(job.tasks)
-    size_bytes = ahead.size_bytes + job.size_bytes
+    tasks = backlog.tasks + len(job.tasks)
+    size_bytes = backlog.size_bytes + job.size_bytes
     if tasks > MAX_PENDING_TASKS or size_bytes > MAX_PENDING_BYTES:
         retry_ms = max(MIN_RETRY_MS, wait_ms)
-        return Verdict(
+        return AdmissionDecision(
             JOB_REFUSED_OVERLOAD,
             f"{tasks} tasks with {size_bytes} payload bytes would wait at this home, at most "
             f"{MAX_PENDING_TASKS} tasks with {MAX_PENDING_BYTES} bytes may",
@@ -101,14 +101,14 @@
     )
 
 
-def _check_deadline(job: Job, slots: int, wait_ms: float) -> Verdict:
+def _check_deadline(job: Job, slots: int, wait_ms: float) -> AdmissionDecision:
     finish_ms = wait_ms + max(job.longest_ms, job.work_ms / slots)
     allowed_ms = job.deadline_ms * DEADLINE_SHARE[job.width]
     if finish_ms <= allowed_ms or wait_ms <= 0:
-        return Verdict("", "", 0.0, wait_ms)
+        return AdmissionDecision("", "", 0.0, wait_ms)
     retry_ms = max(MIN_RETRY_MS, min(finish_ms - allowed_ms, wait_ms))
     detail = f"predicted finish in {finish_ms:.0f} ms, deadline in {job.deadline_ms:.0f} ms"
-    return Verdict(JOB_REFUSED_DEADLINE, detail, retry_ms, wait_ms)
+    return AdmissionDecision(JOB_REFUSED_DEADLINE, detail, retry_ms, wait_ms)
 
 
 def _fits_all(job: Job, workers: list[Worker]) -> bool:
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -19,7 +19,7 @@
 )
 from geraniumspool.errors import InvalidInput, StoreError
 from geraniumspool.etcd_store import EtcdStore
-from geraniumspool.handover import Handing
+from geraniumspool.handover import RecordsHandover
 from geraniumspool.health import Health
 from geraniumspool.heartbeat import Heartbeater
 from geraniumspool.home import REVOKE_WAIT_MS, Home
@@ -161,7 +161,7 @@
             self.configuration,
             settings.heartbeat_period_ms,
         )
-        self._handover = Handing(messenger, clock, self.roster, self.home, settings.domain)
+        self._handover = RecordsHandover(messenger, clock, self.roster, self.home, settings.domain)
         self._web = WebServer(self._make_web_application(), settings.minion_listen, clock)
         self._handlers = self._make_handlers()
         self.runner.on_change = self._report_change
@@ -216,9 +216,9 @@
         self._report_change()
         finished = self._wait_until(self._is_idle, self._settings.drain_limit_ms)
         if not finished:
-            self.home.abandon()
+            self.home.abort_jobs()
             self._wait_until(lambda: self.home.is_idle, ABANDON_LIMIT_MS)
-        self.runner.repeat_results()
+        self.runner.resend_results()
         handed_over = self._handover.hand_over()
         if self._handover.archive:
             archive_address = self._handover.archive.address
@@ -229,7 +229,7 @@
             DRAIN_FINISHED, self._messenger.me.address, finished=str(finished), records=handed_over
         )
         self._clock.sleep(STOP_GRACE_MS)
-        self.heartbeater.beat_now()
+        self.heartbeater.send_to_all_entries()
         return finished
 
     def stop(self) -> None:
@@ -255,7 +255,7 @@
     def _report_change(self) -> None:
         self._reported_state = self._state()
         self._version += 1
-        self.heartbeater.beat_now()
+        self.heartbeater.send_to_all_entries()
 
     def _may_eject(self) -> bool:
         service = self.home.service
@@ -268,31 +268,31 @@
 
     def _make_handlers(self) -> dict:
         return {
-            Submit: self.home.take_submit,
-            Decline: self.home.take_decline,
-            Inquire: self.home.take_inquire,
-            Cancel: self.home.take_cancel,
+            Submit: self.home.handle_submit,
+            Decline: self.home.handle_decline,
+            Inquire: self.home.handle_inquire,
+            Cancel: self.home.handle_cancel,
             Offer: self._take_offer,
-            Results: self.home.take_results,
-            Revoke: self.runner.take_revoke,
-            Revoked: self.home.take_revoked,
+            Results: self.home.handle_results,
+            Revoke: self.runner.handle_revoke,
+            Revoked: self.home.handle_revoked,
             HeartbeatReply: self._take_reply,
             WrongIncarnation: self._handle_wrong_incarnation,
-            Handover: self._handover.take,
-            HandoverReceipt: self._handover.take_receipt,
+            Handover: self._handover.store_batch,
+            HandoverReceipt: self._handover.handle_receipt,
             Drain: self._take_drain,
         }
 
     def _take_offer(self, sender: Peer, offer: Offer) -> None:
-        self.home.hint(sender, offer.load)
-        self.runner.take_offer(sender, offer)
+        self.home.update_load(sender, offer.load)
+        self.runner.handle_offer(sender, offer)
 
     def _take_reply(self, sender: Peer, reply: HeartbeatReply) -> None:
-        self.heartbeater.take_reply(sender, reply)
+        self.heartbeater.handle_reply(sender, reply)
         self._apply_evacuation()
         for address, incarnation, load in reply.loads:
-            self.home.hint(Peer(address, incarnation), load)
-        self.home.schedule_place()
+            self.home.update_load(Peer(address, incarnation), load)
+        self.home.schedule_placement()
 
     def _apply_evacuation(self) -> None:
         domain = self._settings.domain
@@ -313,7 +313,7 @@
         while True:
             try:
                 for member in discover_entries(self._store):
-                    self.roster.observe(member)
+                    self.roster.apply_indirect(member)
                 if self.roster.entries():
                     return
             except StoreError as error:
@@ -325,9 +325,9 @@
         while True:
             self._clock.sleep(HOUSEKEEPING_MS)
             self.home.expire_records()
-            self.home.schedule_place()
-            self.roster.forget()
-            self.home.forget_workers()
+            self.home.schedule_placement()
+            self.roster.forget_final()
+            self.home.forget_gone_workers()
             self._check_minion()
             if self._state() != self._reported_state:
                 self._report_change()
@@ -348,7 +348,7 @@
             self.health.reset()
         self.home.service = announcement.service
         if not self._is_draining:
-            self.runner.announce(announcement)
+            self.runner.set_minion(announcement)
 
     def _make_web_application(self) -> WebApplication:
         routes = [
--- a/geraniumspool/archive.py
+++ b/geraniumspool/archive.py
@@ -37,11 +37,11 @@
         self.size_bytes = 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether every batch has arrived."""
         return self.last_batch is not None and len(self.batches) == self.last_batch + 1
 
-    def take(self, handover: Handover) -> None:
+    def add_batch(self, handover: Handover) -> None:
         """Add a batch of records; a repeated one is ignored."""
         if handover.batch in self.batches:
             return
@@ -53,9 +53,9 @@
             self.records[read_ticket(record.ticket).job] = record
             self.size_bytes += sum(len(body) for body in record.answer.results)
 
-    def covers(self, ticket: Ticket) -> bool:
+    def proves_not_run(self, ticket: Ticket) -> bool:
         """Return whether a missing record proves that the job never ran."""
-        return self.is_whole and Watermark(ticket.issued_ms, ticket.job) > self.watermark
+        return self.is_complete and Watermark(ticket.issued_ms, ticket.job) > self.watermark
 
 
 class Archives:
@@ -65,12 +65,12 @@
         """Start without archives."""
         self._archives: dict[Peer, Archive] = {}
 
-    def take(self, handover: Handover) -> None:
+    def add_batch(self, handover: Handover) -> None:
         """Add a batch of a leaving home's records."""
         archive = self._archives.get(handover.home)
         if archive is None:
             archive = self._archives[handover.home] = Archive(handover.home)
-        archive.take(handover)
+        archive.add_batch(handover)
         while self._is_full() and len(self._archives) > 1:
             del self._archives[next(iter(self._archives))]
 
@@ -79,13 +79,13 @@
         archive = self._archives.get(ticket.home)
         return archive.records.get(ticket.job) if archive is not None else None
 
-    def judge_missing(self, ticket: Ticket, text: str) -> Answer:
+    def answer_missing(self, ticket: Ticket, text: str) -> Answer:
         """Return the answer to a request whose ticket names another home and has no record.
 
         :param text: the ticket as it was sent
         """
         archive = self._archives.get(ticket.home)
-        if archive is not None and archive.covers(ticket):
+        if archive is not None and archive.proves_not_run(ticket):
             detail = "the home left before this job was submitted"
             return Answer(0, text, STATE_NOT_RUN, CODE_NEVER_SUBMITTED, detail, NEW_TICKET_RETRY_MS)
         return Answer(0, text, STATE_MAY_HAVE_RUN, CODE_GONE, "the job's home is gone")
--- a/geraniumspool/backlog.py
+++ b/geraniumspool/backlog.py
@@ -7,7 +7,7 @@
 from geraniumspool.job import Job, Width
 
 
-class Waiting(NamedTuple):
+class WaitingTask(NamedTuple):
     """A task that is offered to no worker.
 
     :param due: latest start time for its job to finish when due; earlier tasks go first
@@ -35,7 +35,7 @@
 
     def __init__(self):
         """Create an empty backlog."""
-        self._queues: dict[Width, list[Waiting]] = {width: [] for width in Width}
+        self._queues: dict[Width, list[WaitingTask]] = {width: [] for width in Width}
         self._order = itertools.count()
         self.count = 0
         self._work_ms = dict.fromkeys(Width, 0.0)
@@ -53,10 +53,10 @@
         estimate = job.estimates[index]
         self.count += 1
         self._work_ms[job.width] += estimate
-        waiting = Waiting(job.due - estimate, next(self._order), job, index)
+        waiting = WaitingTask(job.due - estimate, next(self._order), job, index)
         heapq.heappush(self._queues[job.width], waiting)
 
-    def pop(self, width: Width) -> Waiting | None:
+    def pop(self, width: Width) -> WaitingTask | None:
         """Remove and return the first task due among jobs with a given width, or None."""
         queue = self._queues[width]
         if not queue:
@@ -65,7 +65,7 @@
         self._subtract(waiting)
         return waiting
 
-    def size(self, width: Width) -> int:
+    def count_tasks(self, width: Width) -> int:
         """Return the number of waiting tasks of jobs with a given width."""
         return len(self._queues[width])
 
@@ -74,17 +74,17 @@
         """Return the sum of the estimated run times of narrow jobs' waiting tasks."""
         return self._work_ms[Width.NARROW]
 
-    def count_late(self, width: Width, now: float, most: int) -> int:
+    def count_overdue(self, width: Width, now: float, limit: int) -> int:
         """Return how many tasks of jobs with a given width are past their latest start time.
 
-        :param most: largest number to return
+        :param limit: largest number to return
         """
         queue = self._queues[width]
         if not queue or queue[0].due > now:
             return 0
-        return min(most, sum(waiting.due <= now for waiting in queue))
+        return min(limit, sum(waiting.due <= now for waiting in queue))
 
-    def drop(self, job: Job) -> None:
+    def remove_job(self, job: Job) -> None:
         """Remove all tasks of a job."""
         queue = self._queues[job.width]
         dropped = [waiting for waiting in queue if waiting.job is job]
@@ -96,7 +96,7 @@
         heapq.heapify(kept)
         self._queues[job.width] = kept
 
-    def _subtract(self, waiting: Waiting) -> None:
+    def _subtract(self, waiting: WaitingTask) -> None:
         self.count -= 1
         job = waiting.job
         left_ms = self._work_ms[job.width] - job.estimates[waiting.index]
--- a/geraniumspool/callers.py
+++ b/geraniumspool/callers.py
@@ -35,7 +35,7 @@
     Submit,
 )
 from geraniumspool.metrics import Metrics
-from geraniumspool.quota import Quotas, Shortage
+from geraniumspool.quota import QuotaRefusal, Quotas
 from geraniumspool.reply import Reply, reply_json, reply_problem
 from geraniumspool.routes import Request, Route
 from geraniumspool.submission import Submission, check_limits, parse_submission, parse_ticket_order
@@ -193,17 +193,17 @@
 
     def _submit_unknown(self, text: str, submission: Submission) -> Reply:
         """Submit under a ticket that nobody else has seen."""
-        shortage = self._find_shortage(submission)
+        refusal = self._find_shortage(submission)
         ticket = self._keyring.verify(text)
-        if shortage is not None:
-            code, detail, retry_ms = shortage
+        if refusal is not None:
+            code, detail, retry_ms = refusal
             decision = self._note_refusal(ticket, code, detail, retry_ms)
             answer = Answer(0, text, STATE_NOT_RUN, code, detail, retry_ms, decision=decision)
             return self._reply(text, ticket, ticket.home, answer)
         try:
             return self._send(text, ticket, ticket.home, submission)
         finally:
-            self._quotas.give_back(submission.team, len(submission.tasks))
+            self._quotas.release(submission.team, len(submission.tasks))
 
     def _submit(self, text: str, ticket: Ticket, submission: Submission) -> Reply:
         """Submit under a ticket that may have been submitted before.
@@ -218,9 +218,9 @@
             return self._reply_gone(text, ticket)
         if is_archive:
             return self._send(text, ticket, peer, submission._replace(tasks=()))
-        shortage = self._find_shortage(submission)
-        if shortage is not None:
-            code, detail, retry_ms = shortage
+        refusal = self._find_shortage(submission)
+        if refusal is not None:
+            code, detail, retry_ms = refusal
             self._note_refusal(ticket, code, detail, retry_ms)
             number = self._calls.next_number()
             decline = Decline(number, text, submission.digest, code, detail, retry_ms)
@@ -229,7 +229,7 @@
         try:
             return self._send(text, ticket, peer, submission)
         finally:
-            self._quotas.give_back(submission.team, len(submission.tasks))
+            self._quotas.release(submission.team, len(submission.tasks))
 
     def _send(self, text: str, ticket: Ticket, peer: Peer, submission: Submission) -> Reply:
         deadline_ms = self._deadline(submission)
@@ -261,9 +261,9 @@
     def _find_shortage(self, submission: Submission) -> tuple[str, str, float] | None:
         if len(self._calls) >= self._max_running_jobs:
             return JOB_REFUSED_OVERLOAD, "too many jobs are in flight here", OVERLOAD_RETRY_MS
-        shortage: Shortage | None = self._quotas.take(submission.team, len(submission.tasks))
-        if shortage is not None:
-            return JOB_REFUSED_QUOTA, shortage.detail, shortage.retry_after_ms
+        refusal: QuotaRefusal | None = self._quotas.charge(submission.team, len(submission.tasks))
+        if refusal is not None:
+            return JOB_REFUSED_QUOTA, refusal.detail, refusal.retry_after_ms
         return None
 
     def _note_refusal(self, ticket: Ticket, code: str, detail: str, retry_ms: float) -> str:
--- a/geraniumspool/calls.py
+++ b/geraniumspool/calls.py
@@ -112,7 +112,7 @@
         finally:
             del self._calls[message.request]
 
-    def take_answer(self, sender: Peer, answer: Answer) -> None:
+    def handle_answer(self, sender: Peer, answer: Answer) -> None:
         """Take an answer; one that nobody waits for is dropped."""
         call = self._calls.get(answer.request)
         if call is None or call.peer != sender:
--- a/geraniumspool/candidates.py
+++ b/geraniumspool/candidates.py
@@ -17,7 +17,7 @@
         self.entries: dict[Peer, Member] = {}
         self._ready: dict[str, dict[str, dict[Peer, Member]]] = {}
 
-    def put(self, member: Member) -> None:
+    def add(self, member: Member) -> None:
         """Add a member if it may be chosen, or replace it by one that differs only in its load."""
         if member.role == ROLE_ENTRY:
             if not is_final(member):
@@ -34,13 +34,15 @@
             agents = self._ready.get(member.service, {}).get(member.domain, {})
             agents.pop(peer_of(member), None)
 
-    def list_agents(self, service: str, domain: str | None, without: Iterable[str]) -> list[Member]:
+    def list_agents(
+        self, service: str, domain: str | None, excluded: Iterable[str]
+    ) -> list[Member]:
         """Return the ready agents of a service.
 
         :param domain: failure domain of the agents, or None for all
-        :param without: failure domains to exclude
+        :param excluded: failure domains to exclude
         """
         domains = self._ready.get(service, {})
         names = domains if domain is None else (domain,)
-        chosen = [domains[name] for name in names if name in domains and name not in without]
+        chosen = [domains[name] for name in names if name in domains and name not in excluded]
         return [member for agents in chosen for member in agents.values()]
--- a/geraniumspool/digests.py
+++ b/geraniumspool/digests.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from geraniumspool.contracts import Messenger
-from geraniumspool.heartbeat import weigh
+from geraniumspool.heartbeat import rendezvous_hash
 from geraniumspool.members import peer_of
 from geraniumspool.messages import MEMBER_LEAVING, Digest, Member, Peer
 from geraniumspool.replies import Replies
@@ -27,9 +27,9 @@
 
 # Members in rotation per digest within the failure domain, and to other domains.
 REFRESH_PER_DIGEST = 16
-FAR_REFRESH_PER_DIGEST = 2
+FOREIGN_REFRESH_PER_DIGEST = 2
 # Number of digests to a receiver that carry the same change.
-TELLINGS = 8
+DIGESTS_PER_CHANGE = 8
 # Every such digest to a receiver carries the demand of all teams.
 DEMAND_REFRESH_DIGESTS = 16
 
@@ -63,7 +63,7 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.sent_views: deque[tuple[int, frozenset[Peer]]] = deque(maxlen=TELLINGS)
+        self.sent_views: deque[tuple[int, frozenset[Peer]]] = deque(maxlen=DIGESTS_PER_CHANGE)
         self.demand: Demand = ()
         self.digests = 0
         self.state: tuple = ()
@@ -123,7 +123,7 @@
         near = receiver.domain == self._roster.domain
         self._send(receiver, self._make_contents(near), answer=True)
 
-    def greet(self, peer: Peer) -> None:
+    def request_digest(self, peer: Peer) -> None:
         """Request a digest from a process; report nothing but this entry itself."""
         revision = self._configuration.revision
         self._messenger.send(peer, Digest(self._me(), False, (), (), (), revision, (), reply=True))
@@ -153,11 +153,11 @@
                 foreign.setdefault(entry.domain, []).append(entry)
             elif peer_of(entry) != own:
                 yield entry
-        if not self._is_representative() and not self._replies.has_guests():
+        if not self._is_representative() and not self._replies.has_foreign_agents():
             return
         for entries in foreign.values():
             staying = [e for e in entries if e.state != MEMBER_LEAVING] or entries
-            yield min(staying, key=lambda entry: weigh(own.address, entry.address))
+            yield min(staying, key=lambda entry: rendezvous_hash(own.address, entry.address))
 
     def _is_representative(self) -> bool:
         near = [e.address for e in self._roster.entries() if e.domain == self._roster.domain]
@@ -165,12 +165,14 @@
 
     def _make_contents(self, near: bool) -> _Contents:
         if near:
-            revisions = self._revisions.near()
-            return _Contents(near, self._views.near(), self._demand(), tuple(revisions.items()))
+            revisions = self._revisions.local()
+            return _Contents(near, self._views.local(), self._demand(), tuple(revisions.items()))
         is_representative = self._is_representative()
-        revisions = self._revisions.far(is_representative)
+        revisions = self._revisions.foreign(is_representative)
         demand = self._sum_domain_demand() if is_representative else ()
-        return _Contents(near, self._views.far(is_representative), demand, tuple(revisions.items()))
+        return _Contents(
+            near, self._views.foreign(is_representative), demand, tuple(revisions.items())
+        )
 
     def _is_due(self, receiver: Member, contents: _Contents) -> bool:
         progress = self._progress.get(peer_of(receiver))
@@ -218,7 +220,7 @@
             chosen = {peer: self._roster.get(peer) for peer in order}
         else:
             chosen = _find_changed(progress, contents.view, self._roster)
-            size = REFRESH_PER_DIGEST if contents.near else FAR_REFRESH_PER_DIGEST
+            size = REFRESH_PER_DIGEST if contents.near else FOREIGN_REFRESH_PER_DIGEST
             for step in range(min(size, len(order))):
                 peer = order[(progress.digests * size + step) % len(order)]
                 chosen[peer] = self._roster.get(peer)
@@ -238,7 +240,7 @@
 def _find_changed(progress: _Progress, view: View, roster: Roster) -> dict[Peer, Member]:
     """Return the members that changed or entered the view during the latest digests."""
     version, peers = progress.sent_views[0]
-    changed = {peer_of(member): member for member in roster.since(version)}
+    changed = {peer_of(member): member for member in roster.changes_since(version)}
     chosen = {peer: member for peer, member in changed.items() if peer in view.peers}
     for peer in view.peers - peers if view.peers is not peers else ():
         chosen[peer] = roster.get(peer)
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -203,9 +203,9 @@
 
     def _make_handlers(self) -> dict:
         return {
-            Answer: self.calls.take_answer,
-            Heartbeat: self.registry.take_heartbeat,
-            ShortHeartbeat: self.registry.take_short_heartbeat,
+            Answer: self.calls.handle_answer,
+            Heartbeat: self.registry.handle_heartbeat,
+            ShortHeartbeat: self.registry.handle_short_heartbeat,
             Digest: self._take_digest,
             Inquire: self._take_inquire,
             WrongIncarnation: self._handle_wrong_incarnation,
@@ -214,7 +214,7 @@
 
     def _take_digest(self, sender: Peer, digest: Digest) -> None:
         before = self.configuration.revision
-        self.registry.take_digest(sender, digest)
+        self.registry.handle_digest(sender, digest)
         if self.configuration.revision > before:
             self.registry.push_configuration()
 
--- a/geraniumspool/estimate.py
+++ b/geraniumspool/estimate.py
@@ -9,7 +9,7 @@
 # Least estimate, and least time in a logarithm or ratio.
 MIN_MS = 1.0
 # Declared times to learn from before any is followed.
-MIN_LEARNT = 50
+MIN_SAMPLES = 50
 # Least slope of the regression with which declared times are followed.
 MIN_SLOPE = 0.5
 # Least variance of the logarithms of declared times with which a slope is computed.
@@ -33,13 +33,13 @@
         self.value += rate * (sample - self.value)
 
 
-class RunTimes:
+class RunTimeEstimator:
     """Run-time estimates of one service.
 
     A linear regression of the logarithm of the actual time on that of the
     declared time shows how well declared times predict actual ones: the slope
     is 1 if they are exact or off by a constant factor, and near 0 if they are
-    unrelated. With a slope below ``MIN_SLOPE``, or fewer than ``MIN_LEARNT``
+    unrelated. With a slope below ``MIN_SLOPE``, or fewer than ``MIN_SAMPLES``
     samples, declared times are ignored and the mean run time is the estimate.
     """
 
@@ -59,7 +59,7 @@
     @property
     def slope(self) -> float:
         """Return the weight of declared times: 0, or from ``MIN_SLOPE`` to 1."""
-        if self._samples < MIN_LEARNT:
+        if self._samples < MIN_SAMPLES:
             return 0.0
         variance = self._declared_square.value - self._log_declared.value**2
         covariance = self._product.value - self._log_declared.value * self._log_actual.value
@@ -86,7 +86,7 @@
         self._mean_ms.add(actual_ms)
         if declared_ms <= 0:
             return
-        if self._samples >= MIN_LEARNT:
+        if self._samples >= MIN_SAMPLES:
             self._bias.add(max(MIN_MS, actual_ms) / self._predict(declared_ms))
         self._samples += 1
         declared, actual = _log(declared_ms), _log(actual_ms)
--- a/geraniumspool/handover.py
+++ b/geraniumspool/handover.py
@@ -3,7 +3,7 @@
 from eventlet.event import Event
 
 from geraniumspool.contracts import Clock, Messenger
-from geraniumspool.heartbeat import weigh
+from geraniumspool.heartbeat import rendezvous_hash
 from geraniumspool.home import Home
 from geraniumspool.members import peer_of
 from geraniumspool.messages import Handover, HandoverReceipt, Peer, Record
@@ -17,10 +17,10 @@
 # Times that a batch is sent to a peer at most.
 ATTEMPTS = 3
 # Peers that are tried one after the other.
-MAX_PEERS = 3
+MAX_PEERS_TRIED = 3
 
 
-class Handing:
+class RecordsHandover:
     """Hands over this home's records, and stores those of peers that leave.
 
     :ivar archive: the peer that stores this home's records, None before the handover
@@ -41,12 +41,12 @@
         self._current_peer: Peer | None = None
         self.archive: Peer | None = None
 
-    def take(self, sender: Peer, handover: Handover) -> None:
+    def store_batch(self, sender: Peer, handover: Handover) -> None:
         """Store a batch of a leaving peer's records and send a receipt."""
-        self._home.archives.take(handover)
+        self._home.archives.add_batch(handover)
         self._messenger.send(sender, HandoverReceipt(handover.home, handover.batch))
 
-    def take_receipt(self, sender: Peer, receipt: HandoverReceipt) -> None:
+    def handle_receipt(self, sender: Peer, receipt: HandoverReceipt) -> None:
         """Handle the receipt of a batch."""
         event = self._receipts.get((receipt.home, receipt.batch))
         if event is not None and sender == self._current_peer and not event.ready():
@@ -71,15 +71,17 @@
         others = dict.fromkeys(
             peer_of(member)
             for group in (near, far)
-            for member in sorted(group, key=lambda member: weigh(me.address, member.address))
+            for member in sorted(
+                group, key=lambda member: rendezvous_hash(me.address, member.address)
+            )
         )
         others.pop(me, None)
-        return list(others)[:MAX_PEERS]
+        return list(others)[:MAX_PEERS_TRIED]
 
     def _make_batches(self) -> list[Handover]:
         batches = _split_batches(self._messenger.me, self._home.records(), self._home.watermark)
         for archive in self._home.archives.all():
-            if archive.is_whole:
+            if archive.is_complete:
                 records = list(archive.records.values())
                 batches.extend(_split_batches(archive.home, records, archive.watermark))
         return batches
--- a/geraniumspool/health.py
+++ b/geraniumspool/health.py
@@ -13,7 +13,7 @@
 from geraniumspool.pace import PROBE_HAZARD, SlownessDetector
 
 # Weight of the latest outcome in the moving average of failures.
-RECENT_WEIGHT = 0.2
+OUTCOME_WEIGHT = 0.2
 # Outcomes before a minion may be ejected for failures, unless the latest one is a
 # refused connection or an unknown outcome.
 MIN_OUTCOMES = 5
@@ -93,7 +93,7 @@
         self._decisions.record(WORKER_PROBED, self._subject, successes=self._successes)
         return True
 
-    def note(self, ok: bool, run_ms: float, code: str) -> None:
+    def record_outcome(self, ok: bool, run_ms: float, code: str) -> None:
         """Handle the outcome of a task, which may eject or restore the minion.
 
         :param ok: whether the task succeeded
@@ -102,7 +102,7 @@
         """
         self._outcomes += 1
         failed = 0.0 if ok else 1.0
-        self._recent_failures += RECENT_WEIGHT * (failed - self._recent_failures)
+        self._recent_failures += OUTCOME_WEIGHT * (failed - self._recent_failures)
         if self.is_ejected:
             # Tasks accepted before the ejection do not count as probes.
             if self._is_probing:
@@ -111,21 +111,21 @@
         elif self._has_too_many_failures(code):
             self._eject(run_ms)
 
-    def note_late(self) -> None:
+    def eject_if_slow(self) -> None:
         """Eject the minion if its running tasks show that it is slow."""
         if self.is_ejected or not self.slowness.is_slow:
             return
         if self._failure_share() < 1 and self._may_eject():
             self._eject(0.0)
 
-    def note_end(self, estimate_ms: float, run_ms: float) -> None:
+    def record_result(self, estimate_ms: float, run_ms: float) -> None:
         """Handle a task that ended with a result.
 
         :param estimate_ms: estimated run time
         :param run_ms: run time at the minion
         """
         is_late = self.slowness.hazard(estimate_ms, run_ms) > PROBE_HAZARD
-        self.note(not (self.is_ejected and is_late), run_ms, "")
+        self.record_outcome(not (self.is_ejected and is_late), run_ms, "")
         if not self.is_ejected:
             self.slowness.record_run_time(estimate_ms, run_ms)
 
--- a/geraniumspool/heartbeat.py
+++ b/geraniumspool/heartbeat.py
@@ -33,14 +33,14 @@
 # Periods for which an entry that did not reply is avoided.
 AVOID_PERIODS = 10
 # Most short heartbeats in a row before a whole one is sent.
-SHORT_HEARTBEATS = 30
+MAX_SHORT_HEARTBEATS = 30
 # Largest random deviation of a period, relative to it.
 JITTER = 0.1
 
 _NO_LOAD = Load()
 
 
-def weigh(name: str, address: str) -> bytes:
+def rendezvous_hash(name: str, address: str) -> bytes:
     """Return the rendezvous hash of a pair; the candidate with the lowest one is chosen.
 
     :param name: address of the process that chooses
@@ -49,7 +49,7 @@
     return hashlib.blake2b(f"{name}|{address}".encode(), digest_size=8).digest()
 
 
-def is_foreign_news(member: Member, me: Peer) -> bool:
+def concerns_other_process(member: Member, me: Peer) -> bool:
     """Return whether a member is another process, or an ended one at the own address.
 
     :param member: the member that was reported
@@ -117,11 +117,11 @@
         """Send heartbeats in an endless loop, the first after a random part of a period."""
         self._clock.sleep(self._random.uniform(0.0, self.period_ms))
         while True:
-            self.beat()
+            self.send_heartbeat()
             factor = self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
             self._clock.sleep(self.period_ms * factor)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send one heartbeat to the chosen entry; choose another if replies are overdue."""
         now = self._clock.now()
         reply_timeout_ms = (MISSED_REPLIES - JITTER) * self.period_ms
@@ -145,19 +145,19 @@
         message = self._make_short(target) if has_roster_version else None
         self._messenger.send(target, message or self._make(*known))
 
-    def beat_now(self) -> None:
+    def send_to_all_entries(self) -> None:
         """Send the present state to all known entries at once.
 
         The heartbeat names the incarnation of the entry that serves this
         agent; the other entries see that they do not and send no reply.
         """
-        self.beat()
+        self.send_heartbeat()
         serving_incarnation = self._target.incarnation if self._target else 0
         for entry in self._roster.entries():
             if entry.incarnation != serving_incarnation:
                 self._messenger.send(peer_of(entry), self._make(serving_incarnation, 0))
 
-    def take_reply(self, sender: Peer, reply: HeartbeatReply) -> None:
+    def handle_reply(self, sender: Peer, reply: HeartbeatReply) -> None:
         """Handle a reply, which an entry may also send unasked to push configuration.
 
         Members are accepted only from the entry that heartbeats are sent to,
@@ -172,13 +172,13 @@
             if not self._is_outdated(sender, reply):
                 self._apply_members(sender, reply)
         for address, incarnation, load in reply.loads:
-            self._roster.observe_load(address, incarnation, load)
+            self._roster.update_load(address, incarnation, load)
         if reply.again:
             self._acknowledged = None
         if reply.period_ms > 0:
             self.period_ms = reply.period_ms
         if reply.again or self._apply_documents(reply):
-            self.beat()
+            self.send_heartbeat()
 
     def _is_target(self, sender: Peer) -> bool:
         return self._target in (None, sender, Peer(sender.address, ANY_INCARNATION))
@@ -192,10 +192,10 @@
         self._roster.set_unreachable(reply.unreachable)
         if reply.whole:
             self._roster.keep_foreign(map(peer_of, reply.members))
-        self._roster.release(reply.released)
+        self._roster.drop_foreign(reply.released)
         for member in reply.members:
-            if is_foreign_news(member, self._messenger.me):
-                self._roster.follow(member)
+            if concerns_other_process(member, self._messenger.me):
+                self._roster.apply_authoritative(member)
         if reply.roster_version:
             self._acknowledged = (sender, self._sent_member)
             self._roster_entry = sender.incarnation
@@ -211,7 +211,7 @@
         known = [e for e in self._roster.entries() if e.address == sender.address]
         for entry in known:
             if entry.incarnation != sender.incarnation:
-                self._roster.observe(entry._replace(state=MEMBER_DEAD))
+                self._roster.apply_indirect(entry._replace(state=MEMBER_DEAD))
         if known:
             self.add_entries([sender.address])
 
@@ -233,7 +233,7 @@
         """Return a heartbeat with only the load, or None if the entry may lack the rest."""
         member = self._describe()
         current = (target, member._replace(load=_NO_LOAD))
-        if current != self._acknowledged or self._short_count >= SHORT_HEARTBEATS:
+        if current != self._acknowledged or self._short_count >= MAX_SHORT_HEARTBEATS:
             return None
         self._short_count += 1
         return ShortHeartbeat(
@@ -254,8 +254,8 @@
     def _rank_entries(self) -> list[Peer]:
         own = self._describe()
         living = [e for e in self._roster.entries() if e.state != MEMBER_LEAVING]
-        ranked = sorted(living, key=lambda entry: weigh(own.address, entry.address))
+        ranked = sorted(living, key=lambda entry: rendezvous_hash(own.address, entry.address))
         near = [peer_of(entry) for entry in ranked if entry.domain == own.domain]
         far = [peer_of(entry) for entry in ranked if entry.domain != own.domain]
-        seeds = sorted(self._seeds, key=lambda address: weigh(own.address, address))
+        seeds = sorted(self._seeds, key=lambda address: rendezvous_hash(own.address, address))
         return near + far + [Peer(address, ANY_INCARNATION) for address in seeds]
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -10,14 +10,14 @@
 from collections import Counter
 
 from geraniumspool import decisions as codes
-from geraniumspool.admission import Ahead, Verdict, judge
+from geraniumspool.admission import AdmissionDecision, HomeBacklog, check_admission
 from geraniumspool.archive import NEW_TICKET_RETRY_MS, Archives
 from geraniumspool.configuration import Configuration
 from geraniumspool.contracts import Clock, Counters, Messenger
 from geraniumspool.decisions import DecisionLog, encode_decisions
 from geraniumspool.errors import MalformedTicket, NotStarted
-from geraniumspool.estimate import RunTimes
-from geraniumspool.job import Job, Waiter, classify
+from geraniumspool.estimate import RunTimeEstimator
+from geraniumspool.job import Job, Waiter, classify_width
 from geraniumspool.messages import (
     MEMBER_DEAD,
     MEMBER_EJECTED,
@@ -46,7 +46,7 @@
 from geraniumspool.offers import CODE_REVOKED, Offers
 from geraniumspool.pace import OUTLIER_LATENESS
 from geraniumspool.placement import Placement
-from geraniumspool.placer import Place, Placer
+from geraniumspool.placer import HomeLocation, Placer
 from geraniumspool.records import Records, Watermark
 from geraniumspool.roster import Roster
 from geraniumspool.runner import Runner
@@ -54,15 +54,15 @@
 from geraniumspool.worker import OpenOffer, Worker
 
 # Largest part of its deadline that a large job is put off by in favour of smaller ones.
-DUE_SHARE = 0.3
+MAX_DELAY_SHARE = 0.3
 # How long a failed job waits for workers to confirm its revoked offers.
 REVOKE_WAIT_MS = 1_000.0
 # How long a departed member's open offers are kept before they are given up.
-LEFT_GRACE_MS = 500.0
+DEPARTURE_GRACE_MS = 500.0
 # Decisions stored with the record of a finished job.
-KEPT_DECISIONS = 20
+MAX_RECORD_DECISIONS = 20
 # Remaining work of a team that counts as none; absorbs rounding errors.
-NEGLIGIBLE_MS = 0.001
+NEGLIGIBLE_WORK_MS = 0.001
 
 CODE_TASK_FAILED = "task_failed"
 CODE_CANCELLED = "job_cancelled"
@@ -115,7 +115,7 @@
         self._team_work_ms: Counter[str] = Counter()
         self._offers = Offers(messenger, clock, counters, decisions, runner, self, peer_timeout_ms)
         self._placer = Placer(
-            Place(messenger.me, domain),
+            HomeLocation(messenger.me, domain),
             lambda: self.service,
             clock,
             roster,
@@ -125,7 +125,7 @@
             placement,
         )
         self._backlog = self._placer.backlog
-        self._run_times = RunTimes()
+        self._run_times = RunTimeEstimator()
         self.archives = Archives()
         self.service = ""
         self.leaving = False
@@ -146,7 +146,7 @@
         """Return the free capacity of this process and the work queued in it."""
         return self._runner.load()
 
-    def take_submit(self, sender: Peer, submit: Submit) -> None:
+    def handle_submit(self, sender: Peer, submit: Submit) -> None:
         """Handle a submission: accept the job, join a known one, or refuse it."""
         waiter = Waiter(sender, submit.request)
         ticket = self._answer_if_known(waiter, submit.ticket, submit.digest)
@@ -159,13 +159,13 @@
             self._refuse(waiter, job, code, detail, NEW_TICKET_RETRY_MS)
             return
         self._estimate_run_times(job)
-        verdict = self._check_admission(job)
-        if verdict.code:
-            self._refuse(waiter, job, verdict.code, verdict.detail, verdict.retry_after_ms)
+        decision = self._check_admission(job)
+        if decision.code:
+            self._refuse(waiter, job, decision.code, decision.detail, decision.retry_after_ms)
             return
-        self._accept(waiter, job, verdict.wait_ms)
+        self._accept(waiter, job, decision.wait_ms)
 
-    def take_decline(self, sender: Peer, decline: Decline) -> None:
+    def handle_decline(self, sender: Peer, decline: Decline) -> None:
         """Record an entry's refusal of a job as final, unless the job is known here."""
         waiter = Waiter(sender, decline.request)
         ticket = self._answer_if_known(waiter, decline.ticket, decline.digest)
@@ -174,14 +174,14 @@
         job = Job(ticket, Submit(decline.request, decline.ticket, "", "", 0.0, decline.digest, ()))
         self._refuse(waiter, job, decline.code, decline.detail, decline.retry_after_ms)
 
-    def take_inquire(self, sender: Peer, inquire: Inquire) -> None:
+    def handle_inquire(self, sender: Peer, inquire: Inquire) -> None:
         """Answer an inquiry with a job's state and, if requested, its decisions."""
         answer = self._look_up(inquire.ticket)
         if inquire.explain:
             answer = answer._replace(decisions=self._encode_decisions(inquire.ticket))
         self._messenger.send(sender, answer._replace(request=inquire.request, load=self.load()))
 
-    def take_cancel(self, sender: Peer, cancel: Cancel) -> None:
+    def handle_cancel(self, sender: Peer, cancel: Cancel) -> None:
         """Cancel a job; an unknown one is recorded as cancelled, so that it never runs."""
         waiter = Waiter(sender, cancel.request)
         ticket = self._answer_if_known(waiter, cancel.ticket, None)
@@ -193,58 +193,58 @@
         job = Job(ticket, Submit(cancel.request, cancel.ticket, "", "", 0.0, b"", ()))
         self._refuse(waiter, job, CODE_CANCELLED, "cancelled before it was submitted", 0.0)
 
-    def take_results(self, sender: Peer, results: Results) -> None:
+    def handle_results(self, sender: Peer, results: Results) -> None:
         """Handle a worker's results and refusals of offered tasks."""
         worker = self._offers.find(sender)
         if worker is None:
             self._counters.add("answers_dropped", len(results.done) + len(results.refused))
             return
-        worker.hear(results.load, self._clock.now())
+        worker.update_from_message(results.load, self._clock.now())
         for result in results.done:
             offer = self._offers.settle(worker, result.offer)
             if offer is not None:
-                self._take_result(worker, offer, result)
+                self._handle_result(worker, offer, result)
         for refusal in results.refused:
             offer = self._offers.settle(worker, refusal.offer)
             if refusal.code == NotStarted.code:
                 worker.note_refused_connection(self._clock.now())
             if offer is not None:
-                self.take_back(offer, refusal.code)
+                self.requeue(offer, refusal.code)
         self._placer.schedule()
 
-    def take_revoked(self, sender: Peer, revoked: Revoked) -> None:
+    def handle_revoked(self, sender: Peer, revoked: Revoked) -> None:
         """Handle a worker's reply to a revocation of offers."""
         worker = self._offers.find(sender)
         if worker is not None:
-            self._offers.take_revoked(worker, revoked)
+            self._offers.handle_revoked(worker, revoked)
             self._placer.schedule()
 
     def handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
         """Drop a worker whose address now belongs to another process."""
-        self._offers.drop(Peer(sender.address, rejection.meant))
+        self._offers.give_up_worker(Peer(sender.address, rejection.meant))
 
-    def take_back(self, offer: OpenOffer, code: str) -> None:
-        """Requeue a task that has not started; see :class:`~offers.OfferOwner`."""
+    def requeue(self, offer: OpenOffer, code: str) -> None:
+        """Requeue a task that has not started; see :class:`~offers.OfferListener`."""
         job = offer.job
         self._counters.add("tasks_taken_back", code=code)
         decision = codes.TASK_REVOKED if code == CODE_REVOKED else codes.TASK_REFUSED
         self._decisions.record(decision, job.subject, task=offer.index, reason=code)
         if job.is_final:
             return
-        if job.ending:
+        if job.abort_code:
             self._finish_if_settled(job)
         else:
             self._backlog.push(job, offer.index)
             self._placer.schedule()
 
     def note_started(self, offer: OpenOffer) -> None:
-        """Note that a task has started; see :class:`~offers.OfferOwner`."""
+        """Note that a task has started; see :class:`~offers.OfferListener`."""
         offer.job.started = True
-        if offer.job.ending:
+        if offer.job.abort_code:
             self._finish_if_settled(offer.job)
 
-    def lose(self, offer: OpenOffer, code: str) -> None:
-        """Fail a job whose task may have run; see :class:`~offers.OfferOwner`."""
+    def fail_lost_task(self, offer: OpenOffer, code: str) -> None:
+        """Fail a job whose task may have run; see :class:`~offers.OfferListener`."""
         job = offer.job
         job.started = True
         if job.is_final:
@@ -259,9 +259,9 @@
         """Evict records that exceed the maximum age."""
         self._records.expire()
 
-    def forget_workers(self) -> None:
+    def forget_gone_workers(self) -> None:
         """Forget workers that are no longer members and have no open offers."""
-        self._offers.forget_strangers(
+        self._offers.forget_non_members(
             lambda peer: peer == self.me or self._roster.get(peer) is not None
         )
 
@@ -269,7 +269,7 @@
         """Refuse new jobs from now on; running jobs continue."""
         self.leaving = True
 
-    def abandon(self) -> None:
+    def abort_jobs(self) -> None:
         """Fail every running job because the process is stopping."""
         for job in list(self._jobs.values()):
             self._abort(job, CODE_STOPPED, "the home stopped before the job finished")
@@ -283,19 +283,19 @@
         """Return the records of finished jobs, each with its latest decisions."""
         return [self._with_decisions(record) for record in self._records.all()]
 
-    def hint(self, peer: Peer, load: Load) -> None:
+    def update_load(self, peer: Peer, load: Load) -> None:
         """Update a worker's load from an indirect report.
 
         :param peer: the worker
         :param load: its load as relayed by the membership or sent with an offer
         """
-        self._offers.hint(peer, load)
+        self._offers.update_load(peer, load)
 
     def peers_lateness(self) -> float:
         """Return the median lateness of the other workers, or 0 if none is known."""
         return self._offers.peers_lateness()
 
-    def schedule_place(self) -> None:
+    def schedule_placement(self) -> None:
         """Schedule a placement run for the waiting tasks."""
         self._placer.schedule()
 
@@ -334,7 +334,7 @@
 
     def _answer_missing(self, ticket: Ticket, text: str) -> Answer | None:
         if ticket.home != self.me:
-            return self.archives.judge_missing(ticket, text)
+            return self.archives.answer_missing(ticket, text)
         if self._records.may_have_evicted(ticket):
             detail = "the record of the job may have been evicted"
             return Answer(0, text, STATE_MAY_HAVE_RUN, CODE_EVICTED, detail)
@@ -373,13 +373,13 @@
     def _with_decisions(self, record: Record) -> Record:
         """Return a record with the latest decisions on its job added."""
         subject = f"{read_ticket(record.ticket).job:x}"
-        rows = encode_decisions(self._decisions.about(subject)[-KEPT_DECISIONS:])
+        rows = encode_decisions(self._decisions.about(subject)[-MAX_RECORD_DECISIONS:])
         return record._replace(answer=record.answer._replace(decisions=rows))
 
     def _join(self, waiter: Waiter, job: Job, digest: bytes | None) -> None:
         """Add a request to a running job, or answer a conflict if the submitted body differs."""
         if digest is not None and digest != job.digest:
-            self._send(waiter, Answer(0, job.text, STATE_CONFLICT))
+            self._send(waiter, Answer(0, job.ticket_text, STATE_CONFLICT))
             return
         self._counters.add("jobs_rejoined")
         self._decisions.record(codes.JOB_JOINED, job.subject, entry=waiter.entry.address)
@@ -389,11 +389,13 @@
         job.estimates = [self._run_times.estimate(task.run_ms) for task in job.tasks]
         job.work_ms = sum(job.estimates)
 
-    def _check_admission(self, job: Job) -> Verdict:
+    def _check_admission(self, job: Job) -> AdmissionDecision:
         narrow_tasks = self._configuration.service(self.service).narrow_tasks
-        job.width = classify(len(job.tasks), narrow_tasks)
-        ahead = Ahead(self._backlog.count, self._backlog.narrow_work_ms, self._payload_bytes)
-        return judge(job, self._placer.list_workers(), ahead)
+        job.width = classify_width(len(job.tasks), narrow_tasks)
+        backlog = HomeBacklog(
+            self._backlog.count, self._backlog.narrow_work_ms, self._payload_bytes
+        )
+        return check_admission(job, self._placer.list_workers(), backlog)
 
     def _refuse(self, waiter: Waiter, job: Job, code: str, detail: str, retry_ms: float) -> None:
         self._counters.add("jobs_refused", code=code)
@@ -401,7 +403,9 @@
             code, job.subject, detail=detail, retry_after_ms=round(retry_ms)
         )
         job.waiters.add(waiter)
-        answer = Answer(0, job.text, STATE_NOT_RUN, code, detail, retry_ms, decision=decision)
+        answer = Answer(
+            0, job.ticket_text, STATE_NOT_RUN, code, detail, retry_ms, decision=decision
+        )
         self._finish(job, answer)
 
     def _accept(self, waiter: Waiter, job: Job, wait_ms: float) -> None:
@@ -434,7 +438,7 @@
         overtaken for ever.
         """
         delay_ms = job.work_ms / max(1, self._runner.slots) * self._excess_share(job.team)
-        max_delay_ms = job.deadline_ms * DUE_SHARE
+        max_delay_ms = job.deadline_ms * MAX_DELAY_SHARE
         return self._clock.now() + min(delay_ms, max_delay_ms) + job.longest_ms
 
     def _excess_share(self, team: str) -> float:
@@ -448,12 +452,12 @@
             return 1.0
         return max(1.0, shares[team] * len(shares) / sum(shares.values()))
 
-    def _take_result(self, worker: Worker, offer: OpenOffer, result: TaskResult) -> None:
+    def _handle_result(self, worker: Worker, offer: OpenOffer, result: TaskResult) -> None:
         job, index = offer.job, offer.index
         job.started = True
         declared = job.tasks[index].run_ms
         if result.ok:
-            worker.note_pace(result.run_ms, offer.run_ms, self._clock.now())
+            worker.update_pace(result.run_ms, offer.run_ms, self._clock.now())
             # Run times of a slow minion would inflate the estimates for all others.
             if not self._seems_slow(worker):
                 self._run_times.learn(declared, result.run_ms)
@@ -466,10 +470,10 @@
             detail = f"task {index}: {result.body[:200].decode(errors='replace')}"
             self._abort(job, result.code or CODE_TASK_FAILED, detail)
             return
-        job.take_result(index, result.body)
-        if job.left == 0 and not job.ending:
+        job.set_result(index, result.body)
+        if job.unfinished_tasks == 0 and not job.abort_code:
             self._complete(job)
-        elif job.ending:
+        elif job.abort_code:
             self._finish_if_settled(job)
 
     def _seems_slow(self, worker: Worker) -> bool:
@@ -481,7 +485,7 @@
         self._counters.add("jobs_complete")
         self._decisions.record(codes.JOB_COMPLETE, job.subject)
         results = tuple(job.results)
-        self._finish(job, Answer(0, job.text, STATE_COMPLETE, results=results))
+        self._finish(job, Answer(0, job.ticket_text, STATE_COMPLETE, results=results))
 
     def _abort(self, job: Job, code: str, detail: str) -> None:
         """Abort a job and revoke its open offers.
@@ -490,12 +494,12 @@
 
         :param code: reason code of the abort
         """
-        if job.is_final or job.ending:
+        if job.is_final or job.abort_code:
             return
-        job.ending = code
-        job.detail = detail
+        job.abort_code = code
+        job.abort_detail = detail
         self._counters.add("jobs_failed", code=code)
-        self._backlog.drop(job)
+        self._backlog.remove_job(job)
         self._offers.revoke(job)
         job.timers.append(self._clock.after(REVOKE_WAIT_MS, lambda: self._finish_unsettled(job)))
         self._finish_if_settled(job)
@@ -518,11 +522,13 @@
         code = {
             CODE_CANCELLED: codes.JOB_CANCELLED,
             CODE_EXPIRED: codes.JOB_EXPIRED,
-        }.get(job.ending, codes.JOB_FAILED)
-        decision = self._decisions.record(code, job.subject, outcome=state, reason=job.ending)
-        may_retry = state == STATE_NOT_RUN and job.ending != CODE_CANCELLED
+        }.get(job.abort_code, codes.JOB_FAILED)
+        decision = self._decisions.record(code, job.subject, outcome=state, reason=job.abort_code)
+        may_retry = state == STATE_NOT_RUN and job.abort_code != CODE_CANCELLED
         retry_ms = self._runner.load().wait_ms if may_retry else 0.0
-        answer = Answer(0, job.text, state, job.ending, job.detail, retry_ms, decision=decision)
+        answer = Answer(
+            0, job.ticket_text, state, job.abort_code, job.abort_detail, retry_ms, decision=decision
+        )
         self._finish(job, answer)
 
     def _finish(self, job: Job, answer: Answer) -> None:
@@ -531,9 +537,9 @@
         if self._jobs.pop(job.ticket.job, None) is not None:
             self._payload_bytes -= job.size_bytes
             self._team_work_ms[job.team] -= job.work_ms
-            if self._team_work_ms[job.team] <= NEGLIGIBLE_MS:
+            if self._team_work_ms[job.team] <= NEGLIGIBLE_WORK_MS:
                 del self._team_work_ms[job.team]
-        self._records.keep(job.ticket, Record(job.text, job.digest, answer))
+        self._records.add(job.ticket, Record(job.ticket_text, job.digest, answer))
         for waiter in job.waiters:
             self._send(waiter, answer)
         job.waiters.clear()
@@ -550,7 +556,7 @@
         if member.state == MEMBER_DEAD:
             self._offers.suspect(peer)
         if member.state in (MEMBER_DEAD, MEMBER_LEFT):
-            self._clock.after(LEFT_GRACE_MS, lambda: self._handle_member_gone(peer))
+            self._clock.after(DEPARTURE_GRACE_MS, lambda: self._handle_member_gone(peer))
         if member.state in (MEMBER_READY, MEMBER_EJECTED):
             self._placer.schedule()
 
@@ -562,7 +568,7 @@
         """
         member = self._roster.get(peer)
         if member is None or member.state == MEMBER_LEFT:
-            self._offers.drop(peer)
+            self._offers.give_up_worker(peer)
             self._runner.forget_home(peer)
         elif member.state == MEMBER_DEAD:
             self._offers.forget_idle(peer)
--- a/geraniumspool/job.py
+++ b/geraniumspool/job.py
@@ -21,10 +21,10 @@
 
 
 # Most tasks of a medium job.
-MEDIUM_TASKS = 40
+MAX_MEDIUM_TASKS = 40
 
 
-def classify(tasks: int, narrow_tasks: int) -> Width:
+def classify_width(tasks: int, narrow_tasks: int) -> Width:
     """Return the width of a job.
 
     :param tasks: number of tasks of the job
@@ -32,7 +32,7 @@
     """
     if tasks <= narrow_tasks:
         return Width.NARROW
-    return Width.MEDIUM if tasks <= MEDIUM_TASKS else Width.WIDE
+    return Width.MEDIUM if tasks <= MAX_MEDIUM_TASKS else Width.WIDE
 
 
 class Waiter(NamedTuple):
@@ -49,17 +49,17 @@
 class Job:
     """A job with its tasks, their results and the requests that wait for it.
 
-    :ivar text: the ticket as it was sent
+    :ivar ticket_text: the ticket as it was sent
     :ivar ticket: the parsed ticket
     :ivar digest: digest of the submitted body
     :ivar deadline_ms: longest time from admission to the answer
     :ivar results: JSON texts by task index, None for unfinished tasks
     :ivar estimates: estimated run times by task index, in milliseconds
-    :ivar left: number of unfinished tasks
+    :ivar unfinished_tasks: number of unfinished tasks
     :ivar open_offers: workers by the number of the open offer each one holds
     :ivar started: whether a task is known to have started
-    :ivar ending: reason code of the abort, empty while the job may complete
-    :ivar detail: text that explains ``ending``
+    :ivar abort_code: reason code of the abort, empty while the job may complete
+    :ivar abort_detail: text that explains ``abort_code``
     :ivar is_final: whether the answer was given
     :ivar width: class of the job by its number of tasks
     :ivar due: time by which the job should finish; earlier ones are placed first
@@ -72,7 +72,7 @@
 
         :param ticket: the parsed ticket of ``submit``
         """
-        self.text = submit.ticket
+        self.ticket_text = submit.ticket
         self.ticket = ticket
         self.team = submit.team
         self.digest = submit.digest
@@ -80,12 +80,12 @@
         self.tasks = tasks = submit.tasks
         self.results: list[bytes | None] = [None] * len(tasks)
         self.estimates: list[float] = []
-        self.left = len(tasks)
+        self.unfinished_tasks = len(tasks)
         self.open_offers: dict[int, Peer] = {}
         self.waiters: set[Waiter] = set()
         self.started = False
-        self.ending = ""
-        self.detail = ""
+        self.abort_code = ""
+        self.abort_detail = ""
         self.is_final = False
         self.width = Width.NARROW
         self.due = 0.0
@@ -107,13 +107,13 @@
         """Return the longest estimated run time of its tasks, in milliseconds."""
         return max(self.estimates)
 
-    def take_result(self, index: int, body: bytes) -> None:
+    def set_result(self, index: int, body: bytes) -> None:
         """Record the result of a task.
 
         :param body: JSON text
         """
         self.results[index] = body
-        self.left -= 1
+        self.unfinished_tasks -= 1
         self.started = True
 
     def cancel_timers(self) -> None:
--- a/geraniumspool/ledger.py
+++ b/geraniumspool/ledger.py
@@ -11,10 +11,10 @@
 LOST = "lost"
 
 
-class Entry:
+class OfferState:
     """State of one offer.
 
-    :ivar ledger: the ledger that the entry belongs to
+    :ivar home_offers: the offers of the home that made the offer
     :ivar task: the offered task, or None for a tombstone, which records that
         the offer was refused
     :ivar state: one of the constants of this module
@@ -22,70 +22,74 @@
     :ivar is_stopped: whether the minion was asked to stop the task
     """
 
-    __slots__ = ("task", "state", "result", "ledger", "is_stopped")
+    __slots__ = ("task", "state", "result", "home_offers", "is_stopped")
 
-    def __init__(self, ledger: "Ledger", task: OfferedTask | None, state: str):
+    def __init__(self, home_offers: "HomeOffers", task: OfferedTask | None, state: str):
         """Create the state of an offer.
 
         :param state: one of the constants of this module
         """
-        self.ledger = ledger
+        self.home_offers = home_offers
         self.task = task
         self.state = state
         self.result: TaskResult | None = None
         self.is_stopped = False
 
 
-class Ledger:
+class HomeOffers:
     """Unsettled offers of one home, and the outcomes to be sent to it.
 
     :ivar home: address and incarnation of the home
     :ivar floor: lowest offer number that the home may still need; lower ones are settled
-    :ivar entries: states of offers by number
+    :ivar offer_states: states of offers by number
     :ivar open_tasks: number of tasks that wait or run here, by job
     :ivar queued: number of tasks that wait here
-    :ivar more: whether the home reported further tasks waiting there
-    :ivar done: results that are not sent yet
-    :ivar refused: refusals that are not sent yet
-    :ivar hold: timer that sends held results at the latest, or None
+    :ivar home_has_waiting: whether the home reported further tasks waiting there
+    :ivar unsent_results: results that are not sent yet
+    :ivar unsent_refusals: refusals that are not sent yet
+    :ivar hold_timer: timer that sends held results at the latest, or None
     """
 
     def __init__(self, home: Peer):
-        """Create an empty ledger for a home."""
+        """Create the offers of a home, without any."""
         self.home = home
         self.floor = 0
-        self.entries: dict[int, Entry] = {}
+        self.offer_states: dict[int, OfferState] = {}
         self.open_tasks: Counter[int] = Counter()
         self.queued = 0
-        self.more = False
-        self.done: list[TaskResult] = []
-        self.refused: list[Refusal] = []
-        self.hold = None
+        self.home_has_waiting = False
+        self.unsent_results: list[TaskResult] = []
+        self.unsent_refusals: list[Refusal] = []
+        self.hold_timer = None
 
-    def queued_below(self, floor: int) -> list[Entry]:
+    def queued_below(self, floor: int) -> list[OfferState]:
         """Return the queued offers below a new floor, which the home has given up."""
         if floor <= self.floor or not self.queued:
             return []
-        entries = self.entries.items()
-        return [entry for offer, entry in entries if offer < floor and entry.state == QUEUED]
+        offer_states = self.offer_states.items()
+        return [
+            offer_state
+            for offer, offer_state in offer_states
+            if offer < floor and offer_state.state == QUEUED
+        ]
 
-    def raise_floor(self, floor: int) -> list[Entry]:
+    def raise_floor(self, floor: int) -> list[OfferState]:
         """Raise the floor; drop and return finished offers below it."""
         if floor <= self.floor:
             return []
         self.floor = floor
         settled = [
             offer
-            for offer, entry in self.entries.items()
-            if offer < floor and entry.state not in (QUEUED, RUNNING)
+            for offer, offer_state in self.offer_states.items()
+            if offer < floor and offer_state.state not in (QUEUED, RUNNING)
         ]
-        return [self.entries.pop(offer) for offer in settled]
+        return [self.offer_states.pop(offer) for offer in settled]
 
-    def highest(self) -> int:
+    def highest_offer(self) -> int:
         """Return the highest offer number, or 0 if there is no entry."""
-        return max(self.entries, default=0)
+        return max(self.offer_states, default=0)
 
-    def close_task(self, task: OfferedTask) -> None:
+    def subtract_open_task(self, task: OfferedTask) -> None:
         """Subtract a task that no longer waits or runs here from its job's count."""
         self.open_tasks[task.job] -= 1
         if self.open_tasks[task.job] <= 0:
--- a/geraniumspool/offers.py
+++ b/geraniumspool/offers.py
@@ -21,23 +21,23 @@
     Revoked,
 )
 from geraniumspool.runner import Runner
-from geraniumspool.worker import OpenOffer, Worker, expect
+from geraniumspool.worker import OpenOffer, Worker, overdue_time
 
 # Interval at which the open offers of a worker are checked.
-WATCH_MS = 100.0
+WATCH_INTERVAL_MS = 100.0
 # Least time before the first probe of a worker; doubles with each unanswered one.
 PROBE_MS = 250.0
 # How long a suspected worker is offered nothing.
 SUSPECT_MS = 2_000.0
 # Silence of a worker with open offers after which relayed loads are accepted.
-HINT_AFTER_MS = 500.0
+ACCEPT_RELAYED_LOAD_AFTER_MS = 500.0
 # Longest interval between messages to a worker that was given up.
-MAX_SEEK_MS = 10_000.0
+MAX_CONTACT_INTERVAL_MS = 10_000.0
 # Unanswered probes after which a worker is suspected. It is given up only after
 # as many, however long it has been silent.
-MIN_PROBES = 2
+MIN_UNANSWERED_PROBES = 2
 # Most workers whose lateness is compared; a sample of them if there are more.
-MAX_COMPARED = 64
+MAX_COMPARED_WORKERS = 64
 
 
 class PlacedTask(NamedTuple):
@@ -56,10 +56,10 @@
     patience_ms: float = 0.0
 
 
-class OfferOwner(Protocol):
+class OfferListener(Protocol):
     """Receives the outcomes of offers that end without a result."""
 
-    def take_back(self, offer: OpenOffer, code: str) -> None:
+    def requeue(self, offer: OpenOffer, code: str) -> None:
         """Handle a task that has not started under an offer and never will.
 
         :param code: reason code
@@ -68,7 +68,7 @@
     def note_started(self, offer: OpenOffer) -> None:
         """Handle the report that a task has started."""
 
-    def lose(self, offer: OpenOffer, code: str) -> None:
+    def fail_lost_task(self, offer: OpenOffer, code: str) -> None:
         """Handle a task that may have run but whose result is lost.
 
         :param code: reason code
@@ -90,7 +90,7 @@
         counters: Counters,
         decisions: DecisionLog,
         runner: Runner,
-        owner: OfferOwner,
+        owner: OfferListener,
         peer_timeout_ms: float,
     ):
         """Start without any worker.
@@ -115,7 +115,7 @@
         """Return the state of a worker, or None if it is unknown."""
         return self._workers.get(peer)
 
-    def worker(self, member: Member) -> Worker:
+    def get_or_create_worker(self, member: Member) -> Worker:
         """Return the state of a member as a worker; create it if there is none."""
         peer = Peer(member.address, member.incarnation)
         worker = self._workers.get(peer)
@@ -136,7 +136,7 @@
         message = Offer(worker.floor(self._next_number), offered, more, self._runner.load())
         self._watch(worker)
         if worker.peer == self._messenger.me:
-            self._runner.take_offer(worker.peer, message)
+            self._runner.handle_offer(worker.peer, message)
         else:
             self._messenger.send(worker.peer, message)
 
@@ -161,19 +161,19 @@
                 eventlet.spawn_n(self._flush_revokes)
             self._pending_revokes.setdefault(peer, set()).add(number)
 
-    def take_revoked(self, worker: Worker, revoked: Revoked) -> None:
+    def handle_revoked(self, worker: Worker, revoked: Revoked) -> None:
         """Handle a worker's report on revoked offers."""
-        worker.hear(revoked.load, self._clock.now())
+        worker.update_from_message(revoked.load, self._clock.now())
         for number in revoked.not_started:
             offer = self.settle(worker, number)
             if offer is not None:
-                self._owner.take_back(offer, CODE_REVOKED)
+                self._owner.requeue(offer, CODE_REVOKED)
         for number in revoked.started:
             self._note_started(worker, number)
         for number in revoked.lost:
             offer = self.settle(worker, number)
             if offer is not None:
-                self._owner.lose(offer, CODE_RESULT_LOST)
+                self._owner.fail_lost_task(offer, CODE_RESULT_LOST)
 
     def suspect(self, peer: Peer) -> None:
         """Suspend offers to a worker for a while, and ask for the state of its open offers."""
@@ -187,8 +187,8 @@
     def peers_lateness(self) -> float:
         """Return the median lateness of the other workers, or 0 if none is known."""
         peers = [worker for worker in self._workers.values() if worker.peer != self._messenger.me]
-        if len(peers) > MAX_COMPARED:
-            peers = random.sample(peers, MAX_COMPARED)
+        if len(peers) > MAX_COMPARED_WORKERS:
+            peers = random.sample(peers, MAX_COMPARED_WORKERS)
         return statistics.median_low([0.0, *(worker.load.lateness for worker in peers)])
 
     def forget_idle(self, peer: Peer) -> None:
@@ -197,7 +197,7 @@
         if worker is not None and not worker.open:
             del self._workers[peer]
 
-    def forget_strangers(self, is_known: Callable[[Peer], bool]) -> None:
+    def forget_non_members(self, is_known: Callable[[Peer], bool]) -> None:
         """Forget workers without open offers that are no longer members.
 
         :param is_known: returns whether a worker is still a member
@@ -207,7 +207,7 @@
             if not is_known(peer):
                 del self._workers[peer]
 
-    def drop(self, peer: Peer) -> None:
+    def give_up_worker(self, peer: Peer) -> None:
         """Give up a worker that is gone: its open offers count as lost."""
         worker = self._workers.pop(peer, None)
         if worker is None:
@@ -215,20 +215,23 @@
         offers = list(worker.open.values())
         worker.open.clear()
         for offer in offers:
-            offer.job.open_offers.pop(offer.offer, None)
-            self._owner.lose(offer, CODE_WORKER_LOST)
+            offer.job.open_offers.pop(offer.number, None)
+            self._owner.fail_lost_task(offer, CODE_WORKER_LOST)
 
-    def hint(self, peer: Peer, load: Load) -> None:
+    def update_load(self, peer: Peer, load: Load) -> None:
         """Update a worker's load from an indirect report.
 
         The report is ignored if the worker has open offers and sent a message
-        within ``HINT_AFTER_MS``, since it may be older than that message.
+        within ``ACCEPT_RELAYED_LOAD_AFTER_MS``, since it may be older than that message.
         """
         worker = self._workers.get(peer)
         if worker is None:
             return
-        if not worker.open or self._clock.now() - worker.heard_ms > HINT_AFTER_MS:
-            worker.hint(load)
+        if (
+            not worker.open
+            or self._clock.now() - worker.last_message_ms > ACCEPT_RELAYED_LOAD_AFTER_MS
+        ):
+            worker.update_from_report(load)
 
     def _open(self, worker: Worker, task: PlacedTask, service: str, limit_ms: float) -> OfferedTask:
         now = self._clock.now()
@@ -236,7 +239,7 @@
         self._next_number += 1
         job, index = task.job, task.index
         run_ms = job.estimates[index]
-        overdue_ms = expect(now, worker.load.wait_ms, run_ms)
+        overdue_ms = overdue_time(now, worker.load.wait_ms, run_ms)
         worker.add(OpenOffer(number, job, index, now, run_ms, overdue_ms))
         job.open_offers[number] = worker.peer
         self._decisions.record(
@@ -269,7 +272,7 @@
         # the offer, so that queries about it become rarer.
         now = self._clock.now()
         overdue_ms = now + max(offer.run_ms, now - offer.sent_ms)
-        worker.open[number] = offer._replace(expected_ms=overdue_ms)
+        worker.open[number] = offer._replace(overdue_after_ms=overdue_ms)
         self._owner.note_started(offer)
 
     def _flush_revokes(self) -> None:
@@ -285,14 +288,14 @@
         message = Revoke(worker.floor(self._next_number), numbers, stop)
         self._counters.add("offers_revoked", len(numbers))
         if worker.peer == self._messenger.me:
-            self._runner.take_revoke(worker.peer, message)
+            self._runner.handle_revoke(worker.peer, message)
             return
         self._messenger.send(worker.peer, message)
         self._watch(worker)
 
     def _watch(self, worker: Worker) -> None:
-        if not worker.is_watched:
-            worker.is_watched = True
+        if not worker.has_watcher:
+            worker.has_watcher = True
             eventlet.spawn_n(self._watch_worker, worker)
 
     def _watch_worker(self, worker: Worker) -> None:
@@ -302,17 +305,17 @@
         offered to others; running ones continue.
         """
         while worker.open:
-            self._clock.sleep(WATCH_MS)
+            self._clock.sleep(WATCH_INTERVAL_MS)
             now = self._clock.now()
             unanswered = worker.revoking & worker.open.keys()
             numbers = unanswered.union(worker.overdue(now))
             if numbers:
                 self._probe(worker, numbers, now)
-        worker.is_watched = False
+        worker.has_watcher = False
 
     def _suspend(self, member: Member) -> None:
         """Suspend offers to a worker that was given up, until it sends a message again."""
-        worker = self.worker(member)
+        worker = self.get_or_create_worker(member)
         worker.suspect_until = math.inf
         eventlet.spawn_n(self._contact_until_heard, worker)
 
@@ -321,21 +324,21 @@
         while self._workers.get(worker.peer) is worker and worker.suspect_until == math.inf:
             self._messenger.send(worker.peer, Revoke(worker.floor(self._next_number), ()))
             self._clock.sleep(pause_ms)
-            pause_ms = min(pause_ms * 2, MAX_SEEK_MS)
+            pause_ms = min(pause_ms * 2, MAX_CONTACT_INTERVAL_MS)
 
     def _probe(self, worker: Worker, numbers: set[int], now: float) -> None:
         oldest_sent_ms = min(worker.open[number].sent_ms for number in numbers)
-        silent_ms = now - max(worker.heard_ms, oldest_sent_ms)
-        if silent_ms > self._peer_timeout_ms and worker.probes >= MIN_PROBES:
+        silent_ms = now - max(worker.last_message_ms, oldest_sent_ms)
+        if silent_ms > self._peer_timeout_ms and worker.probes >= MIN_UNANSWERED_PROBES:
             self._decisions.record(WORKER_SILENT, worker.peer.address, silent_ms=round(silent_ms))
-            self.drop(worker.peer)
+            self.give_up_worker(worker.peer)
             self._suspend(worker.member)
             return
         if now - worker.probed_ms < PROBE_MS * 2**worker.probes:
             return
         worker.probed_ms = now
         worker.probes += 1
-        if worker.probes >= MIN_PROBES:
+        if worker.probes >= MIN_UNANSWERED_PROBES:
             worker.suspect_until = now + SUSPECT_MS
         self._counters.add("probes_sent")
         self._send_revoke(worker, numbers, False)
--- a/geraniumspool/placement.py
+++ b/geraniumspool/placement.py
@@ -9,19 +9,19 @@
 from geraniumspool.worker import Worker
 
 # Usual lookahead: tasks queued at a worker for each of its slots.
-AHEAD_PER_SLOT = 1.0
+DEFAULT_AHEAD_PER_SLOT = 1.0
 # Another process's worker without a free slot is offered tasks only if its queue
 # has room for this many, or for as many as it has slots if these are fewer. So
 # a message to it can carry several tasks.
-MIN_REFILL = 4
+MIN_REMOTE_BATCH = 4
 # Cost of a message within the failure domain and of one to another domain, as
 # the additional wait in milliseconds that is worth avoiding it.
-LOCAL_MS = 20.0
-CROSS_MS = 60.0
+LOCAL_MESSAGE_COST_MS = 20.0
+CROSS_DOMAIN_MESSAGE_COST_MS = 60.0
 # Additional cost of a message to a slow worker.
-SLOW_MS = 200.0
+SLOW_WORKER_COST_MS = 200.0
 # Reduction of a worker's cost for each free slot that the tasks could use.
-FREE_BONUS_MS = 0.5
+FREE_SLOT_BONUS_MS = 0.5
 # Slots of a worker kept for narrow jobs, on workers with enough slots.
 RESERVED_SLOTS = 1
 MIN_SLOTS_TO_RESERVE = 4
@@ -29,23 +29,23 @@
 # Lookahead by width, as a factor of the usual one. Tasks of narrower jobs may
 # queue further ahead, since they overtake wider ones at the worker; overdue
 # tasks may queue furthest.
-REACH_BY_WIDTH = {Width.NARROW: 3.0, Width.MEDIUM: 2.0, Width.WIDE: 1.0}
-LATE_REACH = 12.0
+LOOKAHEAD_BY_WIDTH = {Width.NARROW: 3.0, Width.MEDIUM: 2.0, Width.WIDE: 1.0}
+OVERDUE_LOOKAHEAD = 12.0
 
 
-class Demand(NamedTuple):
+class TasksToPlace(NamedTuple):
     """Tasks to place.
 
     :param count: number of tasks
     :param run_ms: mean of their estimated run times
-    :param reach: factor of the usual lookahead, which limits the tasks that
+    :param lookahead_factor: factor of the usual lookahead, which limits the tasks that
         may queue at a worker for each of its slots
     :param any_slot: whether they may use the slots reserved for narrow jobs
     """
 
     count: int
     run_ms: float
-    reach: float
+    lookahead_factor: float
     any_slot: bool
 
 
@@ -60,7 +60,7 @@
     """Chooses workers for waiting tasks."""
 
     def allot(
-        self, demand: Demand, workers: list[Worker], own: Peer, domain: str
+        self, demand: TasksToPlace, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
         """Return the number of tasks to offer to each chosen worker.
 
@@ -70,14 +70,14 @@
         :param domain: the home's failure domain
         """
 
-    def stays_home(self, demand: Demand, own: Worker) -> bool:
+    def prefers_own_worker(self, demand: TasksToPlace, own: Worker) -> bool:
         """Return whether all tasks go to the home's own worker, whatever others are usable.
 
         :param own: the home's own worker, which accepts offers
         """
 
 
-def count_reserved(slots: int) -> int:
+def count_reserved_slots(slots: int) -> int:
     """Return how many slots of a worker are kept for narrow jobs.
 
     :param slots: number of the worker's slots
@@ -95,7 +95,7 @@
     at the home.
     """
 
-    def __init__(self, seed: int | None = None, ahead_per_slot: float = AHEAD_PER_SLOT):
+    def __init__(self, seed: int | None = None, ahead_per_slot: float = DEFAULT_AHEAD_PER_SLOT):
         """Create the policy.
 
         :param seed: seed of the random numbers that break ties
@@ -105,7 +105,7 @@
         self._random = random.Random(seed)
 
     def allot(
-        self, demand: Demand, workers: list[Worker], own: Peer, domain: str
+        self, demand: TasksToPlace, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
         """Return the number of cheapest places taken at each worker."""
         per_worker = [self._rate_places(worker, demand, own, domain) for worker in workers]
@@ -126,35 +126,39 @@
             if candidate.taken
         ]
 
-    def stays_home(self, demand: Demand, own: Worker) -> bool:
+    def prefers_own_worker(self, demand: TasksToPlace, own: Worker) -> bool:
         """Return whether the own free slots suffice and are cheaper than any message."""
         free = _count_free(own, demand)
-        return demand.count <= free and demand.count * FREE_BONUS_MS < LOCAL_MS
+        return demand.count <= free and demand.count * FREE_SLOT_BONUS_MS < LOCAL_MESSAGE_COST_MS
 
     def _rate_places(
-        self, worker: Worker, demand: Demand, own: Peer, domain: str
+        self, worker: Worker, demand: TasksToPlace, own: Peer, domain: str
     ) -> "_WorkerPlaces":
         free = _count_free(worker, demand)
-        per_slot = self._ahead_per_slot * demand.reach
-        ahead = 0 if worker.is_slow else worker.room(per_slot)
+        per_slot = self._ahead_per_slot * demand.lookahead_factor
+        ahead = 0 if worker.is_slow else worker.queue_capacity(per_slot)
         is_own = worker.peer == own
-        if free == 0 and not is_own and ahead < min(MIN_REFILL, worker.load.slots):
+        if free == 0 and not is_own and ahead < min(MIN_REMOTE_BATCH, worker.load.slots):
             ahead = 0
         first_extra_ms = 0.0 if is_own else _message_cost_ms(worker, domain)
-        first_extra_ms -= FREE_BONUS_MS * min(free, demand.count) * self._random.uniform(0.9, 1.0)
+        first_extra_ms -= (
+            FREE_SLOT_BONUS_MS * min(free, demand.count) * self._random.uniform(0.9, 1.0)
+        )
         waiting = worker.urgent if demand.any_slot else worker.waiting
         return _WorkerPlaces(worker, free, ahead, first_extra_ms, waiting, demand.run_ms)
 
 
-def _count_free(worker: Worker, demand: Demand) -> int:
+def _count_free(worker: Worker, demand: TasksToPlace) -> int:
     if demand.any_slot or worker.is_slow:
         return worker.free
-    return max(0, worker.free - count_reserved(worker.load.slots))
+    return max(0, worker.free - count_reserved_slots(worker.load.slots))
 
 
 def _message_cost_ms(worker: Worker, domain: str) -> float:
-    cost_ms = LOCAL_MS if worker.member.domain == domain else CROSS_MS
-    return cost_ms + SLOW_MS if worker.is_slow else cost_ms
+    cost_ms = (
+        LOCAL_MESSAGE_COST_MS if worker.member.domain == domain else CROSS_DOMAIN_MESSAGE_COST_MS
+    )
+    return cost_ms + SLOW_WORKER_COST_MS if worker.is_slow else cost_ms
 
 
 class _WorkerPlaces:
@@ -211,15 +215,15 @@
         return self._next_ms + (self._waiting + queued_ahead + 1) * self._step_ms
 
 
-class Spreading:
+class BaselinePlacement:
     """Base class of the baseline policies, which treat the own worker like any other."""
 
-    def stays_home(self, demand: Demand, own: Worker) -> bool:
+    def prefers_own_worker(self, demand: TasksToPlace, own: Worker) -> bool:
         """Return False."""
         return False
 
 
-class RandomChoice(Spreading):
+class RandomChoice(BaselinePlacement):
     """Baseline: assigns each task at once to a random worker."""
 
     def __init__(self, seed: int | None = None):
@@ -227,13 +231,13 @@
         self._random = random.Random(seed)
 
     def allot(
-        self, demand: Demand, workers: list[Worker], own: Peer, domain: str
+        self, demand: TasksToPlace, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
         """Choose a random worker for each task."""
         return _group([self._random.choice(workers) for _ in range(demand.count)])
 
 
-class LeastLoad(Spreading):
+class LeastLoad(BaselinePlacement):
     """Baseline: assigns each task at once to the worker that seems least loaded."""
 
     def __init__(self, seed: int | None = None):
@@ -241,13 +245,13 @@
         self._random = random.Random(seed)
 
     def allot(
-        self, demand: Demand, workers: list[Worker], own: Peer, domain: str
+        self, demand: TasksToPlace, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
         """Choose the least loaded worker for each task."""
         return _allot_least_loaded(demand.count, lambda: workers, self._random)
 
 
-class TwoChoices(Spreading):
+class TwoChoices(BaselinePlacement):
     """Baseline: assigns each task at once to the less loaded of two random workers."""
 
     def __init__(self, seed: int | None = None):
@@ -255,7 +259,7 @@
         self._random = random.Random(seed)
 
     def allot(
-        self, demand: Demand, workers: list[Worker], own: Peer, domain: str
+        self, demand: TasksToPlace, workers: list[Worker], own: Peer, domain: str
     ) -> list[Allotment]:
         """Choose the less loaded of two random workers for each task."""
         drawn = min(2, len(workers))
@@ -289,7 +293,7 @@
     return [Allotment(by_peer[peer], count) for peer, count in counts.items()]
 
 
-def choose_placement(name: str, ahead_per_slot: float = AHEAD_PER_SLOT) -> Placement:
+def choose_placement(name: str, ahead_per_slot: float = DEFAULT_AHEAD_PER_SLOT) -> Placement:
     """Return a new placement policy by its name in the settings.
 
     :param name: ``late``, ``random``, ``least`` or ``two``
--- a/geraniumspool/placer.py
+++ b/geraniumspool/placer.py
@@ -9,24 +9,30 @@
 
 import eventlet
 
-from geraniumspool.backlog import Backlog, Waiting
+from geraniumspool.backlog import Backlog, WaitingTask
 from geraniumspool.configuration import Configuration
 from geraniumspool.contracts import Clock
 from geraniumspool.job import Width
 from geraniumspool.members import ROLE_AGENT
 from geraniumspool.messages import MEMBER_READY, Member, Peer
 from geraniumspool.offers import Offers, PlacedTask
-from geraniumspool.placement import LATE_REACH, REACH_BY_WIDTH, Allotment, Demand, Placement
+from geraniumspool.placement import (
+    LOOKAHEAD_BY_WIDTH,
+    OVERDUE_LOOKAHEAD,
+    Allotment,
+    Placement,
+    TasksToPlace,
+)
 from geraniumspool.roster import Roster
 from geraniumspool.runner import Runner
 from geraniumspool.worker import Worker
 
 # Most workers of the own failure domain to compare; a sample of them if there are more.
-MAX_NEAR = 48
+MAX_LOCAL_WORKERS = 48
 # Most workers of other failure domains to compare, unless the own domain has few.
-MAX_FAR = 16
+MAX_FOREIGN_WORKERS = 16
 # Most overdue tasks of one width that are placed further ahead than usual.
-MAX_LATE = 64
+MAX_OVERDUE_TASKS = 64
 # Least time that a task may wait at a worker beyond the predicted wait.
 MIN_SLACK_MS = 50.0
 
@@ -37,7 +43,7 @@
 Batches = dict[Peer, list[PlacedTask]]
 
 
-class Place(NamedTuple):
+class HomeLocation(NamedTuple):
     """Location of a home.
 
     :param me: address and incarnation of its process
@@ -56,7 +62,7 @@
 
     def __init__(
         self,
-        place: Place,
+        place: HomeLocation,
         service: Callable[[], str],
         clock: Clock,
         roster: Roster,
@@ -93,18 +99,24 @@
     def list_workers(self) -> list[Worker]:
         """Return the workers that may be offered tasks, a random sample if there are many."""
         service = self._service()
-        near = _sample(self._list_usable(service, self._domain), MAX_NEAR)
+        near = _sample(self._list_usable(service, self._domain), MAX_LOCAL_WORKERS)
         far = [
             member
-            for member in _sample(self._list_usable(service), MAX_NEAR + MAX_FAR)
+            for member in _sample(
+                self._list_usable(service), MAX_LOCAL_WORKERS + MAX_FOREIGN_WORKERS
+            )
             if member.domain != self._domain
         ]
-        members = near + far[: max(MAX_FAR, MAX_NEAR - len(near))]
-        workers = [self._offers.worker(member) for member in members if not self._is_own(member)]
+        members = near + far[: max(MAX_FOREIGN_WORKERS, MAX_LOCAL_WORKERS - len(near))]
+        workers = [
+            self._offers.get_or_create_worker(member)
+            for member in members
+            if not self._is_own(member)
+        ]
         if self._runner.load().slots:
             workers.append(self._own_worker())
         now = self._clock.now()
-        return [worker for worker in workers if worker.look(now)]
+        return [worker for worker in workers if worker.refresh(now)]
 
     def _list_usable(self, service: str, domain: str | None = None) -> list[Member]:
         members = self._roster.agents(service, domain)
@@ -118,9 +130,9 @@
         load = self._runner.load()
         description = (self._domain, ROLE_AGENT, MEMBER_READY, self._service(), max_size, load)
         member = Member(*self._me, *description)
-        worker = self._offers.worker(member)
+        worker = self._offers.get_or_create_worker(member)
         worker.member = member
-        worker.hear(load, self._clock.now())
+        worker.update_from_message(load, self._clock.now())
         return worker
 
     def _run_placement(self) -> None:
@@ -129,12 +141,12 @@
             return
         batches: Batches = {}
         for width in Width:
-            overdue = self.backlog.count_late(width, self._clock.now(), MAX_LATE)
+            overdue = self.backlog.count_overdue(width, self._clock.now(), MAX_OVERDUE_TASKS)
             if overdue:
-                self._place_queue(width, overdue, LATE_REACH, batches)
-            if self.backlog.size(width):
-                size = self.backlog.size(width)
-                self._place_queue(width, size, REACH_BY_WIDTH[width], batches)
+                self._place_queue(width, overdue, OVERDUE_LOOKAHEAD, batches)
+            if self.backlog.count_tasks(width):
+                size = self.backlog.count_tasks(width)
+                self._place_queue(width, size, LOOKAHEAD_BY_WIDTH[width], batches)
         service = self._service()
         limit_ms = self._configuration.service(service).run_limit_ms
         for peer, batch in batches.items():
@@ -144,16 +156,18 @@
             worker.planned = 0
             self._offers.send(worker, batch, service, limit_ms, self.backlog.count > 0)
 
-    def _place_queue(self, width: Width, count: int, reach: float, batches: Batches) -> None:
+    def _place_queue(
+        self, width: Width, count: int, lookahead_factor: float, batches: Batches
+    ) -> None:
         """Move tasks from one queue of the backlog into a batch for each worker.
 
         :param count: most tasks to move
-        :param reach: factor of the usual lookahead, see :class:`~placement.Demand`
+        :param lookahead_factor: factor of the usual lookahead, see :class:`~placement.TasksToPlace`
         :param batches: the batches to fill
         """
         run_ms = self.backlog.work_ms / self.backlog.count
         any_slot = width == Width.NARROW
-        demand = Demand(count, run_ms, reach, any_slot)
+        demand = TasksToPlace(count, run_ms, lookahead_factor, any_slot)
         workers = self._use_own_worker_only(demand) or self.list_workers()
         if not workers:
             return
@@ -163,7 +177,7 @@
         if unfit:
             self._place_unfit(unfit, demand, batches)
 
-    def _use_own_worker_only(self, demand: Demand) -> list[Worker]:
+    def _use_own_worker_only(self, demand: TasksToPlace) -> list[Worker]:
         """Return only the own worker if all tasks would go there anyway, else nothing.
 
         At light load this saves the comparison of all workers for each task.
@@ -171,12 +185,14 @@
         if not self._runner.load().slots:
             return []
         own = self._own_worker()
-        is_enough = own.look(self._clock.now()) and self._placement.stays_home(demand, own)
+        is_enough = own.refresh(self._clock.now()) and self._placement.prefers_own_worker(
+            demand, own
+        )
         return [own] if is_enough else []
 
     def _fill_batch(
         self, allotment: Allotment, width: Width, any_slot: bool, batches: Batches
-    ) -> list[Waiting]:
+    ) -> list[WaitingTask]:
         """Move the allotted tasks from the backlog into a worker's batch.
 
         :returns: tasks that were taken from the backlog but do not fit the worker
@@ -191,7 +207,9 @@
                 unfit.append(waiting)
         return unfit
 
-    def _place_unfit(self, unfit: list[Waiting], demand: Demand, batches: Batches) -> None:
+    def _place_unfit(
+        self, unfit: list[WaitingTask], demand: TasksToPlace, batches: Batches
+    ) -> None:
         """Place tasks that did not fit the worker chosen first, on workers that they fit.
 
         Tasks without any such worker return to the backlog.
@@ -213,14 +231,14 @@
                 self.backlog.push(waiting.job, waiting.index)
 
     def _add_to_batch(
-        self, worker: Worker, waiting: Waiting, any_slot: bool, batches: Batches
+        self, worker: Worker, waiting: WaitingTask, any_slot: bool, batches: Batches
     ) -> None:
         patience_ms = self._compute_patience(worker, waiting)
         task = PlacedTask(waiting.job, waiting.index, waiting.due, any_slot, patience_ms)
         batches.setdefault(worker.peer, []).append(task)
         worker.planned += 1
 
-    def _compute_patience(self, worker: Worker, waiting: Waiting) -> float:
+    def _compute_patience(self, worker: Worker, waiting: WaitingTask) -> float:
         """Return the wait beyond which a worker should refuse a task, in milliseconds.
 
         It is 0, for no limit, at the own worker and for overdue tasks.
@@ -232,10 +250,10 @@
         return expected_ms + max(MIN_SLACK_MS, slack_ms)
 
 
-def _group_by_limit(tasks: list[Waiting], workers: list[Worker]) -> list[list[Waiting]]:
+def _group_by_limit(tasks: list[WaitingTask], workers: list[Worker]) -> list[list[WaitingTask]]:
     """Return tasks grouped by the workers that they fit, each group in the given order."""
     limits = sorted({worker.member.max_size or math.inf for worker in workers})
-    groups: dict[int, list[Waiting]] = {}
+    groups: dict[int, list[WaitingTask]] = {}
     for waiting in tasks:
         groups.setdefault(bisect.bisect_left(limits, waiting.size), []).append(waiting)
     return list(groups.values())
--- a/geraniumspool/quota.py
+++ b/geraniumspool/quota.py
@@ -4,7 +4,7 @@
 team's demand. Entries exchange their demand in digests, so together they may
 exceed a quota for about one digest period after demand shifts. Demand is
 reported only for teams with a quota, and again only after it has changed by
-more than a tenth or after ``TOLD_AGE_MS``.
+more than a tenth or after ``MAX_REPORT_AGE_MS``.
 """
 
 import itertools
@@ -24,22 +24,22 @@
 # Least retry delay of a refusal by the rate limit.
 MIN_RETRY_MS = 20.0
 # Rate in tasks per second below which an idle team is forgotten.
-FORGET_BELOW = 0.001
+MIN_TRACKED_RATE = 0.001
 # Most teams tracked at one entry.
 MAX_TEAMS = 5_000
 # Relative change of the demand rate that is reported at once.
-TOLD_CHANGE = 0.1
+MIN_REPORTED_CHANGE = 0.1
 # Age at which the reported demand is renewed in any case.
-TOLD_AGE_MS = 10_000.0
+MAX_REPORT_AGE_MS = 10_000.0
 # Part by which the rates of the other entries are taken as higher than reported.
 OTHERS_MARGIN = 0.02
 # Least rate, in tasks per second, that relative changes are computed from.
-MIN_TOLD_RATE = 0.1
+MIN_COMPARED_RATE = 0.1
 # Rate in tasks per second from which reported rates are rounded to integers.
-WHOLE_FROM = 10.0
+MIN_INTEGER_RATE = 10.0
 
 
-class Shortage(NamedTuple):
+class QuotaRefusal(NamedTuple):
     """Refusal of a job by a quota.
 
     :param detail: text that explains the refusal
@@ -93,7 +93,7 @@
         self._summed: list[Demand] = []
         self._rates: Counter[str] = Counter()
 
-    def take(self, team: str, tasks: int) -> Shortage | None:
+    def charge(self, team: str, tasks: int) -> QuotaRefusal | None:
         """Charge a job to its team's quota, or refuse it.
 
         :param tasks: number of the job's tasks
@@ -103,14 +103,14 @@
         usage.rate += tasks * 1000.0 / DEMAND_WINDOW_MS
         limits = self._configuration.team(team)
         share = self._share(team, usage)
-        shortage = self._check_running(limits.running_tasks, share, usage, tasks)
-        if shortage is None:
-            shortage = self._check_rate(limits.rate_tasks_per_s, share, usage, tasks)
-        if shortage is None:
+        refusal = self._check_running(limits.running_tasks, share, usage, tasks)
+        if refusal is None:
+            refusal = self._check_rate(limits.rate_tasks_per_s, share, usage, tasks)
+        if refusal is None:
             usage.running += tasks
-        return shortage
+        return refusal
 
-    def give_back(self, team: str, tasks: int) -> None:
+    def release(self, team: str, tasks: int) -> None:
         """Release the running tasks of a job that was charged.
 
         :param tasks: number of the job's tasks
@@ -123,14 +123,14 @@
         """Return the demand to report: one row for each team that has a quota.
 
         A row holds the rate in tasks per second and the running tasks. It is
-        the row reported last, unless that is older than ``TOLD_AGE_MS`` or the
+        the row reported last, unless that is older than ``MAX_REPORT_AGE_MS`` or the
         rate has changed by more than a tenth of the reported rate or of an
         equal part of the quota, whichever is greater.
         """
         rows = []
         for team in list(self._teams):
             usage = self._update(team)
-            if usage.rate < FORGET_BELOW and usage.running == 0:
+            if usage.rate < MIN_TRACKED_RATE and usage.running == 0:
                 del self._teams[team]
                 continue
             limits = self._configuration.team(team)
@@ -141,12 +141,12 @@
 
     def _report(self, team: str, usage: _Usage, limit: float) -> DemandRow:
         reported, now = usage.reported, self._clock.now()
-        if reported is not None and now - usage.reported_ms < TOLD_AGE_MS:
-            scale = max(reported[1], limit / max(1, self._entries()), MIN_TOLD_RATE)
-            if abs(usage.rate - reported[1]) <= TOLD_CHANGE * scale:
+        if reported is not None and now - usage.reported_ms < MAX_REPORT_AGE_MS:
+            scale = max(reported[1], limit / max(1, self._entries()), MIN_COMPARED_RATE)
+            if abs(usage.rate - reported[1]) <= MIN_REPORTED_CHANGE * scale:
                 return reported
         # Integers take fewer bytes in a message.
-        rate = round(usage.rate) if usage.rate >= WHOLE_FROM else round(usage.rate, 3)
+        rate = round(usage.rate) if usage.rate >= MIN_INTEGER_RATE else round(usage.rate, 3)
         usage.reported, usage.reported_ms = (team, rate, usage.running), now
         return usage.reported
 
@@ -199,20 +199,20 @@
 
     def _check_running(
         self, limit: int | None, share: float, usage: _Usage, tasks: int
-    ) -> Shortage | None:
+    ) -> QuotaRefusal | None:
         if limit is None:
             return None
         allowed = max(1.0, limit * share)
         if usage.running + tasks <= allowed or usage.running == 0 and tasks <= limit:
             return None
         if tasks > limit:
-            return Shortage(f"the team may run {limit} tasks at once, never {tasks}", 0.0)
+            return QuotaRefusal(f"the team may run {limit} tasks at once, never {tasks}", 0.0)
         detail = f"the team runs {usage.running} tasks here, its part of the quota is {allowed:.0f}"
-        return Shortage(detail, 200.0)
+        return QuotaRefusal(detail, 200.0)
 
     def _check_rate(
         self, limit: float | None, share: float, usage: _Usage, tasks: int
-    ) -> Shortage | None:
+    ) -> QuotaRefusal | None:
         if limit is None:
             return None
         allowed = limit * share
@@ -220,6 +220,6 @@
         if usage.tokens >= needed:
             usage.tokens -= tasks
             return None
-        wait_ms = (needed - usage.tokens) * 1000.0 / max(allowed, FORGET_BELOW)
+        wait_ms = (needed - usage.tokens) * 1000.0 / max(allowed, MIN_TRACKED_RATE)
         detail = f"the team may start {allowed:.1f} tasks a second here"
-        return Shortage(detail, max(MIN_RETRY_MS, wait_ms))
+        return QuotaRefusal(detail, max(MIN_RETRY_MS, wait_ms))
--- a/geraniumspool/records.py
+++ b/geraniumspool/records.py
@@ -62,7 +62,7 @@
         """Return the estimated memory of all records in bytes."""
         return self._bytes
 
-    def keep(self, ticket: Ticket, record: Record) -> None:
+    def add(self, ticket: Ticket, record: Record) -> None:
         """Store the record of a finished job; evict the oldest ones beyond the limit."""
         size = _estimate_size(record)
         self._kept[ticket.job] = _Kept(record, self._clock.now(), size)
--- a/geraniumspool/registrar.py
+++ b/geraniumspool/registrar.py
@@ -108,7 +108,7 @@
             self._written_value = b""
         for entry in entries:
             if entry.address != own.address:
-                self._roster.observe(entry)
+                self._roster.apply_indirect(entry)
 
 
 def discover_entries(store: Store) -> tuple[Member, ...]:
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -18,14 +18,14 @@
 
 from geraniumspool.contracts import Clock, Messenger
 from geraniumspool.digests import REFRESH_PER_DIGEST, Digests
-from geraniumspool.heartbeat import is_foreign_news
+from geraniumspool.heartbeat import concerns_other_process
 from geraniumspool.members import ROLE_ENTRY, is_final, peer_of
 from geraniumspool.messages import MEMBER_DEAD, Digest, Heartbeat, Member, Peer, ShortHeartbeat
 from geraniumspool.replies import Replies
 from geraniumspool.reports import Demand, PeerDemand, Reports
 from geraniumspool.revisions import Revisions
 from geraniumspool.roster import Roster
-from geraniumspool.sighting import Sighting
+from geraniumspool.sighting import ReportOrigin
 
 HEARTBEATS_PER_S = 120
 REFRESH_TURNS = 3
@@ -98,7 +98,7 @@
         )
         self.peers_demand: Callable[[], list[PeerDemand]] = self._reports.demand
         self.in_force: Callable[[], dict[str, int]] = self._revisions.in_force
-        roster.observe(me(), revive=True)
+        roster.apply_indirect(me(), revive=True)
 
     @property
     def period_ms(self) -> float:
@@ -119,9 +119,9 @@
     def run_round(self) -> None:
         """Expire silent members and send the digests that are due."""
         self._rounds += 1
-        self._roster.observe(self._me(), revive=True)
+        self._roster.apply_indirect(self._me(), revive=True)
         self._watch_unheard()
-        for member in self._roster.expire(self.timeout_ms, self._learnt_timeout_ms()):
+        for member in self._roster.expire_silent(self.timeout_ms, self._learnt_timeout_ms()):
             _LOG.info("%s %s is silent", member.role, member.address)
         if self._rounds % FORGET_ROUNDS == 0:
             self._forget()
@@ -131,7 +131,7 @@
         if self._rounds % PROBE_ROUNDS == 0:
             self._probe_silent()
 
-    def take_heartbeat(self, sender: Peer, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, sender: Peer, heartbeat: Heartbeat) -> None:
         """Take an agent's heartbeat and reply, if this entry is in charge of it."""
         member = heartbeat.member
         if peer_of(member) != sender:
@@ -140,30 +140,30 @@
         if heartbeat.roster_entry not in (0, self._messenger.me.incarnation):
             self._take_copy(heartbeat)
             return
-        self._roster.hear(member)
+        self._roster.apply_direct(member)
         self._replies.send(sender, heartbeat)
 
-    def take_short_heartbeat(self, sender: Peer, heartbeat: ShortHeartbeat) -> None:
+    def handle_short_heartbeat(self, sender: Peer, heartbeat: ShortHeartbeat) -> None:
         """Take an agent's heartbeat without its state, or ask for that where it is not known."""
         load = heartbeat.load.round_up()
-        member = self._roster.hear_again(sender, heartbeat.version, load)
+        member = self._roster.apply_direct_load(sender, heartbeat.version, load)
         if member is None:
             self._replies.ask_again(sender)
             return
         known = (self._messenger.me.incarnation, heartbeat.roster_version)
         self._replies.send(sender, Heartbeat(member, *known, heartbeat.config_revision))
 
-    def take_digest(self, sender: Peer, digest: Digest) -> None:
+    def handle_digest(self, sender: Peer, digest: Digest) -> None:
         """Take another entry's digest and answer it if it asks for one."""
         if peer_of(digest.sender) != sender:
             return
         if digest.sender.domain == self._roster.domain:
-            self._roster.hear(digest.sender)
+            self._roster.apply_direct(digest.sender)
         else:
-            self._roster.relay(digest.sender, sender)
+            self._roster.apply_relayed(digest.sender, sender)
         for member in digest.members:
-            if is_foreign_news(member, self._messenger.me):
-                self._roster.relay(member, sender)
+            if concerns_other_process(member, self._messenger.me):
+                self._roster.apply_relayed(member, sender)
         self._reports.take(sender, digest)
         self._revisions.take(digest)
         if digest.documents:
@@ -182,7 +182,7 @@
             and replaced.role == ROLE_ENTRY
             and self._roster.get(sender) is None
         ):
-            self._digests.greet(sender)
+            self._digests.request_digest(sender)
 
     def push_configuration(self) -> None:
         """Send new configuration to entries now and to agents in small batches."""
@@ -192,23 +192,23 @@
     def _take_copy(self, heartbeat: Heartbeat) -> None:
         serving = self._roster.find_incarnation(heartbeat.roster_entry)
         if serving is None or is_final(serving):
-            self._roster.observe(heartbeat.member)
+            self._roster.apply_indirect(heartbeat.member)
         else:
-            self._roster.relay(heartbeat.member, peer_of(serving))
+            self._roster.apply_relayed(heartbeat.member, peer_of(serving))
 
     def _watch_unheard(self) -> None:
         """Let the silence of members that nobody told of as their source count from now."""
         if self._watched_version == self._roster.version:
             return
         self._watched_version = self._roster.version
-        nobody = Sighting()
+        nobody = ReportOrigin()
         own = self._messenger.me
         for member in self._roster.members():
             peer = peer_of(member)
             if peer == own or member.domain != self._roster.domain or is_final(member):
                 continue
-            if self._roster.sighting(peer) == nobody:
-                self._roster.watch(peer)
+            if self._roster.origin(peer) == nobody:
+                self._roster.start_timeout(peer)
 
     def _learnt_timeout_ms(self) -> float:
         turns = 1 + math.ceil(len(self._roster.members()) / REFRESH_PER_DIGEST)
@@ -216,7 +216,7 @@
 
     def _forget(self) -> None:
         known = len(self._roster.members())
-        self._roster.forget()
+        self._roster.forget_final()
         if len(self._roster.members()) != known:
             self._replies.forget_rings()
 
@@ -231,4 +231,4 @@
         for member in self._roster.members():
             silent = member.role == ROLE_ENTRY and member.state == MEMBER_DEAD
             if silent and member.domain == self._roster.domain and member.address not in living:
-                self._digests.greet(peer_of(member))
+                self._digests.request_digest(peer_of(member))
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -105,12 +105,12 @@
         lowest: dict[str, int] = {}
         for peer, view in self._agents.items():
             member = self._roster.get(peer)
-            if member and not is_final(member) and not self._roster.sighting(peer).claimed:
+            if member and not is_final(member) and not self._roster.origin(peer).is_claimed:
                 revision = lowest.get(member.domain, view.config_revision)
                 lowest[member.domain] = min(revision, view.config_revision)
         return lowest
 
-    def has_guests(self) -> bool:
+    def has_foreign_agents(self) -> bool:
         """Return whether agents of other failure domains beat here."""
         members = map(self._roster.get, self._agents)
         return any(member and member.domain != self._roster.domain for member in members)
@@ -118,7 +118,7 @@
     def prune(self) -> None:
         """Forget agents that are gone or beat elsewhere."""
         for peer in list(self._agents):
-            if self._roster.is_gone(peer) or not self._roster.sighting(peer).direct:
+            if self._roster.is_gone(peer) or not self._roster.origin(peer).is_direct:
                 del self._agents[peer]
 
     def forget_rings(self) -> None:
@@ -199,7 +199,7 @@
             return tuple(
                 m for m in members if is_near(m) or (m.address in window and not is_final(m))
             )
-        changed = self._roster.since(version)
+        changed = self._roster.changes_since(version)
         selected = [m for m in changed if is_near(m) or m.address in window or m.address in known]
         fresh = window - known if window is not known else None
         if fresh:
--- a/geraniumspool/revisions.py
+++ b/geraniumspool/revisions.py
@@ -89,19 +89,19 @@
         afar = {domain: news.revision for domain, news in self._afar.items()}
         return afar | lowest
 
-    def near(self) -> dict[str, int]:
+    def local(self) -> dict[str, int]:
         """Return what to tell other entries of the own failure domain."""
         told = {d: news.revision for d, news in self._afar.items() if self._is_told(d)}
         return told | self._served()
 
-    def far(self, speaks: bool) -> dict[str, int]:
+    def foreign(self, is_representative: bool) -> dict[str, int]:
         """Return what to tell entries of other failure domains.
 
-        :param speaks: whether this entry speaks for its domain
+        :param is_representative: whether this entry represents its domain
         """
         served = self._served()
         own = self._roster.domain
-        if speaks:
+        if is_representative:
             served[own] = self.in_force()[own]
         else:
             del served[own]
--- a/geraniumspool/roster.py
+++ b/geraniumspool/roster.py
@@ -40,10 +40,10 @@
     Member,
     Peer,
 )
-from geraniumspool.sighting import Sighting
+from geraniumspool.sighting import ReportOrigin
 
 # How long members that are dead or have left are kept.
-REMEMBER_MS = 600_000.0
+FINAL_RETENTION_MS = 600_000.0
 
 # Order of the states within one version: a state is replaced only by one of the same
 # or a higher rank.
@@ -61,17 +61,17 @@
 class _MemberRecord:
     """A member with what this process knows about it.
 
-    :ivar sighting: from whom and when this process last learned about the member
+    :ivar origin: from whom and when this process last learned about the member
     :ivar version: version of the roster at the member's last change
     :ivar final_ms: when the member became dead or left
     """
 
-    __slots__ = ("peer", "member", "sighting", "version", "final_ms")
+    __slots__ = ("peer", "member", "origin", "version", "final_ms")
 
     def __init__(self, peer: Peer, member: Member):
         self.peer = peer
         self.member = member
-        self.sighting = Sighting()
+        self.origin = ReportOrigin()
         self.version = 0
         self.final_ms = 0.0
 
@@ -81,24 +81,24 @@
 
     :ivar domain: failure domain of this process
     :ivar version: incremented with each change of a member other than of its load
-    :ivar moves: incremented when the source of the reports about a member changes
+    :ivar source_changes: incremented when the source of the reports about a member changes
     :ivar unreachable: failure domains whose members are not chosen
     """
 
-    def __init__(self, clock: Clock, domain: str, remember_ms: float = REMEMBER_MS):
+    def __init__(self, clock: Clock, domain: str, retention_ms: float = FINAL_RETENTION_MS):
         """Create an empty roster with all failure domains reachable.
 
         :param clock: source of time
         :param domain: failure domain of this process
-        :param remember_ms: how long members that are dead or have left are
+        :param retention_ms: how long members that are dead or have left are
             kept, in milliseconds
         """
         self.domain = domain
         self.version = 0
-        self.moves = 0
+        self.source_changes = 0
         self.unreachable: frozenset[str] = frozenset()
         self._clock = clock
-        self._remember_ms = remember_ms
+        self._retention_ms = retention_ms
         self._forgotten_version = 0
         # Ordered by each member's last change, so that a suffix holds all later changes.
         self._records: dict[Peer, _MemberRecord] = {}
@@ -118,7 +118,7 @@
         """
         self._callbacks.append(callback)
 
-    def observe(self, member: Member, revive: bool = False) -> bool:
+    def apply_indirect(self, member: Member, revive: bool = False) -> bool:
         """Handle a report about a member that another process sent.
 
         :param member: the member as reported
@@ -131,7 +131,7 @@
             return self._add(peer, member)
         return self._update(record, member, revive)
 
-    def follow(self, member: Member) -> bool:
+    def apply_authoritative(self, member: Member) -> bool:
         """Handle a report from the entry that serves this agent, which is authoritative.
 
         It may revive a dead member, even one with a living successor at its address.
@@ -143,7 +143,7 @@
             return self._add(peer_of(member), member)
         return self._update(record, member, revive=True, override_successor=True)
 
-    def observe_load(self, address: str, incarnation: int, load: Load) -> bool:
+    def update_load(self, address: str, incarnation: int, load: Load) -> bool:
         """Update the load of a member.
 
         :returns: whether the member is known
@@ -154,7 +154,7 @@
         self._store(record, record.member._replace(load=load))
         return True
 
-    def hear(self, member: Member) -> bool:
+    def apply_direct(self, member: Member) -> bool:
         """Handle a report that a process just sent about itself.
 
         It may revive a dead member, and makes its incarnation current.
@@ -167,10 +167,10 @@
             changed = self._add(peer, member)
         else:
             changed = self._update(record, member, revive=True, override_successor=True)
-        self._record_sighting(peer, Sighting(heard_ms=self._clock.now()))
+        self._record_origin(peer, ReportOrigin(heard_ms=self._clock.now()))
         return changed
 
-    def hear_again(self, peer: Peer, version: int, load: Load) -> Member | None:
+    def apply_direct_load(self, peer: Peer, version: int, load: Load) -> Member | None:
         """Handle a heartbeat that carries only a load.
 
         :param peer: the process that sent it
@@ -180,13 +180,13 @@
         record = self._records.get(peer)
         if record is None or record.member.version != version:
             return None
-        if is_final(record.member) or not record.sighting.direct:
+        if is_final(record.member) or not record.origin.is_direct:
             return None
         self._store(record, record.member._replace(load=load))
-        self._replace_sighting(record, Sighting(heard_ms=self._clock.now()))
+        self._replace_origin(record, ReportOrigin(heard_ms=self._clock.now()))
         return record.member
 
-    def relay(self, member: Member, source: Peer) -> bool:
+    def apply_relayed(self, member: Member, source: Peer) -> bool:
         """Handle a report from a process that hears the member, directly or through another.
 
         :param source: the process that sent the report
@@ -197,29 +197,31 @@
         now = self._clock.now()
         if record is None:
             changed = self._add(peer, member)
-            self._record_sighting(peer, Sighting(source, learnt_ms=now))
+            self._record_origin(peer, ReportOrigin(source, relayed_ms=now))
             return changed
-        sighting = record.sighting
+        origin = record.origin
         is_alive = not is_final(record.member)
-        if sighting.direct and is_alive:
+        if origin.is_direct and is_alive:
             return self._relay_direct_member(record, member, source)
-        if member.state == MEMBER_DEAD and is_alive and self._has_other_source(sighting, source):
+        if member.state == MEMBER_DEAD and is_alive and self._has_other_source(origin, source):
             return False
         changed = self._update(record, member, revive=True)
         if changed or not is_final(member):
-            self._record_sighting(peer, Sighting(source, learnt_ms=now))
+            self._record_origin(peer, ReportOrigin(source, relayed_ms=now))
         return changed
 
-    def watch(self, peer: Peer) -> None:
+    def start_timeout(self, peer: Peer) -> None:
         """Start the timeout of a member now, as if it had just been heard."""
-        self._record_sighting(peer, Sighting(heard_ms=self._clock.now()))
+        self._record_origin(peer, ReportOrigin(heard_ms=self._clock.now()))
 
-    def sighting(self, peer: Peer) -> Sighting:
-        """Return the sighting of a member, an empty one if the member is unknown."""
+    def origin(self, peer: Peer) -> ReportOrigin:
+        """Return the origin of the reports about a member, empty if the member is unknown."""
         record = self._records.get(peer)
-        return record.sighting if record else Sighting()
+        return record.origin if record else ReportOrigin()
 
-    def expire(self, timeout_ms: float, learnt_timeout_ms: float | None = None) -> list[Member]:
+    def expire_silent(
+        self, timeout_ms: float, relayed_timeout_ms: float | None = None
+    ) -> list[Member]:
         """Declare members dead that were silent for too long.
 
         A silent member is not declared dead but passed to another process as
@@ -227,7 +229,7 @@
         to another failure domain that has a living entry.
 
         :param timeout_ms: longest silence of a member that is heard directly
-        :param learnt_timeout_ms: longest time without a report about a member of
+        :param relayed_timeout_ms: longest time without a report about a member of
             this failure domain that another process hears, or None for no limit
         :returns: the members declared dead
         """
@@ -235,7 +237,7 @@
         declared_dead = []
         for record in list(self._records.values()):
             if is_final(record.member) or not self._is_silent(
-                record, now, timeout_ms, learnt_timeout_ms
+                record, now, timeout_ms, relayed_timeout_ms
             ):
                 continue
             if not self._assign_other_source(record, now):
@@ -243,14 +245,14 @@
                 declared_dead.append(record.member)
         return declared_dead
 
-    def forget(self) -> None:
+    def forget_final(self) -> None:
         """Drop members that have been dead, or have left, for longer than ``remember_ms``."""
-        limit = self._clock.now() - self._remember_ms
+        limit = self._clock.now() - self._retention_ms
         for peer, record in list(self._records.items()):
             if is_final(record.member) and record.final_ms <= limit:
                 self._drop(peer, record)
 
-    def release(self, addresses: Iterable[str]) -> None:
+    def drop_foreign(self, addresses: Iterable[str]) -> None:
         """Drop agents of other failure domains that are no longer reported.
 
         :param addresses: addresses of the agents
@@ -260,7 +262,7 @@
             self._drop_foreign(lambda peer: peer.address in chosen)
 
     def keep_foreign(self, peers: Iterable[Peer]) -> None:
-        """Drop all agents of other failure domains except some; see :meth:`release`.
+        """Drop all agents of other failure domains except some; see :meth:`drop_foreign`.
 
         :param peers: the agents to keep
         """
@@ -276,10 +278,10 @@
                 self._drop(peer, record)
 
     def covers(self, version: int) -> bool:
-        """Return whether :meth:`since` can return only the changes after a version."""
+        """Return whether :meth:`changes_since` can return only the changes after a version."""
         return 0 < version <= self.version and version >= self._forgotten_version
 
-    def since(self, version: int) -> tuple[Member, ...]:
+    def changes_since(self, version: int) -> tuple[Member, ...]:
         """Return the members that changed after a version, the oldest change first.
 
         :param version: an earlier value of :attr:`version`; the whole roster is
@@ -359,59 +361,59 @@
         record = self._records.get(peer)
         return record is not None and is_final(record.member)
 
-    def _record_sighting(self, peer: Peer, sighting: Sighting) -> None:
+    def _record_origin(self, peer: Peer, origin: ReportOrigin) -> None:
         record = self._records.get(peer)
         if record:
-            self._replace_sighting(record, sighting)
+            self._replace_origin(record, origin)
 
-    def _replace_sighting(self, record: _MemberRecord, sighting: Sighting) -> None:
-        old = record.sighting
-        record.sighting = sighting
+    def _replace_origin(self, record: _MemberRecord, origin: ReportOrigin) -> None:
+        old = record.origin
+        record.origin = origin
         if (
-            old.source != sighting.source
-            or old.claimed != sighting.claimed
-            or old.direct != sighting.direct
+            old.source != origin.source
+            or old.is_claimed != origin.is_claimed
+            or old.is_direct != origin.is_direct
         ):
-            self.moves += 1
+            self.source_changes += 1
 
     def _relay_direct_member(self, record: _MemberRecord, member: Member, source: Peer) -> bool:
         """Handle a relayed report about a living member that is heard directly here."""
         if member.state == MEMBER_DEAD:
             return False
         if member.role != ROLE_ENTRY:
-            sighting = record.sighting._replace(claimant=source, claimed_ms=self._clock.now())
-            self._replace_sighting(record, sighting)
+            origin = record.origin._replace(claimant=source, claimed_ms=self._clock.now())
+            self._replace_origin(record, origin)
         is_newer = member.version > record.member.version
         if not is_newer and _RANKS[member.state] <= _RANKS[record.member.state]:
             return False
         return self._update(record, member)
 
-    def _has_other_source(self, sighting: Sighting, source: Peer) -> bool:
-        return sighting.source not in (None, source) and sighting.source in self._candidates.entries
+    def _has_other_source(self, origin: ReportOrigin, source: Peer) -> bool:
+        return origin.source not in (None, source) and origin.source in self._candidates.entries
 
     def _is_silent(
-        self, record: _MemberRecord, now: float, timeout_ms: float, learnt_timeout_ms: float | None
+        self, record: _MemberRecord, now: float, timeout_ms: float, relayed_timeout_ms: float | None
     ) -> bool:
-        sighting = record.sighting
-        if sighting.heard_ms is not None:
-            return now - sighting.heard_ms > timeout_ms
-        if learnt_timeout_ms is None or sighting.learnt_ms is None:
+        origin = record.origin
+        if origin.heard_ms is not None:
+            return now - origin.heard_ms > timeout_ms
+        if relayed_timeout_ms is None or origin.relayed_ms is None:
             return False
         is_local = record.member.domain == self.domain
-        return is_local and now - sighting.learnt_ms > learnt_timeout_ms
+        return is_local and now - origin.relayed_ms > relayed_timeout_ms
 
     def _assign_other_source(self, record: _MemberRecord, now: float) -> bool:
         """Make another entry the source of a silent member; return whether one is responsible."""
         member = record.member
-        sighting = record.sighting
-        if sighting.claimed and sighting.claimant in self._candidates.entries:
-            self._replace_sighting(record, Sighting(sighting.claimant, learnt_ms=now))
+        origin = record.origin
+        if origin.is_claimed and origin.claimant in self._candidates.entries:
+            self._replace_origin(record, ReportOrigin(origin.claimant, relayed_ms=now))
             return True
         if member.domain == self.domain:
             return False
         for peer, entry in self._candidates.entries.items():
             if entry.domain == member.domain and peer != record.peer:
-                self._replace_sighting(record, Sighting(peer, learnt_ms=now))
+                self._replace_origin(record, ReportOrigin(peer, relayed_ms=now))
                 return True
         return False
 
@@ -486,13 +488,13 @@
         """Start the timeouts of local members whose source, an entry, is gone."""
         now = self._clock.now()
         for record in self._records.values():
-            if record.sighting.source == source and record.member.domain == self.domain:
-                record.sighting = record.sighting._replace(heard_ms=now)
+            if record.origin.source == source and record.member.domain == self.domain:
+                record.origin = record.origin._replace(heard_ms=now)
 
     def _store(self, record: _MemberRecord, member: Member) -> None:
         """Store a member without a new version, as for a change of its load."""
         record.member = member
-        self._candidates.put(member)
+        self._candidates.add(member)
 
     def _drop(self, peer: Peer, record: _MemberRecord) -> None:
         del self._records[peer]
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -11,7 +11,7 @@
 from geraniumspool.contracts import Announcement, Clock, Counters, Messenger, MinionClient
 from geraniumspool.errors import NotStarted, TaskFailed, TaskUnknown
 from geraniumspool.health import Health
-from geraniumspool.ledger import DONE, LOST, QUEUED, REFUSED, RUNNING, Entry, Ledger
+from geraniumspool.ledger import DONE, LOST, QUEUED, REFUSED, RUNNING, HomeOffers, OfferState
 from geraniumspool.messages import (
     Load,
     Offer,
@@ -23,7 +23,7 @@
     Revoked,
     TaskResult,
 )
-from geraniumspool.placement import count_reserved
+from geraniumspool.placement import count_reserved_slots
 
 REFUSED_STALE = "offer_stale"
 REFUSED_NO_MINION = "minion_absent"
@@ -35,22 +35,22 @@
 # Longest time that a result is held to be sent together with others.
 RESULT_HOLD_MS = 1_000.0
 # How long slots stay reserved after the last task of a narrow job arrived.
-RESERVE_MS = 2_000.0
+RESERVATION_MS = 2_000.0
 # Time for which other tasks have been queued without a break after which no slot
 # is reserved.
 OVERLOAD_MS = 5_000.0
 # Most tasks of narrow jobs that start in a row while others wait.
-MAX_STREAK = 4
+MAX_NARROW_STREAK = 4
 # Share of the slots: if a home has more tasks and no more than this many are queued
 # here, its results are sent at once, so that the next offer arrives in time.
-LOW_WATER_SHARE = 0.25
+LOW_QUEUE_SHARE = 0.25
 DEFAULT_QUEUE_PER_SLOT = 16.0
 # Most bytes of unsettled results; the oldest are dropped first.
-KEPT_RESULT_BYTES = 16 * 1024 * 1024
+MAX_KEPT_RESULT_BYTES = 16 * 1024 * 1024
 # Most homes remembered as gone, so that their late offers are refused.
-CLOSED_HOMES = 20_000
+MAX_GONE_HOMES = 20_000
 # Interval at which the running tasks are checked for lateness.
-LOOK_MS = 50.0
+LATENESS_CHECK_MS = 50.0
 
 
 class _Run(NamedTuple):
@@ -112,22 +112,22 @@
         self._health = health
         self._queue_per_slot = queue_per_slot
         self._result_hold_ms = result_hold_ms
-        self._ledgers: dict[Peer, Ledger] = {}
+        self._home_offers: dict[Peer, HomeOffers] = {}
         self._gone_homes: OrderedDict[Peer, None] = OrderedDict()
         # Heaps of queued tasks by ``any_slot``: those of narrow jobs, and all others.
-        self._queues: dict[bool, list[tuple[float, int, Entry]]] = {True: [], False: []}
+        self._queues: dict[bool, list[tuple[float, int, OfferState]]] = {True: [], False: []}
         self._order = itertools.count()
         self._queued = 0
         self._queued_ms = 0.0
         self._queued_urgent = 0
         # When the latest task of a narrow job arrived, and when no other task was queued.
-        self._last_urgent_ms = -RESERVE_MS
+        self._last_urgent_ms = -RESERVATION_MS
         self._other_queue_empty_ms = clock.now()
         self._urgent_streak = 0
         self._running: dict[str, _Run] = {}
         self._checked_ms: float | None = None
         self._kept_bytes = 0
-        self._kept_results: OrderedDict[int, Entry] = OrderedDict()
+        self._kept_results: OrderedDict[int, OfferState] = OrderedDict()
         self.minion: Announcement | None = None
         self.leaving = False
         self.is_evacuated = False
@@ -191,7 +191,7 @@
         now = self._clock.now()
         return min(run.left_ms(now) for run in self._running.values())
 
-    def announce(self, minion: Announcement) -> None:
+    def set_minion(self, minion: Announcement) -> None:
         """Handle an announcement of the minion; offers are accepted again if it had left."""
         changed = minion != self.minion or self.leaving
         self.minion = minion
@@ -206,8 +206,8 @@
             return
         self.leaving = True
         self._return_queued_tasks(REFUSED_LEAVING)
-        for ledger in self._ledgers.values():
-            self._flush(ledger)
+        for home_offers in self._home_offers.values():
+            self._flush(home_offers)
         self.on_change()
 
     def set_evacuated(self, is_evacuated: bool) -> None:
@@ -223,42 +223,46 @@
 
     def _return_queued_tasks(self, code: str) -> None:
         for queue in self._queues.values():
-            for _, _, entry in queue:
-                if entry.state == QUEUED:
-                    self._return_task(entry, code)
+            for _, _, offer_state in queue:
+                if offer_state.state == QUEUED:
+                    self._return_task(offer_state, code)
             queue.clear()
-        for ledger in self._ledgers.values():
-            if ledger.refused:
-                self._flush(ledger)
+        for home_offers in self._home_offers.values():
+            if home_offers.unsent_refusals:
+                self._flush(home_offers)
 
-    def repeat_results(self) -> None:
+    def resend_results(self) -> None:
         """Send every unsettled result again, as the process is about to leave."""
-        for ledger in self._ledgers.values():
-            done = [entry.result for entry in ledger.entries.values() if entry.state == DONE]
-            ledger.done = [result for result in done if result is not None]
-            self._flush(ledger)
-
-    def take_offer(self, sender: Peer, offer: Offer) -> None:
+        for home_offers in self._home_offers.values():
+            done = [
+                offer_state.result
+                for offer_state in home_offers.offer_states.values()
+                if offer_state.state == DONE
+            ]
+            home_offers.unsent_results = [result for result in done if result is not None]
+            self._flush(home_offers)
+
+    def handle_offer(self, sender: Peer, offer: Offer) -> None:
         """Queue or refuse each task of an offer, and start those that get a slot."""
-        ledger = self._ledger(sender)
-        self._apply_floor(ledger, offer.floor)
-        ledger.more = offer.more
+        home_offers = self._get_home_offers(sender)
+        self._apply_floor(home_offers, offer.floor)
+        home_offers.home_has_waiting = offer.more
         for task in offer.tasks:
-            self._take_task(ledger, task)
+            self._accept_task(home_offers, task)
         self._fill_slots()
-        if ledger.refused:
-            self._flush(ledger)
+        if home_offers.unsent_refusals:
+            self._flush(home_offers)
 
-    def take_revoke(self, sender: Peer, revoke: Revoke) -> None:
+    def handle_revoke(self, sender: Peer, revoke: Revoke) -> None:
         """Revoke offers that have not started, and reply with the state of each one.
 
         Running tasks are stopped if the message asks for it.
         """
-        ledger = self._ledger(sender)
-        self._apply_floor(ledger, revoke.floor)
+        home_offers = self._get_home_offers(sender)
+        self._apply_floor(home_offers, revoke.floor)
         not_started, started, lost = [], [], []
         for offer in revoke.offers:
-            state = self._revoke_one(ledger, offer, revoke.stop)
+            state = self._revoke_one(home_offers, offer, revoke.stop)
             if state == REFUSED:
                 not_started.append(offer)
             elif state == RUNNING:
@@ -268,29 +272,29 @@
         reply = Revoked(tuple(not_started), tuple(started), tuple(lost), self.load())
         self._messenger.send(sender, reply)
         self._fill_slots()
-        if ledger.done:
-            self._flush(ledger)
+        if home_offers.unsent_results:
+            self._flush(home_offers)
 
     def forget_home(self, home: Peer) -> None:
         """Drop the queued tasks and kept results of a home that is gone; running tasks continue."""
         self._gone_homes[home] = None
-        while len(self._gone_homes) > CLOSED_HOMES:
+        while len(self._gone_homes) > MAX_GONE_HOMES:
             self._gone_homes.popitem(last=False)
-        ledger = self._ledgers.pop(home, None)
-        if ledger is None:
+        home_offers = self._home_offers.pop(home, None)
+        if home_offers is None:
             return
-        for entry in ledger.entries.values():
-            if entry.state == QUEUED:
-                self._dequeue(entry, REFUSED)
-        self._apply_floor(ledger, ledger.highest() + 1)
+        for offer_state in home_offers.offer_states.values():
+            if offer_state.state == QUEUED:
+                self._dequeue(offer_state, REFUSED)
+        self._apply_floor(home_offers, home_offers.highest_offer() + 1)
         self._fill_slots()
 
-    def _ledger(self, home: Peer) -> Ledger:
-        ledger = self._ledgers.get(home)
-        if ledger is None:
-            ledger = Ledger(home)
-            self._ledgers[home] = ledger
-        return ledger
+    def _get_home_offers(self, home: Peer) -> HomeOffers:
+        home_offers = self._home_offers.get(home)
+        if home_offers is None:
+            home_offers = HomeOffers(home)
+            self._home_offers[home] = home_offers
+        return home_offers
 
     def _predict_task_wait(self, task: OfferedTask) -> float:
         """Return the predicted wait of a task behind those due before it, in milliseconds."""
@@ -300,49 +304,49 @@
         due = self._clock.now() + task.rank
         queues = self._queues.values()
         ahead_ms = [
-            entry.task.run_ms
+            offer_state.task.run_ms
             for queue in queues
-            for entry_due, _, entry in queue
-            if entry_due <= due and entry.state == QUEUED
+            for entry_due, _, offer_state in queue
+            if entry_due <= due and offer_state.state == QUEUED
         ]
         return self._predict_next_slot() + sum(ahead_ms) / self.slots
 
-    def _apply_floor(self, ledger: Ledger, floor: int) -> None:
+    def _apply_floor(self, home_offers: HomeOffers, floor: int) -> None:
         """Drop queued offers and finished ones below a floor, which the home has settled."""
-        for entry in ledger.queued_below(floor):
-            self._dequeue(entry, REFUSED)
-            ledger.close_task(entry.task)
-        for entry in ledger.raise_floor(floor):
-            self._kept_results.pop(id(entry), None)
-            if entry.result is not None:
-                self._kept_bytes -= len(entry.result.body)
-
-    def _take_task(self, ledger: Ledger, task: OfferedTask) -> None:
-        if task.offer in ledger.entries:
+        for offer_state in home_offers.queued_below(floor):
+            self._dequeue(offer_state, REFUSED)
+            home_offers.subtract_open_task(offer_state.task)
+        for offer_state in home_offers.raise_floor(floor):
+            self._kept_results.pop(id(offer_state), None)
+            if offer_state.result is not None:
+                self._kept_bytes -= len(offer_state.result.body)
+
+    def _accept_task(self, home_offers: HomeOffers, task: OfferedTask) -> None:
+        if task.offer in home_offers.offer_states:
             self._counters.add("offers_repeated")
             return
-        code = self._reason_to_refuse(ledger, task)
+        code = self._reason_to_refuse(home_offers, task)
         if code:
             if code != REFUSED_STALE:
-                ledger.entries[task.offer] = Entry(ledger, None, REFUSED)
-            ledger.refused.append(Refusal(task.offer, code))
+                home_offers.offer_states[task.offer] = OfferState(home_offers, None, REFUSED)
+            home_offers.unsent_refusals.append(Refusal(task.offer, code))
             self._counters.add("offers_refused", code=code)
             return
-        entry = Entry(ledger, task, QUEUED)
-        ledger.entries[task.offer] = entry
-        ledger.open_tasks[task.job] += 1
-        ledger.queued += 1
+        offer_state = OfferState(home_offers, task, QUEUED)
+        home_offers.offer_states[task.offer] = offer_state
+        home_offers.open_tasks[task.job] += 1
+        home_offers.queued += 1
         self._queued += 1
         self._queued_ms += task.run_ms
         if task.any_slot:
             self._queued_urgent += 1
             self._last_urgent_ms = self._clock.now()
         due = self._clock.now() + task.rank
-        heapq.heappush(self._queues[task.any_slot], (due, next(self._order), entry))
+        heapq.heappush(self._queues[task.any_slot], (due, next(self._order), offer_state))
 
-    def _reason_to_refuse(self, ledger: Ledger, task: OfferedTask) -> str:
+    def _reason_to_refuse(self, home_offers: HomeOffers, task: OfferedTask) -> str:
         """Return the reason code with which to refuse a task, empty to accept it."""
-        if task.offer < ledger.floor or ledger.home in self._gone_homes:
+        if task.offer < home_offers.floor or home_offers.home in self._gone_homes:
             return REFUSED_STALE
         if self.minion is None:
             return REFUSED_NO_MINION
@@ -360,11 +364,11 @@
         return ""
 
     def _fill_slots(self) -> None:
-        while (entry := self._pop_next()) is not None:
-            self._dequeue(entry, RUNNING)
-            self._start(entry)
+        while (offer_state := self._pop_next()) is not None:
+            self._dequeue(offer_state, RUNNING)
+            self._start(offer_state)
 
-    def _pop_next(self) -> Entry | None:
+    def _pop_next(self) -> OfferState | None:
         """Remove and return the queued task to start now, or None."""
         running = len(self._running)
         if running >= (1 if self._health.is_ejected else self.slots):
@@ -385,13 +389,13 @@
     def _choose_queue(self, ready: list[list]) -> list:
         """Return the queue to start the next task from.
 
-        That is the first one, but the second one after ``MAX_STREAK`` tasks of
+        That is the first one, but the second one after ``MAX_NARROW_STREAK`` tasks of
         narrow jobs in a row, so that other jobs are not starved.
 
         :param ready: queues that are not empty, that of narrow jobs first
         """
         chosen = ready[0]
-        if len(ready) > 1 and self._urgent_streak >= MAX_STREAK:
+        if len(ready) > 1 and self._urgent_streak >= MAX_NARROW_STREAK:
             chosen = ready[1]
         is_urgent = chosen is self._queues[True]
         self._urgent_streak = self._urgent_streak + 1 if is_urgent else 0
@@ -406,23 +410,23 @@
         """
         now = self._clock.now()
         if (
-            now - self._last_urgent_ms > RESERVE_MS
+            now - self._last_urgent_ms > RESERVATION_MS
             or now - self._other_queue_empty_ms > OVERLOAD_MS
         ):
             return 0
-        return count_reserved(self.slots)
+        return count_reserved_slots(self.slots)
 
-    def _start(self, entry: Entry) -> None:
-        task_id = name_task(entry.task)
-        self._running[task_id] = _Run(self._clock.now(), entry.task.run_ms)
+    def _start(self, offer_state: OfferState) -> None:
+        task_id = make_task_id(offer_state.task)
+        self._running[task_id] = _Run(self._clock.now(), offer_state.task.run_ms)
         self._counters.add("tasks_started")
         if self._checked_ms is None:
             self._checked_ms = self._clock.now()
-            self._clock.after(LOOK_MS, self._check_running)
-        eventlet.spawn_n(self._run, entry, task_id)
+            self._clock.after(LATENESS_CHECK_MS, self._check_running)
+        eventlet.spawn_n(self._run, offer_state, task_id)
 
-    def _run(self, entry: Entry, task_id: str) -> None:
-        task = entry.task
+    def _run(self, offer_state: OfferState, task_id: str) -> None:
+        task = offer_state.task
         started = self._clock.now()
         ok, body, code = False, b"", ""
         try:
@@ -436,18 +440,18 @@
         finally:
             run = self._running.pop(task_id, None)
         run_ms = self._clock.now() - started
-        if ok and not entry.is_stopped:
-            self._health.note_end(task.run_ms, run_ms)
+        if ok and not offer_state.is_stopped:
+            self._health.record_result(task.run_ms, run_ms)
         else:
             self._health.slowness.discard_hazard(run.hazard if run else 0.0)
-        if not ok and not entry.is_stopped:
-            self._health.note(ok, run_ms, code)
+        if not ok and not offer_state.is_stopped:
+            self._health.record_outcome(ok, run_ms, code)
         self._return_tasks_if_ejected()
         if code == NotStarted.code:
-            self._return_task(entry, code)
-            self._flush(entry.ledger)
+            self._return_task(offer_state, code)
+            self._flush(offer_state.home_offers)
         else:
-            self._finish(entry, TaskResult(task.offer, ok, body, code, run_ms))
+            self._finish(offer_state, TaskResult(task.offer, ok, body, code, run_ms))
         self._fill_slots()
 
     def _check_running(self) -> None:
@@ -457,11 +461,11 @@
         arrived meanwhile that are not processed yet.
         """
         now = self._clock.now()
-        has_paused = now - self._checked_ms > 2 * LOOK_MS
+        has_paused = now - self._checked_ms > 2 * LATENESS_CHECK_MS
         self._checked_ms = now if self._running else None
         if not self._running:
             return
-        self._clock.after(LOOK_MS, self._check_running)
+        self._clock.after(LATENESS_CHECK_MS, self._check_running)
         if not has_paused:
             self._update_lateness(now)
 
@@ -472,66 +476,71 @@
             if hazard > run.hazard:
                 pace.add_hazard(hazard - run.hazard)
                 self._running[task_id] = run._replace(hazard=hazard)
-        self._health.note_late()
+        self._health.eject_if_slow()
         self._return_tasks_if_ejected()
 
     def _return_tasks_if_ejected(self) -> None:
         if self._health.is_ejected and self._queued:
             self._return_queued_tasks(REFUSED_EJECTED)
 
-    def _finish(self, entry: Entry, result: TaskResult) -> None:
-        ledger = entry.ledger
-        entry.state = DONE
-        entry.result = result
-        self._keep_result(entry)
-        ledger.close_task(entry.task)
-        ledger.done.append(result)
-        if self._should_send_now(ledger, entry.task, result):
-            self._flush(ledger)
-        elif ledger.hold is None:
+    def _finish(self, offer_state: OfferState, result: TaskResult) -> None:
+        home_offers = offer_state.home_offers
+        offer_state.state = DONE
+        offer_state.result = result
+        self._keep_result(offer_state)
+        home_offers.subtract_open_task(offer_state.task)
+        home_offers.unsent_results.append(result)
+        if self._should_send_now(home_offers, offer_state.task, result):
+            self._flush(home_offers)
+        elif home_offers.hold_timer is None:
             hold_ms = self._result_hold_ms
-            ledger.hold = self._clock.after(hold_ms, lambda: self._flush(ledger))
+            home_offers.hold_timer = self._clock.after(hold_ms, lambda: self._flush(home_offers))
 
-    def _should_send_now(self, ledger: Ledger, task: OfferedTask, result: TaskResult) -> bool:
+    def _should_send_now(
+        self, home_offers: HomeOffers, task: OfferedTask, result: TaskResult
+    ) -> bool:
         """Return whether to send a result at once instead of holding it to join others."""
-        if ledger.home == self._messenger.me or not result.ok:
+        if home_offers.home == self._messenger.me or not result.ok:
             return True
-        if ledger.open_tasks[task.job] <= 0:
+        if home_offers.open_tasks[task.job] <= 0:
             return True
-        return ledger.more and ledger.queued <= self.slots * LOW_WATER_SHARE
+        return home_offers.home_has_waiting and home_offers.queued <= self.slots * LOW_QUEUE_SHARE
 
-    def _keep_result(self, entry: Entry) -> None:
-        self._kept_results[id(entry)] = entry
-        self._kept_bytes += len(entry.result.body)
-        while self._kept_bytes > KEPT_RESULT_BYTES and self._kept_results:
+    def _keep_result(self, offer_state: OfferState) -> None:
+        self._kept_results[id(offer_state)] = offer_state
+        self._kept_bytes += len(offer_state.result.body)
+        while self._kept_bytes > MAX_KEPT_RESULT_BYTES and self._kept_results:
             _, oldest = self._kept_results.popitem(last=False)
             self._drop_result(oldest)
 
-    def _drop_result(self, entry: Entry) -> None:
+    def _drop_result(self, offer_state: OfferState) -> None:
         """Drop an unsettled result to free memory; its offer counts as lost."""
-        offer = entry.task.offer
-        if entry.ledger.entries.get(offer) is entry and entry.result is not None:
-            self._kept_bytes -= len(entry.result.body)
-            entry.state = LOST
-            entry.result = None
+        offer = offer_state.task.offer
+        if (
+            offer_state.home_offers.offer_states.get(offer) is offer_state
+            and offer_state.result is not None
+        ):
+            self._kept_bytes -= len(offer_state.result.body)
+            offer_state.state = LOST
+            offer_state.result = None
 
-    def _return_task(self, entry: Entry, code: str) -> None:
+    def _return_task(self, offer_state: OfferState, code: str) -> None:
         """Mark an accepted task that has not started as refused, for the next message."""
-        if entry.state == QUEUED:
-            self._dequeue(entry, REFUSED)
-        entry.state = REFUSED
-        entry.ledger.close_task(entry.task)
-        entry.ledger.refused.append(Refusal(entry.task.offer, code))
+        if offer_state.state == QUEUED:
+            self._dequeue(offer_state, REFUSED)
+        offer_state.state = REFUSED
+        offer_state.home_offers.subtract_open_task(offer_state.task)
+        offer_state.home_offers.unsent_refusals.append(Refusal(offer_state.task.offer, code))
         self._counters.add("offers_refused", code=code)
 
-    def _dequeue(self, entry: Entry, state: str) -> None:
-        entry.state = state
-        entry.ledger.queued -= 1
+    def _dequeue(self, offer_state: OfferState, state: str) -> None:
+        offer_state.state = state
+        offer_state.home_offers.queued -= 1
         self._queued -= 1
-        self._queued_urgent -= entry.task.any_slot
-        self._queued_ms = max(0.0, self._queued_ms - entry.task.run_ms)
+        self._queued_urgent -= offer_state.task.any_slot
+        self._queued_ms = max(0.0, self._queued_ms - offer_state.task.run_ms)
 
-    def _revoke_one(self, ledger: Ledger, offer: int, stop: bool) -> str:
+    def _revoke_one(self, home_offers: HomeOffers, offer: int, stop: bool) -> str:
         """Revoke one offer and return its state, empty if the home has settled it.
 
         An unknown offer is recorded as refused, so that it is not accepted if it
@@ -539,37 +548,39 @@
 
         :param stop: whether to stop the task if it runs
         """
-        if offer < ledger.floor:
+        if offer < home_offers.floor:
             return ""
-        entry = ledger.entries.get(offer)
-        if entry is None and ledger.home in self._gone_homes:
+        offer_state = home_offers.offer_states.get(offer)
+        if offer_state is None and home_offers.home in self._gone_homes:
             return LOST
-        if entry is None:
-            ledger.entries[offer] = Entry(ledger, None, REFUSED)
+        if offer_state is None:
+            home_offers.offer_states[offer] = OfferState(home_offers, None, REFUSED)
             return REFUSED
-        if entry.state == QUEUED:
-            self._dequeue(entry, REFUSED)
-            ledger.close_task(entry.task)
-        elif entry.state == RUNNING and stop:
-            entry.is_stopped = True
-            eventlet.spawn_n(self._client.stop, self.minion, name_task(entry.task))
-        elif entry.state == DONE and entry.result not in ledger.done:
-            ledger.done.append(entry.result)
-        return entry.state
-
-    def _flush(self, ledger: Ledger) -> None:
-        if ledger.hold is not None:
-            ledger.hold.cancel()
-            ledger.hold = None
-        if not ledger.done and not ledger.refused:
+        if offer_state.state == QUEUED:
+            self._dequeue(offer_state, REFUSED)
+            home_offers.subtract_open_task(offer_state.task)
+        elif offer_state.state == RUNNING and stop:
+            offer_state.is_stopped = True
+            eventlet.spawn_n(self._client.stop, self.minion, make_task_id(offer_state.task))
+        elif offer_state.state == DONE and offer_state.result not in home_offers.unsent_results:
+            home_offers.unsent_results.append(offer_state.result)
+        return offer_state.state
+
+    def _flush(self, home_offers: HomeOffers) -> None:
+        if home_offers.hold_timer is not None:
+            home_offers.hold_timer.cancel()
+            home_offers.hold_timer = None
+        if not home_offers.unsent_results and not home_offers.unsent_refusals:
             return
-        results = Results(tuple(ledger.done), tuple(ledger.refused), self.load())
-        ledger.done.clear()
-        ledger.refused.clear()
-        ledger.more = False
-        self._messenger.send(ledger.home, results)
+        results = Results(
+            tuple(home_offers.unsent_results), tuple(home_offers.unsent_refusals), self.load()
+        )
+        home_offers.unsent_results.clear()
+        home_offers.unsent_refusals.clear()
+        home_offers.home_has_waiting = False
+        self._messenger.send(home_offers.home, results)
 
 
-def name_task(task: OfferedTask) -> str:
+def make_task_id(task: OfferedTask) -> str:
     """Return the id of a task at the minion, the same for every offer of the task."""
     return f"{task.job:x}.{task.index}"
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -26,10 +26,10 @@
         self.kept = Ticket(HOME, "fitting", 2_000, 1)
         first = Handover(HOME, 0, *MARK, (make_record(self.kept),), False)
         self.last = Handover(HOME, 1, *MARK, (), True)
-        self.archives.take(first)
+        self.archives.add_batch(first)
 
     def answer_code(self, home, issued_ms, job):
-        return self.archives.judge_missing(Ticket(home, "fitting", issued_ms, job), "text").code
+        return self.archives.answer_missing(Ticket(home, "fitting", issued_ms, job), "text").code
 
     def test_missing_records(self):
         cases = [
@@ -44,12 +44,12 @@
             with self.subTest(name):
                 self.setUp()
                 if is_whole:
-                    self.archives.take(self.last)
+                    self.archives.add_batch(self.last)
                 self.assertEqual(self.answer_code(home, issued_ms, job), expected)
 
     def test_kept_answers(self):
         """Records are found in the archive, and repeated batches are ignored."""
-        self.archives.take(self.last)
-        self.archives.take(self.last)
+        self.archives.add_batch(self.last)
+        self.archives.add_batch(self.last)
         self.assertEqual(self.archives.find(self.kept).answer.results, (b"1",))
         self.assertIsNone(self.archives.find(self.kept._replace(home=OTHER)))
--- a/tests/test_domain_evacuation.py
+++ b/tests/test_domain_evacuation.py
@@ -96,7 +96,7 @@
             slots = agent.application.runner.slots
             described = agent.application.describe()
             told = described._replace(load=described.load._replace(slots=slots, free=slots))
-            home.application.roster.observe(told._replace(version=told.version + 1))
+            home.application.roster.apply_indirect(told._replace(version=told.version + 1))
         calls = [
             self.world.submit(self.world.entries[1], self.world.job(home, (150.0,) * 8))
             for _ in range(2)
--- a/tests/test_estimate.py
+++ b/tests/test_estimate.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from geraniumspool.estimate import INITIAL_MS, RunTimes
+from geraniumspool.estimate import INITIAL_MS, RunTimeEstimator
 
 
 def learn_many(times, off_by, source):
@@ -29,18 +29,18 @@
         ]
         for name, off_by, least, most in cases:
             with self.subTest(name):
-                times = RunTimes()
+                times = RunTimeEstimator()
                 learn_many(times, off_by, random.Random(1))
                 self.assertGreaterEqual(times.slope, least)
                 self.assertLessEqual(times.slope, most)
 
     def test_constant_factor_is_corrected(self):
-        times = RunTimes()
+        times = RunTimeEstimator()
         learn_many(times, lambda _source: 2.0, random.Random(2))
         self.assertAlmostEqual(times.estimate(1000), 500, delta=25)
 
     def test_mean_without_declared_times(self):
-        times = RunTimes()
+        times = RunTimeEstimator()
         self.assertEqual(times.estimate(), INITIAL_MS)
         for _ in range(50):
             times.learn(0, 80.0)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -24,7 +24,7 @@
 
     def note_failures(self, times=20):
         for _ in range(times):
-            self.health.note(False, 1.0, "task_failed")
+            self.health.record_outcome(False, 1.0, "task_failed")
 
     def test_ejection(self):
         cases = [
@@ -38,12 +38,12 @@
                 self.setUp()
                 self.may_eject = may_eject
                 for ok in outcomes:
-                    self.health.note(ok, 1.0, "" if ok else "task_failed")
+                    self.health.record_outcome(ok, 1.0, "" if ok else "task_failed")
                 self.assertEqual(self.health.is_ejected, expected)
 
     def test_refused_connections_eject_before_enough_outcomes(self):
         for _ in range(4):
-            self.health.note(False, 1.0, NotStarted.code)
+            self.health.record_outcome(False, 1.0, NotStarted.code)
         self.assertTrue(self.health.is_ejected)
 
     def test_probe_and_restore(self):
@@ -60,7 +60,7 @@
         self.clock.advance(PROBE_AFTER_MS)
         for _ in range(PROBES_TO_RESTORE):
             self.assertTrue(self.health.admits(0))
-            self.health.note(True, 50.0, "")
+            self.health.record_outcome(True, 50.0, "")
         self.assertFalse(self.health.is_ejected)
 
 
--- a/tests/test_heartbeat.py
+++ b/tests/test_heartbeat.py
@@ -5,7 +5,7 @@
 import eventlet
 
 from geraniumspool.clock import ManualClock
-from geraniumspool.heartbeat import AVOID_PERIODS, SHORT_HEARTBEATS, Heartbeater
+from geraniumspool.heartbeat import AVOID_PERIODS, MAX_SHORT_HEARTBEATS, Heartbeater
 from geraniumspool.members import peer_of
 from geraniumspool.messages import Document, HeartbeatReply, Load, Member, Peer, ShortHeartbeat
 from geraniumspool.roster import Roster
@@ -68,11 +68,11 @@
 
     def add_to_roster(self, *entries):
         for entry in entries:
-            self.roster.observe(entry)
+            self.roster.apply_indirect(entry)
 
     def beat(self):
         self.messenger.sent.clear()
-        self.heartbeater.beat()
+        self.heartbeater.send_heartbeat()
         self.clock.advance(PERIOD_MS)
         return [peer for peer, _ in self.messenger.sent]
 
@@ -95,15 +95,15 @@
     def test_failover_from_silent_entry_and_return(self):
         self.add_to_roster(*ENTRIES)
         [primary] = self.beat()
-        self.heartbeater.take_reply(primary, make_reply())
+        self.heartbeater.handle_reply(primary, make_reply())
         targets = [self.beat()[0] for _ in range(3)]
         self.assertEqual(targets[:2], [primary, primary])
         fallback = targets[2]
         self.assertNotEqual(fallback, primary)
         for _ in range(AVOID_PERIODS - 1):
-            self.heartbeater.take_reply(fallback, make_reply())
+            self.heartbeater.handle_reply(fallback, make_reply())
             self.assertEqual(self.beat(), [fallback])
-        self.heartbeater.take_reply(fallback, make_reply())
+        self.heartbeater.handle_reply(fallback, make_reply())
         self.assertEqual(self.beat(), [primary])
 
     def test_silent_entries_are_retried(self):
@@ -139,13 +139,13 @@
             (Document("team/opticians", 12, b"{}"),),
             3_000.0,
         )
-        self.heartbeater.take_reply(entry, reply)
+        self.heartbeater.handle_reply(entry, reply)
         self.assertEqual(self.roster.get(peer_of(other)).load, Load(8, 5))
         self.assertEqual(self.roster.get(peer_of(other)).state, "ready")
         self.assertIsNone(self.roster.get(peer_of(ME)))
         self.assertEqual(self.heartbeater.period_ms, 3_000.0)
         self.assertEqual(self.heartbeater.last_contact_ms, self.clock.now())
-        self.heartbeater.take_reply(entry, make_reply(version=0))
+        self.heartbeater.handle_reply(entry, make_reply(version=0))
         self.beat()
         heartbeat = self.messenger.sent[0][1]
         self.assertEqual(heartbeat[1:], (1, 7, 12))
@@ -160,7 +160,7 @@
                 self.configuration.apply([Document("team/opticians", 5, b"{}")])
                 documents = (Document("team/opticians", revision, b"{}"),) if revision else ()
                 reply = make_reply(documents=documents)._replace(config_revision=newest)
-                self.heartbeater.take_reply(peer_of(ENTRIES[0]), reply)
+                self.heartbeater.handle_reply(peer_of(ENTRIES[0]), reply)
                 self.assertEqual(len(self.messenger.sent), expected)
 
     def test_outdated_replies_do_not_change_members(self):
@@ -185,8 +185,8 @@
                 self.add_to_roster(ENTRIES[0])
                 self.beat()
                 for incarnation in (old, new):
-                    self.heartbeater.take_reply(entry, make_reply(7, (incarnation,)))
-                self.heartbeater.take_reply(sender, make_reply(version, (old,)))
+                    self.heartbeater.handle_reply(entry, make_reply(7, (incarnation,)))
+                self.heartbeater.handle_reply(sender, make_reply(version, (old,)))
                 states = {
                     incarnation: self.roster.get(peer_of(incarnation)).state
                     for incarnation in (old, new)
@@ -196,7 +196,7 @@
 
     def test_roster_version_is_not_sent_to_another_entry(self):
         self.add_to_roster(*ENTRIES)
-        self.heartbeater.take_reply(Peer("tcp://127.0.0.1:99", 99), make_reply())
+        self.heartbeater.handle_reply(Peer("tcp://127.0.0.1:99", 99), make_reply())
         self.beat()
         self.assertEqual(self.messenger.sent[0][1][1:3], (0, 0))
 
@@ -212,7 +212,7 @@
             self.me = self.me._replace(**fields)
 
         def beat_many_times():
-            for _ in range(SHORT_HEARTBEATS):
+            for _ in range(MAX_SHORT_HEARTBEATS):
                 self.beat()
 
         def lose_a_change():
@@ -220,7 +220,7 @@
             self.beat()
 
         def answer(**fields):
-            self.heartbeater.take_reply(entry, make_reply()._replace(**fields))
+            self.heartbeater.handle_reply(entry, make_reply()._replace(**fields))
 
         cases = (
             ("nothing", lambda: None, True),
@@ -233,7 +233,7 @@
             ("the entry requests a whole one", lambda: answer(again=True, roster_version=0), False),
             (
                 "another entry replies",
-                lambda: self.heartbeater.take_reply(other, make_reply()),
+                lambda: self.heartbeater.handle_reply(other, make_reply()),
                 True,
             ),
         )
@@ -253,10 +253,10 @@
     def test_leaving_is_sent_to_all_entries(self):
         self.add_to_roster(*ENTRIES, FAR_ENTRY)
         [primary] = self.beat()
-        self.heartbeater.take_reply(primary, make_reply())
+        self.heartbeater.handle_reply(primary, make_reply())
         self.me = ME._replace(state="leaving")
         self.messenger.sent.clear()
-        self.heartbeater.beat_now()
+        self.heartbeater.send_to_all_entries()
         self.assertEqual(len({peer for peer, _ in self.messenger.sent}), 4)
         for _, heartbeat in self.messenger.sent:
             self.assertEqual(heartbeat.member.state, "leaving")
@@ -268,7 +268,7 @@
         self.heartbeater.handle_wrong_incarnation(Peer("tcp://127.0.0.1:8", 8))
         self.heartbeater.handle_wrong_incarnation(Peer(ENTRIES[0].address, 77))
         self.assertEqual(self.beat(), [Peer(ENTRIES[0].address, 0)])
-        self.heartbeater.take_reply(
+        self.heartbeater.handle_reply(
             Peer(ENTRIES[0].address, 77), make_reply(1, (ENTRIES[0]._replace(incarnation=77),))
         )
         self.assertEqual(self.beat(), [Peer(ENTRIES[0].address, 77)])
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -80,14 +80,14 @@
         self.home.service = "fitting"
         if own_slots:
             own = Announcement("fitting", "http://127.0.0.1:1", own_slots, 64, own_size)
-            runner.announce(own)
+            runner.set_minion(own)
         for peer in workers:
             self.join(peer, slots)
 
     def join(self, peer, slots=4, state=MEMBER_READY, domain="north"):
         load = Load(slots, slots, 0, 0.0)
         member = Member(*peer, domain, "agent", state, "fitting", 10.0, load)
-        self.roster.hear(member)
+        self.roster.apply_direct(member)
         self.clock.settle()
 
     def issue(self) -> str:
@@ -97,12 +97,12 @@
         ticket = ticket or self.issue()
         rows = tuple(Task(json.dumps(n).encode(), size, run_ms) for n in range(tasks))
         submit = Submit(7, ticket, "fitting", "team", deadline_ms, digest, rows)
-        self.home.take_submit(ENTRY, submit)
+        self.home.handle_submit(ENTRY, submit)
         self.clock.settle()
         return ticket
 
     def cancel(self, ticket):
-        self.home.take_cancel(ENTRY, Cancel(9, ticket))
+        self.home.handle_cancel(ENTRY, Cancel(9, ticket))
         self.clock.settle()
 
     def offers(self) -> list[Offer]:
@@ -113,12 +113,12 @@
             TaskResult(n, ok, b"%d" % n, "" if ok else "task_failed", 90.0) for n in offers
         )
         gone = tuple(Refusal(number, "worker_busy") for number in refused)
-        self.home.take_results(peer, Results(done, gone, Load(slots, slots, 0, 0.0)))
+        self.home.handle_results(peer, Results(done, gone, Load(slots, slots, 0, 0.0)))
         self.clock.settle()
 
     def revoked(self, not_started=(), started=(), lost=(), peer=FAR):
         answer = Revoked(tuple(not_started), tuple(started), tuple(lost), Load(4, 4, 0, 0.0))
-        self.home.take_revoked(peer, answer)
+        self.home.handle_revoked(peer, answer)
         self.clock.settle()
 
     def answers(self) -> list[tuple[str, str]]:
@@ -182,7 +182,7 @@
         """Cancellations at the same time are sent in one message per worker."""
         tickets = [self.submit(1) for _ in range(4)]
         for ticket in tickets:
-            self.home.take_cancel(ENTRY, Cancel(9, ticket))
+            self.home.handle_cancel(ENTRY, Cancel(9, ticket))
         self.clock.settle()
         revokes = self.outbox.take(Revoke)
         self.assertEqual([message.offers for message in revokes], [(1, 2, 3, 4)])
@@ -192,7 +192,7 @@
         for message in (Cancel(9, self.issue()), Decline(9, self.issue(), b"a", "quota", "", 50.0)):
             with self.subTest(kind=type(message).__name__):
                 kind = type(message).__name__.lower()
-                getattr(self.home, f"take_{kind}")(ENTRY, message)
+                getattr(self.home, f"handle_{kind}")(ENTRY, message)
                 self.submit(ticket=message.ticket)
                 self.assertEqual({state for state, _ in self.answers()}, {"not_run"})
                 self.assertEqual(self.offers(), [])
@@ -200,7 +200,7 @@
     def test_decline_of_running_job(self):
         """An entry that declines a running job gets the answer of that job."""
         ticket = self.submit(1)
-        self.home.take_decline(ENTRY, Decline(8, ticket, b"a", "quota", "", 50.0))
+        self.home.handle_decline(ENTRY, Decline(8, ticket, b"a", "quota", "", 50.0))
         self.results(1)
         self.assertEqual({(a.request, a.state) for a in self.outbox.take(Answer)}, {
             (7, "complete"),
@@ -291,13 +291,13 @@
         self.join(FAR, domain="south")
         self.submit(tasks=1)
         [offer] = self.offers()
-        self.roster.release([FAR.address])
-        self.home.forget_workers()
+        self.roster.drop_foreign([FAR.address])
+        self.home.forget_gone_workers()
         self.submit(tasks=1)
         self.assertEqual(self.offers(), [])
         self.results(offer.tasks[0].offer)
         self.assertIn(("complete", ""), self.answers())
-        self.home.forget_workers()
+        self.home.forget_gone_workers()
         self.assertIsNone(self.home._offers.find(FAR))
 
     def test_worker_given_up(self):
@@ -348,7 +348,7 @@
                         run_ms, lateness = runs[peer]
                         rows = [TaskResult(t.offer, True, b"1", "", run_ms) for t in offer.tasks]
                         load = Load(1, 1, lateness=lateness)
-                        self.home.take_results(peer, Results(tuple(rows), (), load))
+                        self.home.handle_results(peer, Results(tuple(rows), (), load))
                 self.submit(1)
                 learnt_ms = self.offers()[0].tasks[0].run_ms
                 self.assertEqual(learnt_ms > 600.0, is_learnt)
@@ -358,7 +358,7 @@
         running, unknown = self.submit(1), self.issue()
         foreign = self.keyring.issue(FAR, "fitting", self.clock.wall())
         for ticket in (running, unknown, foreign):
-            self.home.take_inquire(ENTRY, Inquire(3, ticket))
+            self.home.handle_inquire(ENTRY, Inquire(3, ticket))
         states = [state for state, _ in self.answers()]
         self.assertEqual(states, ["running", "unknown", "may_have_run"])
         self.submit(1, ticket=foreign)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,8 +5,8 @@
 
 from geraniumspool.job import Width
 from geraniumspool.messages import Load, Member, Peer
-from geraniumspool.placement import REACH_BY_WIDTH, Demand, LateBinding
-from geraniumspool.worker import SLOW_PACE, SLOW_PROBE_MS, Worker
+from geraniumspool.placement import LOOKAHEAD_BY_WIDTH, LateBinding, TasksToPlace
+from geraniumspool.worker import SLOW_PACE_RATIO, SLOW_PROBE_MS, Worker
 
 OWN = Peer("tcp://10.0.0.1:7000", 1)
 
@@ -23,8 +23,8 @@
 
 def allot(workers, count, width=Width.WIDE):
     """Return the number of tasks allotted to each worker, by the worker's number."""
-    reach = REACH_BY_WIDTH[width]
-    demand = Demand(count, 400.0, reach, width == Width.NARROW)
+    reach = LOOKAHEAD_BY_WIDTH[width]
+    demand = TasksToPlace(count, 400.0, reach, width == Width.NARROW)
     rows = LateBinding(1).allot(demand, workers, OWN, "north")
     return {row.worker.peer.incarnation: row.count for row in rows}
 
@@ -55,13 +55,15 @@
                 self.assertEqual(allot(workers, count, width), expected)
 
     def test_stays_home_agrees_with_allotment(self):
-        """Tasks kept by ``stays_home`` would also be allotted to the own worker."""
+        """Tasks kept by ``prefers_own_worker`` would also be allotted to the own worker."""
         stayed = set()
         for slots, free, count in itertools.product((8, 60), (0, 1, 7, 8, 60), (1, 7, 8, 45)):
             workers = [make_worker(1, load=Load(slots, min(slots, free))), make_worker(2)]
             for width in Width:
-                demand = Demand(count, 400.0, REACH_BY_WIDTH[width], width == Width.NARROW)
-                if LateBinding(1).stays_home(demand, workers[0]):
+                demand = TasksToPlace(
+                    count, 400.0, LOOKAHEAD_BY_WIDTH[width], width == Width.NARROW
+                )
+                if LateBinding(1).prefers_own_worker(demand, workers[0]):
                     stayed.add(count)
                     self.assertEqual(allot(workers, count, width), {1: count})
         self.assertEqual(stayed, {1, 7, 8})
@@ -69,6 +71,6 @@
     def test_wide_job_may_probe_slow_worker(self):
         """A wide job may probe a slow worker, which could otherwise never recover."""
         worker = make_worker(1)
-        worker.pace = SLOW_PACE * 2
-        worker.look(SLOW_PROBE_MS + 1)
+        worker.pace = SLOW_PACE_RATIO * 2
+        worker.refresh(SLOW_PROBE_MS + 1)
         self.assertEqual(allot([worker], 40), {1: 1})
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -5,7 +5,7 @@
 
 from geraniumspool.clock import ManualClock
 from geraniumspool.documents import TeamDocument
-from geraniumspool.quota import MAX_TEAMS, TOLD_AGE_MS, Quotas
+from geraniumspool.quota import MAX_REPORT_AGE_MS, MAX_TEAMS, Quotas
 
 TEAM = "opticians"
 STEPS_PER_DIGEST = 50
@@ -44,8 +44,8 @@
         """
         count = 0
         for _ in range(jobs):
-            if quotas.take(TEAM, tasks) is None:
-                quotas.give_back(TEAM, tasks)
+            if quotas.charge(TEAM, tasks) is None:
+                quotas.release(TEAM, tasks)
                 count += 1
         return count
 
@@ -73,9 +73,9 @@
         self.limits = TeamDocument(rate_tasks_per_s=10)
         quotas = self.add_entry()
         self.assertEqual(self.submit(quotas, 30), 10)
-        shortage = quotas.take(TEAM, 1)
-        self.assertIn("10.0 tasks a second", shortage.detail)
-        self.clock.advance(shortage.retry_after_ms)
+        refusal = quotas.charge(TEAM, 1)
+        self.assertIn("10.0 tasks a second", refusal.detail)
+        self.clock.advance(refusal.retry_after_ms)
         self.assertEqual(self.submit(quotas, 5), 1)
         self.clock.advance(60_000)
         self.assertEqual(self.submit(quotas, 30), 10)
@@ -85,8 +85,8 @@
         self.limits = TeamDocument(rate_tasks_per_s=10)
         quotas = self.add_entry()
         self.assertEqual(self.submit(quotas, 1, 40), 1)
-        shortage = quotas.take(TEAM, 1)
-        self.assertAlmostEqual(shortage.retry_after_ms, 3100, delta=1)
+        refusal = quotas.charge(TEAM, 1)
+        self.assertAlmostEqual(refusal.retry_after_ms, 3100, delta=1)
         self.clock.advance(3000)
         self.assertEqual(self.submit(quotas, 1), 0)
         self.clock.advance(100.001)
@@ -103,34 +103,34 @@
         """Running tasks count until they are released; those of a refused job do not count."""
         self.limits = TeamDocument(running_tasks=10)
         quotas = self.add_entry()
-        self.assertIsNone(quotas.take(TEAM, 6))
-        self.assertIsNotNone(quotas.take(TEAM, 5))
-        self.assertIsNone(quotas.take(TEAM, 4))
-        shortage = quotas.take(TEAM, 1)
-        self.assertIn("10 tasks", shortage.detail)
-        self.assertGreater(shortage.retry_after_ms, 0)
-        quotas.give_back(TEAM, 4)
-        self.assertIsNotNone(quotas.take(TEAM, 5))
-        self.assertIsNone(quotas.take(TEAM, 4))
+        self.assertIsNone(quotas.charge(TEAM, 6))
+        self.assertIsNotNone(quotas.charge(TEAM, 5))
+        self.assertIsNone(quotas.charge(TEAM, 4))
+        refusal = quotas.charge(TEAM, 1)
+        self.assertIn("10 tasks", refusal.detail)
+        self.assertGreater(refusal.retry_after_ms, 0)
+        quotas.release(TEAM, 4)
+        self.assertIsNotNone(quotas.charge(TEAM, 5))
+        self.assertIsNone(quotas.charge(TEAM, 4))
 
     def test_give_back(self):
         """Releasing too many tasks never makes the count negative; unknown teams are ignored."""
         self.limits = TeamDocument(running_tasks=3)
         quotas = self.add_entry()
-        quotas.give_back(TEAM, 100)
+        quotas.release(TEAM, 100)
         self.assertEqual(quotas.demand(), ())
-        quotas.take(TEAM, 2)
-        quotas.give_back(TEAM, 100)
+        quotas.charge(TEAM, 2)
+        quotas.release(TEAM, 100)
         self.assertEqual(quotas.demand()[0][2], 0.0)
-        self.assertIsNone(quotas.take(TEAM, 3))
-        self.assertIsNotNone(quotas.take(TEAM, 1))
+        self.assertIsNone(quotas.charge(TEAM, 3))
+        self.assertIsNotNone(quotas.charge(TEAM, 1))
 
     def test_refusal_by_rate_does_not_count_as_running(self):
         """Tasks of a job refused by the rate limit do not count as running."""
         self.limits = TeamDocument(rate_tasks_per_s=1, running_tasks=5)
         quotas = self.add_entry()
-        self.assertIsNone(quotas.take(TEAM, 1))
-        self.assertIsNotNone(quotas.take(TEAM, 1))
+        self.assertIsNone(quotas.charge(TEAM, 1))
+        self.assertIsNotNone(quotas.charge(TEAM, 1))
         self.assertEqual(quotas.demand()[0][2], 1.0)
 
     def test_limit_set_and_lifted(self):
@@ -177,12 +177,12 @@
         for _ in range(4):
             self.add_entry()
         for quotas in self.entries:
-            quotas.take(TEAM, 1)
+            quotas.charge(TEAM, 1)
         self.exchange()
         running = 4
         for _ in range(100):
             for quotas in self.entries:
-                running += quotas.take(TEAM, 1) is None
+                running += quotas.charge(TEAM, 1) is None
             self.clock.advance(10)
             self.exchange()
         self.assertGreaterEqual(running, 36)
@@ -192,13 +192,13 @@
         """Idle teams are dropped, and the number of tracked teams is limited."""
         self.limits = TeamDocument(rate_tasks_per_s=1_000)
         quotas = self.add_entry()
-        quotas.take("quiet", 1)
-        quotas.give_back("quiet", 1)
+        quotas.charge("quiet", 1)
+        quotas.release("quiet", 1)
         self.assertEqual(quotas.demand(), (("quiet", 0.2, 0.0),))
         self.clock.advance(60_000)
         self.assertEqual(quotas.demand(), ())
         for number in range(MAX_TEAMS + 10):
-            quotas.take(f"team-{number}", 1)
+            quotas.charge(f"team-{number}", 1)
         self.assertEqual(len(quotas.demand()), MAX_TEAMS)
 
     def test_reported_demand(self):
@@ -212,7 +212,7 @@
             ("no quota", {}, 100, 0, None),
             ("change below a tenth of the quota's part", rate_limit, 10, 0, 0.2),
             ("change above a tenth of it", rate_limit, 60, 0, 12),
-            ("small change, old report", rate_limit, 10, TOLD_AGE_MS, 0.298),
+            ("small change, old report", rate_limit, 10, MAX_REPORT_AGE_MS, 0.298),
             ("only a limit on running tasks", {"running_tasks": 100}, 1, 0, 0.4),
         )
         for name, limits, tasks, passed_ms, expected in cases:
@@ -231,8 +231,8 @@
         """Many unknown team names do not evict the count of a team's running tasks."""
         self.limits = TeamDocument(running_tasks=1)
         quotas = self.add_entry()
-        self.assertIsNone(quotas.take(TEAM, 1))
+        self.assertIsNone(quotas.charge(TEAM, 1))
         for number in range(MAX_TEAMS + 10):
-            quotas.take(f"team-{number}", 1)
-            quotas.give_back(f"team-{number}", 1)
-        self.assertIsNotNone(quotas.take(TEAM, 1))
+            quotas.charge(f"team-{number}", 1)
+            quotas.release(f"team-{number}", 1)
+        self.assertIsNotNone(quotas.charge(TEAM, 1))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -78,17 +78,17 @@
         if isinstance(self.part, Registry):
             self.part.run_round()
         else:
-            self.part.beat()
+            self.part.send_heartbeat()
 
     def receive(self, delivery):
         if isinstance(delivery.message, Heartbeat):
-            self.part.take_heartbeat(delivery.sender, delivery.message)
+            self.part.handle_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, ShortHeartbeat):
-            self.part.take_short_heartbeat(delivery.sender, delivery.message)
+            self.part.handle_short_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, HeartbeatReply):
-            self.part.take_reply(delivery.sender, delivery.message)
+            self.part.handle_reply(delivery.sender, delivery.message)
         else:
-            self.part.take_digest(delivery.sender, delivery.message)
+            self.part.handle_digest(delivery.sender, delivery.message)
 
     def state_of(self, process):
         member = self.roster.get(process.me)
@@ -129,7 +129,7 @@
         entries = [p for p in self.processes.values() if p.member.role == "entry"]
         for process in self.processes.values():
             for entry in entries:
-                process.roster.observe(entry.member)
+                process.roster.apply_indirect(entry.member)
 
 
 class FleetTest(unittest.TestCase):
@@ -289,7 +289,7 @@
     def test_leaving_is_known_at_once_in_the_own_domain(self):
         agent = self.agents[0]
         agent.member = agent.member._replace(state="left", archive="tcp://10.0.0.12:7000")
-        agent.part.beat_now()
+        agent.part.send_to_all_entries()
         self.network.deliver()
         for entry in self.entries:
             self.assertEqual(entry.state_of(agent), "left")
@@ -396,7 +396,7 @@
             domain = ("north", "south", "east")[number % 3]
             agent = Process(network, number + 10, domain, "agent").member
             load = Load(8, generator.randrange(9), generator.randrange(3), generator.random())
-            entry.roster.observe(agent._replace(load=load))
+            entry.roster.apply_indirect(agent._replace(load=load))
         agents = [p for p in network.processes.values() if p.member.domain == "north"][1:]
         network.processes = {process.me: process for process in [entry, *agents]}
         network.introduce()
@@ -440,7 +440,7 @@
         member = member._replace(load=Load(backlog_ms=backlog_ms))
         self.messenger.sent.clear()
         heartbeat = Heartbeat(member, entry, version, revision)
-        self.registry.take_heartbeat(peer_of(member), heartbeat)
+        self.registry.handle_heartbeat(peer_of(member), heartbeat)
         return self.messenger.sent[-1][1] if self.messenger.sent else None
 
     def test_whole_or_changes(self):
@@ -485,10 +485,20 @@
         source = Peer("tcp://127.0.0.1:2", 2)
         cases = (
             ("nothing", lambda: None, 3, True),
-            ("it was heard", lambda: self.roster.hear(agent), 3, False),
-            ("an older state", lambda: self.roster.hear(agent._replace(version=2)), 3, True),
-            ("by hearsay", lambda: self.roster.relay(agent, source), 3, True),
-            ("it is dead", lambda: self.roster.observe(agent._replace(state="dead")), 3, True),
+            ("it was heard", lambda: self.roster.apply_direct(agent), 3, False),
+            (
+                "an older state",
+                lambda: self.roster.apply_direct(agent._replace(version=2)),
+                3,
+                True,
+            ),
+            ("by hearsay", lambda: self.roster.apply_relayed(agent, source), 3, True),
+            (
+                "it is dead",
+                lambda: self.roster.apply_indirect(agent._replace(state="dead")),
+                3,
+                True,
+            ),
         )
         for name, prepare, version, again in cases:
             with self.subTest(name):
@@ -496,16 +506,16 @@
                 prepare()
                 self.clock.advance(PERIOD_MS)
                 beat = ShortHeartbeat(version, self.roster.version, 0, load)
-                self.registry.take_short_heartbeat(peer, beat)
+                self.registry.handle_short_heartbeat(peer, beat)
                 reply = self.messenger.sent[-1][1]
                 self.assertEqual((reply.again, reply.roster_version == 0), (again, again))
                 if not again:
                     self.assertEqual(self.roster.get(peer), agent._replace(load=load))
-                    self.assertEqual(self.roster.sighting(peer).heard_ms, self.clock.now())
+                    self.assertEqual(self.roster.origin(peer).heard_ms, self.clock.now())
 
     def test_heartbeat_in_another_name_is_ignored(self):
         member = Member("tcp://127.0.0.1:9", 9, "north", "agent", "ready", "f")
-        self.registry.take_heartbeat(Peer("tcp://127.0.0.1:8", 8), Heartbeat(member, 0, 0, 0))
+        self.registry.handle_heartbeat(Peer("tcp://127.0.0.1:8", 8), Heartbeat(member, 0, 0, 0))
         self.assertEqual(self.messenger.sent, [])
         self.assertIsNone(self.roster.find_incarnation(9))
 
@@ -513,12 +523,12 @@
         """Foreign members enter the window later, others leave, also after a lost reply."""
         for number in range(2 * FOREIGN_MEMBERS):
             foreign = Member(f"tcp://10.0.0.{number}:1", 500 + number, "south", "agent", "ready")
-            self.roster.observe(foreign)
+            self.roster.apply_indirect(foreign)
         known = {m.address: m for m in self.ask(entry=0).members}
         version = self.roster.version
         for number in range(2 * FOREIGN_MEMBERS):
             new = Member(f"tcp://10.0.1.{number}:1", 900 + number, "south", "agent", "ready")
-            self.roster.observe(new)
+            self.roster.apply_indirect(new)
         lost = self.ask(version=version)
         again = self.ask(version=version)
         self.assertEqual((again.members, again.released), (lost.members, lost.released))
@@ -534,7 +544,7 @@
             member = Member(
                 f"tcp://10.0.0.{number}:1", 500 + number, "north", "agent", "ready", "f"
             )
-            self.roster.observe(member._replace(load=Load(8, 8 if number < 20 else 0)))
+            self.roster.apply_indirect(member._replace(load=Load(8, 8 if number < 20 else 0)))
         replies = [self.ask(entry=0).loads for _ in range(5)]
         for loads in replies:
             self.assertEqual(len({incarnation for _, incarnation, _ in loads}), HINTS_PER_REPLY)
@@ -545,7 +555,7 @@
 
     def test_digest_in_another_name_is_ignored(self):
         other = Member("tcp://127.0.0.1:2", 2, "north", "entry", "ready")
-        self.registry.take_digest(Peer(other.address, 3), Digest(other, True, (), (), (), 0, ()))
+        self.registry.handle_digest(Peer(other.address, 3), Digest(other, True, (), (), (), 0, ()))
         self.assertIsNone(self.roster.find_incarnation(2))
 
 
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -13,7 +13,7 @@
 from geraniumspool.messages import Offer, OfferedTask, Peer, Results, Revoke, Revoked
 from geraniumspool.minion import Fault, FaultKind, MemoryMinionClient
 from geraniumspool.pace import SLOW_LATENESS, SlownessDetector
-from geraniumspool.runner import RESERVE_MS, Runner
+from geraniumspool.runner import RESERVATION_MS, Runner
 from tests.world import ProcessClock
 
 ME = Peer("tcp://127.0.0.1:7001", 1)
@@ -64,14 +64,14 @@
         self.outbox = Outbox(ME)
         counters = MemoryCounters()
         self.runner = Runner(self.outbox, clock, self.client, counters, self.health, 2.0, HOLD_MS)
-        self.runner.announce(minion)
+        self.runner.set_minion(minion)
 
     def offer(self, *tasks, floor=1, more=False, home=HOME):
-        self.runner.take_offer(home, Offer(floor, tasks, more))
+        self.runner.handle_offer(home, Offer(floor, tasks, more))
         self.clock.settle()
 
     def revoke(self, *offers, floor=1, stop=False, home=HOME) -> Revoked:
-        self.runner.take_revoke(home, Revoke(floor, offers, stop))
+        self.runner.handle_revoke(home, Revoke(floor, offers, stop))
         self.clock.settle()
         return self.outbox.take(Revoked)[-1]
 
@@ -106,9 +106,9 @@
 
     def test_lost_result(self):
         """A result that was dropped is reported as lost, not as not started."""
-        limit = runners.KEPT_RESULT_BYTES
-        self.addCleanup(setattr, runners, "KEPT_RESULT_BYTES", limit)
-        runners.KEPT_RESULT_BYTES = 10
+        limit = runners.MAX_KEPT_RESULT_BYTES
+        self.addCleanup(setattr, runners, "MAX_KEPT_RESULT_BYTES", limit)
+        runners.MAX_KEPT_RESULT_BYTES = 10
         self.offer(make_task(1))
         self.clock.advance(500.0)
         answer = self.revoke(1)
@@ -220,7 +220,7 @@
         self.offer(make_task(20, job=3, run_ms=10.0))
         self.clock.advance(70.0)
         self.assertEqual(self.client.running, 3)
-        self.clock.advance(RESERVE_MS + 100.0)
+        self.clock.advance(RESERVATION_MS + 100.0)
         self.offer(*(make_task(number, any_slot=False) for number in range(30, 36)))
         self.assertEqual(self.client.running, 4)
 
@@ -240,7 +240,7 @@
         self.offer(make_task(3), floor=2)
         self.clock.advance(500.0)
         self.results()
-        self.runner.repeat_results()
+        self.runner.resend_results()
         self.assertEqual(self.results(), [[2, 3]])
 
 
