--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -21,7 +21,7 @@
 from geraniumspool.dispatch_policy import DispatchPolicy
 from geraniumspool.job_specs import JobOutcome
 from geraniumspool.queues import Queue
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_messages import WorkerReport
 from geraniumspool.urgency import LATE_FACTOR
 from tests.dispatch_world import Caller, DispatchWorld, make_spec
@@ -149,7 +149,7 @@
         :param workers: number of workers
         :param dispatchers: number of dispatchers
         """
-        rooms = _list_rooms(workers)
+        worker_resources = _list_rooms(workers)
         random.seed(seed)
         self._pattern = pattern
         evacuates = any(fault.kind is FaultKind.EVACUATE for fault in pattern.faults)
@@ -157,12 +157,12 @@
             workers,
             dispatchers,
             policy=policy,
-            rooms=rooms,
+            worker_resources=worker_resources,
             domains=DOMAINS if evacuates else DOMAINS[:1],
         )
         for number, worker in enumerate(self.world.workers):
             worker.minion.slow_factor = SPEEDS[number % len(SPEEDS)]
-        self._room_cpu = sum(room.cpu for room in rooms)
+        self._room_cpu = sum(room.cpu for room in worker_resources)
         self._load = draw_load(pattern, self._room_cpu, seed)
         self._sent: list[_SentJob] = []
         self._frozen: set[str] = set()
@@ -189,13 +189,13 @@
         return self._make_row()
 
     def _send(self, sent: _SentJob) -> None:
-        home = self._random.choice(self.world.homes)
-        if home.address in self._frozen:
-            self._held_jobs[home.address].append(sent)
+        dispatcher = self._random.choice(self.world.dispatchers)
+        if dispatcher.address in self._frozen:
+            self._held_jobs[dispatcher.address].append(sent)
             return
-        self._submit(sent, home)
+        self._submit(sent, dispatcher)
 
-    def _submit(self, sent: _SentJob, home) -> None:
+    def _submit(self, sent: _SentJob, dispatcher) -> None:
         job = sent.arrival.job
         left_ms = self._pattern.patience * sent.objective_ms
         behavior = "crash" if sent.arrival.crashes else ""
@@ -203,11 +203,11 @@
             sent.name, job.count, job.cpu, job.run_ms, behavior, declared_ms=job.declared_ms
         )
         sent.tries += 1
-        sent.caller = home.submit(spec, QUEUES[job.queue], left_ms)
+        sent.caller = dispatcher.submit(spec, QUEUES[job.queue], left_ms)
         clock = self.world.clock
         if sent.arrival.leaves and sent.caller.job is not None:
             after = LEAVE_AFTER_SHARE * sent.objective_ms
-            clock.after(after, lambda: home.router.leave_job(sent.caller.job))
+            clock.after(after, lambda: dispatcher.router.remove_waiter(sent.caller.job))
         eventlet.spawn_n(self._await_answer, sent)
 
     def _await_answer(self, sent: _SentJob) -> None:
@@ -236,7 +236,7 @@
     def _choose_victims(self, fault: Fault) -> list:
         if fault.kind is FaultKind.EVACUATE:
             return [worker for worker in self.world.workers if worker.domain == DOMAINS[-1]][:1]
-        parts = self.world.homes if fault.kind is FaultKind.FREEZE else self.world.workers
+        parts = self.world.dispatchers if fault.kind is FaultKind.FREEZE else self.world.workers
         return parts[: max(1, round(fault.share * len(parts)))]
 
     def _set_fault(self, victim, kind: FaultKind, begins: bool) -> None:
@@ -254,37 +254,39 @@
         elif kind is FaultKind.FAIL:
             minion.fails_all = begins
         elif kind is FaultKind.LEAVE:
-            life = minion.life
-            minion.life = life._replace(draining=begins, sequence=life.sequence + 1)
-            eventlet.spawn_n(victim.executor.take_life, minion.life)
+            incarnation = minion.incarnation
+            minion.incarnation = incarnation._replace(
+                draining=begins, sequence=incarnation.sequence + 1
+            )
+            eventlet.spawn_n(victim.executor.handle_minion_report, minion.incarnation)
         elif kind is FaultKind.CRASH:
             self._crash(victim, begins)
         elif kind is FaultKind.SHRINK:
-            room = minion.life.room
+            room = minion.incarnation.resources
             minion.resize(room._replace(cpu=room.cpu // 2 if begins else room.cpu * 2))
-            eventlet.spawn_n(victim.executor.take_life, minion.life)
+            eventlet.spawn_n(victim.executor.handle_minion_report, minion.incarnation)
 
     def _crash(self, victim, begins: bool) -> None:
         minion = victim.minion
         if begins:
             minion.crash(math.inf)
             return
-        minion.reborn(f"{minion.life.instance}+")
-        eventlet.spawn_n(victim.executor.take_life, minion.life)
+        minion.restart_renamed(f"{minion.incarnation.instance}+")
+        eventlet.spawn_n(victim.executor.handle_minion_report, minion.incarnation)
 
-    def _freeze(self, home, begins: bool) -> None:
-        address = home.address
+    def _freeze(self, dispatcher, begins: bool) -> None:
+        address = dispatcher.address
         if begins:
             self._frozen.add(address)
             self._held_jobs[address] = []
             self.world.network.freeze(address)
-            home.freeze()
+            dispatcher.pause()
             return
         self._frozen.discard(address)
-        home.thaw()
+        dispatcher.resume()
         self.world.network.thaw(address)
         for sent in self._held_jobs.pop(address):
-            self._submit(sent, home)
+            self._submit(sent, dispatcher)
 
     def _make_row(self) -> Row:
         jobs = [sent for sent in self._sent if not sent.arrival.crashes]
@@ -323,13 +325,16 @@
             self.world.clock.sleep(REPORT_PERIOD_MS)
             for worker in self.world.workers:
                 minion = worker.minion
-                if not minion.is_down and lives.get(worker.name) != minion.life.started_unix_ms:
-                    lives[worker.name] = minion.life.started_unix_ms
-                    eventlet.spawn_n(worker.executor.take_life, minion.life)
+                if (
+                    not minion.is_down
+                    and lives.get(worker.name) != minion.incarnation.started_unix_ms
+                ):
+                    lives[worker.name] = minion.incarnation.started_unix_ms
+                    eventlet.spawn_n(worker.executor.handle_minion_report, minion.incarnation)
 
     def _count_messages(self) -> tuple[float, float, float]:
         """Return the row's refused orders, messages and reports per started task."""
-        parts = [*self.world.workers, *self.world.homes]
+        parts = [*self.world.workers, *self.world.dispatchers]
         started = max(1.0, sum(victim.counters.get("runs_started") for victim in parts))
         refused = sum(victim.counters.get("orders_refused", reason="no_room") for victim in parts)
         kinds = Counter(type(message) for _, _, message in self.world.network.sent)
@@ -350,7 +355,7 @@
         """
         spent = 0.0
         for worker in self.world.workers:
-            for task, core_ms in worker.minion.spent.items():
+            for task, core_ms in worker.minion.cpu_time_used.items():
                 if is_counted(task.partition(".")[0]):
                     spent += core_ms
         return spent / MS_PER_SECOND**2
@@ -374,5 +379,5 @@
     return _share_in_time(widest)
 
 
-def _list_rooms(workers: int) -> list[Room]:
-    return [Room(WORKER_CPUS[number % len(WORKER_CPUS)], 10**6) for number in range(workers)]
+def _list_rooms(workers: int) -> list[Resources]:
+    return [Resources(WORKER_CPUS[number % len(WORKER_CPUS)], 10**6) for number in range(workers)]
--- a/benchmarks/pattern_policies.py
+++ b/benchmarks/pattern_policies.py
@@ -5,9 +5,9 @@
 
 from geraniumspool import packing, urgency
 from geraniumspool.dispatch_job import DispatchJob
-from geraniumspool.dispatch_policy import DispatchPolicy, ExpectedUse
+from geraniumspool.dispatch_policy import DispatchPolicy, UsefulnessPolicy
 from geraniumspool.job_specs import StepSpec
-from geraniumspool.packing import Candidate, Place, PlaceRequest
+from geraniumspool.packing import Candidate, PlacementRequest, WorkerChoice
 from geraniumspool.urgency import Outlook, Rank
 
 # Number of waiting jobs at one dispatcher above which :class:`RefuseByQueueLength` refuses jobs.
@@ -20,7 +20,7 @@
 MIN_SLACK_SHARE = 0.25
 
 
-class NoPreferenceForBegun(ExpectedUse):
+class NoPreferenceForBegun(UsefulnessPolicy):
     """Policy in use, but without preference for jobs that have already begun."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -48,7 +48,7 @@
         return _predict_slack(job, outlook, now) < MIN_SLACK_SHARE * job.timing.objective_ms
 
 
-class ArrivalOrder(ExpectedUse):
+class ArrivalOrder(UsefulnessPolicy):
     """Serves jobs in the order of arrival."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -61,7 +61,7 @@
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
         """Return a job's rank by its remaining time."""
-        return _rank_by(super().rank(job, now), job.left_ms())
+        return _rank_by(super().rank(job, now), job.remaining_run_ms())
 
 
 class NoRefusals(NoPreferenceForBegun):
@@ -84,7 +84,7 @@
         return len(others) > MAX_WAITING_JOBS
 
 
-class LatestStartFirst(ExpectedUse):
+class LatestStartFirst(UsefulnessPolicy):
     """Policy in use, but without the operators' priorities."""
 
     def rank(self, job: DispatchJob, now: float) -> Rank:
@@ -92,52 +92,64 @@
         return super().rank(job, now)._replace(level=0)
 
 
-class RefuseIfLikelyLate(ExpectedUse):
+class RefuseIfLikelyLate(UsefulnessPolicy):
     """Policy in use, but refuses jobs that are more likely late than in time."""
 
     def is_refused(
         self, job: DispatchJob, outlook: Outlook, others: Sequence[DispatchJob], now: float
     ) -> bool:
         """Return whether a job is unlikely to be in time, or is refused by the policy in use."""
-        chances = urgency.predict_chances(job.timing, job.left_ms(), outlook, now)
-        return chances.in_time < MIN_CHANCE_IN_TIME or super().is_refused(job, outlook, others, now)
-
-    def is_given_up(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
+        probabilities = urgency.predict_probabilities(
+            job.timing, job.remaining_run_ms(), outlook, now
+        )
+        return probabilities.in_time < MIN_CHANCE_IN_TIME or super().is_refused(
+            job, outlook, others, now
+        )
+
+    def is_shed(self, job: DispatchJob, outlook: Outlook, now: float) -> bool:
         """Return True, so that late jobs are given up."""
         return True
 
 
-class LeastLoaded(ExpectedUse):
+class LeastLoaded(UsefulnessPolicy):
     """Places tasks on the worker with the largest free share of its room."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return the least loaded worker that has room for the task, None without one."""
         with_room = _find_workers_with_room(workers, request.step)
         if not with_room:
             return None
-        best = max(with_room, key=lambda worker: worker.free.cpu / worker.room.cpu)
-        return Place(best, packing.predict_run(best, request.step, request.expected_ms))
+        best = max(with_room, key=lambda worker: worker.free.cpu / worker.capacity.cpu)
+        return WorkerChoice(best, packing.predict_run_ms(best, request.step, request.expected_ms))
 
 
-class RandomWorker(ExpectedUse):
+class RandomWorker(UsefulnessPolicy):
     """Places tasks on a random worker with room."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return a random worker that has room for the task, None without one."""
         with_room = _find_workers_with_room(workers, request.step)
         if not with_room:
             return None
         chosen = random.choice(with_room)
-        return Place(chosen, packing.predict_run(chosen, request.step, request.expected_ms))
+        return WorkerChoice(
+            chosen, packing.predict_run_ms(chosen, request.step, request.expected_ms)
+        )
 
 
-class OverbookedWorkers(ExpectedUse):
+class OverbookedWorkers(UsefulnessPolicy):
     """Policy in use, but if all workers are full, about one task may wait at each of them."""
 
-    def choose(self, workers: Iterable[Candidate], request: PlaceRequest) -> Place | None:
+    def choose_worker(
+        self, workers: Iterable[Candidate], request: PlacementRequest
+    ) -> WorkerChoice | None:
         """Return a worker with room, otherwise the least loaded one that may be overbooked."""
         workers = list(workers)
-        place = super().choose(workers, request)
+        place = super().choose_worker(workers, request)
         if place is not None:
             return place
         overbookable = [
@@ -147,22 +159,22 @@
         ]
         if not overbookable:
             return None
-        best = max(overbookable, key=lambda worker: worker.free.cpu / worker.room.cpu)
-        return Place(best, packing.predict_run(best, request.step, request.expected_ms))
+        best = max(overbookable, key=lambda worker: worker.free.cpu / worker.capacity.cpu)
+        return WorkerChoice(best, packing.predict_run_ms(best, request.step, request.expected_ms))
 
 
 def _rank_by(rank: Rank, value: float) -> Rank:
     """Return a rank that orders jobs of equal lateness by one value, smallest first."""
-    return Rank(rank.is_past_use, True, 0, rank.lateness, value)
+    return Rank(rank.is_useless, True, 0, rank.lateness, value)
 
 
 def _predict_slack(job: DispatchJob, outlook: Outlook, now: float) -> float:
     """Return the predicted slack of a job within its objective, in milliseconds."""
-    return job.timing.latest_start(job.left_ms()) - now - outlook.wait_ms
+    return job.timing.latest_start(job.remaining_run_ms()) - now - outlook.wait_ms
 
 
 def _may_be_overbooked(worker: Candidate, step: StepSpec) -> bool:
-    return worker.free.cpu - step.need.cpu > -OVERBOOKED_SHARE * worker.room.cpu
+    return worker.free.cpu - step.need.cpu > -OVERBOOKED_SHARE * worker.capacity.cpu
 
 
 def _find_workers_with_room(workers: Iterable[Candidate], step: StepSpec) -> list[Candidate]:
@@ -172,7 +184,7 @@
 
 IN_USE = "expected use"
 POLICIES: dict[str, type[DispatchPolicy]] = {
-    IN_USE: ExpectedUse,
+    IN_USE: UsefulnessPolicy,
     "new and begun alike": NoPreferenceForBegun,
     "without priorities": LatestStartFirst,
     "only in time": RefuseIfLikelyLate,
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -240,7 +240,7 @@
 
     def _propose(self, entry: Process, weight: float, name: str) -> None:
         application = entry.application
-        held = application.configuration.held(CONFIGURATION_KEY)
+        held = application.configuration.get(CONFIGURATION_KEY)
         body = json.dumps({"weight": weight}).encode()
         expected = held.revision if held else 0
         try:
@@ -255,7 +255,7 @@
 
     def _check_revisions_never_decrease(self) -> None:
         for process in self.world.processes:
-            held = process.application.configuration.held(CONFIGURATION_KEY)
+            held = process.application.configuration.get(CONFIGURATION_KEY)
             revision = held.revision if held else 0
             before = self._revisions.get(process, 0)
             if revision < before:
@@ -267,7 +267,7 @@
         self._check_revisions_never_decrease()
         newest = max(self._accepted, default=0)
         for process in self.world.processes:
-            held = process.application.configuration.held(CONFIGURATION_KEY)
+            held = process.application.configuration.get(CONFIGURATION_KEY)
             revision = held.revision if held else 0
             address = process.peer.address
             if revision < newest:
--- a/geraniumspool/calls.py
+++ b/geraniumspool/calls.py
@@ -133,7 +133,7 @@
         finally:
             del self._calls[message.request]
 
-    def take_answer(self, sender: Peer, answer: Answer) -> None:
+    def handle_answer(self, sender: Peer, answer: Answer) -> None:
         """Pass an answer to its request; drop it if no request to this sender waits for it."""
         call = self._calls.get(answer.request)
         if call is None or call.peer != sender:
@@ -142,7 +142,7 @@
         call.answer = answer
         call.wake()
 
-    def take_rejection(self, sender: Peer, meant: int) -> None:
+    def handle_wrong_incarnation(self, sender: Peer, meant: int) -> None:
         """Fail the requests to a home whose address now belongs to another process.
 
         :param sender: the process that now has the address
--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -41,14 +41,14 @@
 
 # Minimum time on shutdown between reporting not ready and closing the listener. A load balancer
 # that checks readiness once a second stops sending callers after two failed checks.
-NOTICE_MS = 2_600.0
+READINESS_NOTICE_MS = 2_600.0
 # Part of the grace period that is reserved for sending the last results.
-ANSWER_MS = 700.0
+RESULT_GRACE_MS = 700.0
 # Time limits for the last runs to end and for the listener to close.
 CLOSE_MS = 350.0
 
 
-class DispatchEntry(Application):
+class DispatcherProcess(Application):
     """Run a dispatcher process.
 
     :ivar configuration: queue configuration in use
@@ -80,7 +80,7 @@
         self.evacuations = Evacuations(clock, metrics)
         record = DispatcherRecord(settings.domain, settings.capacity)
         self._peers = DispatcherPeers(clock, messenger.me, record, self.evacuations)
-        self._peers.is_broken = messenger.is_broken
+        self._peers.is_connection_closed = messenger.is_connection_closed
         self.claims = JobClaims(
             clock,
             messenger.send,
@@ -95,7 +95,7 @@
             clock, messenger.send, metrics, settings.domain, self.evacuations, self.claims
         )
         self.dispatcher.fleet.reset_link = messenger.reset
-        self.dispatcher.fleet.is_broken = messenger.is_broken
+        self.dispatcher.fleet.is_connection_closed = messenger.is_connection_closed
         self.router = JobRouter(
             clock,
             messenger.send,
@@ -128,17 +128,17 @@
         self._servers: list[WebServer] = []
         self._leaving = False
         self._handlers = {
-            WorkerReport: self.dispatcher.take_report,
-            ForwardJob: self.router.take_forward,
-            ForwardedEnd: self.router.take_end,
-            DropJobs: self.router.forwarded.take_drop,
-            DispatcherReport: self.router.take_report,
-            ClaimJobs: self.claims.take_claims,
-            OpenClaims: self.claims.take_open,
-            ClaimVerdicts: self.claims.take_verdicts,
-            EndClaims: self.claims.take_end,
-            JobsFenced: self.claims.take_fenced,
-            WrongIncarnation: self._take_rejection,
+            WorkerReport: self.dispatcher.handle_report,
+            ForwardJob: self.router.handle_forward_job,
+            ForwardedEnd: self.router.handle_forwarded_end,
+            DropJobs: self.router.forwarded.handle_drop_jobs,
+            DispatcherReport: self.router.handle_report,
+            ClaimJobs: self.claims.handle_claim_jobs,
+            OpenClaims: self.claims.handle_open_claims,
+            ClaimVerdicts: self.claims.handle_claim_verdicts,
+            EndClaims: self.claims.handle_end_claims,
+            JobsFenced: self.claims.handle_jobs_fenced,
+            WrongIncarnation: self._handle_wrong_incarnation,
         }
 
     @property
@@ -148,7 +148,7 @@
             return False
         return self.router.has_workers
 
-    def serve(self, callers: WebServer, others: list[WebServer]) -> None:
+    def set_servers(self, callers: WebServer, others: list[WebServer]) -> None:
         """Set the listeners that start and stop with this process.
 
         :param callers: listener for job submissions, which is drained on shutdown
@@ -162,8 +162,8 @@
         self._run(self._operators_watch.run)
         self._run(self._members_watch.run)
         self._run(self._member_key.run)
-        self._run(self.dispatcher.run_ticks)
-        self._run(self.router.run_ticks)
+        self._run(self.dispatcher.run_periodic_checks)
+        self._run(self.router.run_periodic_checks)
         for server in self._servers:
             server.start()
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
@@ -178,22 +178,22 @@
         :return: whether all jobs ended within the grace period
         """
         started = self._clock.now()
-        deadline = started + self._settings.grace_s * MS_PER_SECOND - ANSWER_MS
+        deadline = started + self._settings.grace_s * MS_PER_SECOND - RESULT_GRACE_MS
         self._leaving = True
-        self.dispatcher.ends_ms = deadline
+        self.dispatcher.exit_ms = deadline
         callers = self._servers[0]
         callers.retire()
         _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
-        self.router.leave()
-        self._clock.sleep(min(NOTICE_MS, deadline - started))
+        self.router.give_up_workers()
+        self._clock.sleep(min(READINESS_NOTICE_MS, deadline - started))
         done = self._wait_until(lambda: self.router.is_idle, deadline - self._clock.now())
         # Refuse further jobs: those that arrive while the listener closes would be cut off.
-        self.dispatcher.ends_ms = self._clock.now()
-        self.router.abandon()
+        self.dispatcher.exit_ms = self._clock.now()
+        self.router.abort_jobs()
         # Callers resubmit their jobs as soon as they get this result, perhaps before the
         # runs here have ended.
         self._wait_until(lambda: not self.dispatcher.has_open_runs, CLOSE_MS)
-        self.claims.leave()
+        self.claims.announce_exit()
         callers.drain(CLOSE_MS)
         return done
 
@@ -209,7 +209,7 @@
         """Apply all operators' keys after the watch has read them anew."""
         prefix = self._keys.evacuations
         domains = list_evacuated(snapshot, prefix)
-        self.evacuations.replace(domains, snapshot.revision, self.evacuations.heard_ms)
+        self.evacuations.replace(domains, snapshot.revision, self.evacuations.confirmed_ms)
         for pair in snapshot.pairs:
             self._apply_configuration(pair.key, pair.value)
 
@@ -217,7 +217,7 @@
         prefix = self._keys.evacuations
         if change.key.startswith(prefix):
             domain = change.key.removeprefix(prefix)
-            self.evacuations.change(domain, change.value is not None, change.revision)
+            self.evacuations.apply_change(domain, change.value is not None, change.revision)
         self._apply_configuration(change.key, change.value)
 
     def _apply_configuration(self, key: str, value: bytes | None) -> None:
@@ -226,21 +226,21 @@
             return
         table = self._decode(value)
         if table is not None:
-            self.configuration.take(table)
+            self.configuration.apply(table)
 
     def _load_members(self, snapshot: Snapshot) -> None:
         """Replace the known members after the watch has read them anew."""
-        self._peers.directory.replace(snapshot.pairs, self._clock.now())
-        self.router.take_members()
+        self._peers.directory.apply_listing(snapshot.pairs, self._clock.now())
+        self.router.update_members()
 
     def _apply_member_change(self, change: Change) -> None:
-        self._peers.directory.change(change.key, change.value, self._clock.now())
-        self.router.take_members()
+        self._peers.directory.apply_change(change.key, change.value, self._clock.now())
+        self.router.update_members()
         if change.value is not None and change.key.startswith(WORKER_PREFIX):
             address = change.key.removeprefix(WORKER_PREFIX)
-            self.dispatcher.fleet.note_written(address)
-            self.claims.take_worker(address)
+            self.dispatcher.fleet.handle_key_written(address)
+            self.claims.handle_executor_start(address)
 
-    def _take_rejection(self, sender: Peer, _message: Message) -> None:
-        self.dispatcher.fleet.take_rejection(sender)
-        self.router.take_rejection(sender)
+    def _handle_wrong_incarnation(self, sender: Peer, _message: Message) -> None:
+        self.dispatcher.fleet.handle_wrong_incarnation(sender)
+        self.router.handle_wrong_incarnation(sender)
--- a/geraniumspool/link.py
+++ b/geraniumspool/link.py
@@ -134,7 +134,7 @@
         self._socket.close()
 
     @property
-    def is_broken(self) -> bool:
+    def is_connection_closed(self) -> bool:
         """Whether the link was connected before and no longer is."""
         is_connected = bool(self._socket.pipes)
         self._was_connected = self._was_connected or is_connected
@@ -282,13 +282,13 @@
             link.close()
             self._counters.add("links_reset")
 
-    def is_broken(self, peer: Peer) -> bool:
+    def is_connection_closed(self, peer: Peer) -> bool:
         """Return whether the link to a peer lost its connection.
 
         See :class:`~contracts.Messenger`.
         """
         link = self._links.get(peer.address)
-        return link is not None and link.is_broken
+        return link is not None and link.is_connection_closed
 
     def stop(self) -> None:
         """Close the inbox and all links after giving queued messages time to leave."""
@@ -483,7 +483,7 @@
         """Deliver a message that the process sent to itself."""
         eventlet.spawn_n(self._inbound.receive, delivery)
 
-    def is_broken(self, peer: Peer) -> bool:
+    def is_connection_closed(self, peer: Peer) -> bool:
         """Return whether no process is attached at the peer's address."""
         return self._network.has_left(peer.address)
 
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -18,14 +18,14 @@
 
 from geraniumspool.contracts import Clock, Messenger
 from geraniumspool.digests import REFRESH_PER_DIGEST, Digests
-from geraniumspool.heartbeat import is_foreign_news
+from geraniumspool.heartbeat import concerns_other_process
 from geraniumspool.members import ROLE_ENTRY, is_final, peer_of
 from geraniumspool.messages import MEMBER_DEAD, Digest, Heartbeat, Member, Peer, ShortHeartbeat
 from geraniumspool.replies import Replies
 from geraniumspool.reports import Demand, PeerDemand, Reports
 from geraniumspool.revisions import Revisions
 from geraniumspool.roster import Roster
-from geraniumspool.sighting import Sighting
+from geraniumspool.sighting import ReportOrigin
 
 # Target rate of heartbeats at one entry; with more agents, their period is made longer.
 HEARTBEATS_PER_S = 120
@@ -101,7 +101,7 @@
         )
         self.peers_demand: Callable[[], list[PeerDemand]] = self._reports.demand
         self.in_force: Callable[[], dict[str, int]] = self._revisions.in_force
-        roster.observe(me(), revive=True)
+        roster.apply_indirect(me(), revive=True)
 
     @property
     def period_ms(self) -> float:
@@ -125,9 +125,9 @@
     def run_round(self) -> None:
         """Declare silent members dead and send the digests that are due."""
         self._rounds += 1
-        self._roster.observe(self._me(), revive=True)
+        self._roster.apply_indirect(self._me(), revive=True)
         self._watch_unreported()
-        for member in self._roster.expire(self.timeout_ms, self._relayed_timeout_ms()):
+        for member in self._roster.expire_silent(self.timeout_ms, self._relayed_timeout_ms()):
             _LOG.info("%s %s timed out and counts as dead", member.role, member.address)
         if self._rounds % FORGET_ROUNDS == 0:
             self._forget()
@@ -137,7 +137,7 @@
         if self._rounds % PROBE_ROUNDS == 0:
             self._probe_dead_entries()
 
-    def take_heartbeat(self, sender: Peer, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, sender: Peer, heartbeat: Heartbeat) -> None:
         """Handle an agent's heartbeat; reply if the agent follows this entry.
 
         A copy of a heartbeat meant for another entry only updates the roster.
@@ -149,30 +149,30 @@
         if heartbeat.roster_entry not in (0, self._messenger.me.incarnation):
             self._handle_copy(heartbeat)
             return
-        self._roster.hear(member)
+        self._roster.apply_direct(member)
         self._replies.send(sender, heartbeat)
 
-    def take_short_heartbeat(self, sender: Peer, heartbeat: ShortHeartbeat) -> None:
+    def handle_short_heartbeat(self, sender: Peer, heartbeat: ShortHeartbeat) -> None:
         """Handle a heartbeat without the agent's state; request the state if it is not known."""
         load = heartbeat.load.round_up()
-        member = self._roster.hear_again(sender, heartbeat.version, load)
+        member = self._roster.apply_direct_load(sender, heartbeat.version, load)
         if member is None:
             self._replies.ask_again(sender)
             return
         known = (self._messenger.me.incarnation, heartbeat.roster_version)
         self._replies.send(sender, Heartbeat(member, *known, heartbeat.config_revision))
 
-    def take_digest(self, sender: Peer, digest: Digest) -> None:
+    def handle_digest(self, sender: Peer, digest: Digest) -> None:
         """Apply another entry's digest; send one back if it asks for that."""
         if peer_of(digest.sender) != sender:
             return
         if digest.sender.domain == self._roster.domain:
-            self._roster.hear(digest.sender)
+            self._roster.apply_direct(digest.sender)
         else:
-            self._roster.relay(digest.sender, sender)
+            self._roster.apply_relayed(digest.sender, sender)
         for member in digest.members:
-            if is_foreign_news(member, self._messenger.me):
-                self._roster.relay(member, sender)
+            if concerns_other_process(member, self._messenger.me):
+                self._roster.apply_relayed(member, sender)
         self._reports.take(sender, digest)
         self._revisions.take(digest)
         if digest.documents:
@@ -180,7 +180,7 @@
         if digest.reply:
             self._digests.answer(digest.sender)
 
-    def take_rejection(self, sender: Peer, meant: int) -> None:
+    def handle_wrong_incarnation(self, sender: Peer, meant: int) -> None:
         """Request a digest from a process that replaced an entry at the same address.
 
         A process that started while the store was unavailable may know no other entry.
@@ -194,7 +194,7 @@
             and replaced.role == ROLE_ENTRY
             and self._roster.get(sender) is None
         ):
-            self._digests.greet(sender)
+            self._digests.request_digest(sender)
 
     def push_configuration(self) -> None:
         """Send new configuration to other entries at once and to agents in small batches."""
@@ -204,23 +204,23 @@
     def _handle_copy(self, heartbeat: Heartbeat) -> None:
         followed_entry = self._roster.find_incarnation(heartbeat.roster_entry)
         if followed_entry is None or is_final(followed_entry):
-            self._roster.observe(heartbeat.member)
+            self._roster.apply_indirect(heartbeat.member)
         else:
-            self._roster.relay(heartbeat.member, peer_of(followed_entry))
+            self._roster.apply_relayed(heartbeat.member, peer_of(followed_entry))
 
     def _watch_unreported(self) -> None:
         """Start the silence timeout of this domain's members that no process reports hearing."""
         if self._checked_version == self._roster.version:
             return
         self._checked_version = self._roster.version
-        unreported = Sighting()
+        unreported = ReportOrigin()
         me = self._messenger.me
         for member in self._roster.members():
             peer = peer_of(member)
             if peer == me or member.domain != self._roster.domain or is_final(member):
                 continue
-            if self._roster.sighting(peer) == unreported:
-                self._roster.watch(peer)
+            if self._roster.origin(peer) == unreported:
+                self._roster.start_timeout(peer)
 
     def _relayed_timeout_ms(self) -> float:
         turns = 1 + math.ceil(len(self._roster.members()) / REFRESH_PER_DIGEST)
@@ -228,7 +228,7 @@
 
     def _forget(self) -> None:
         known = len(self._roster.members())
-        self._roster.forget()
+        self._roster.forget_final()
         if len(self._roster.members()) != known:
             self._replies.forget_rings()
 
@@ -247,4 +247,4 @@
                 and member.domain == self._roster.domain
                 and member.address not in living
             ):
-                self._digests.greet(peer_of(member))
+                self._digests.request_digest(peer_of(member))
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -57,7 +57,7 @@
     ):
         """Store the collaborators.
 
-        :param configuration: has ``revision`` and ``since(revision, limit_bytes)``
+        :param configuration: has ``revision`` and ``documents_after(revision, limit_bytes)``
         :param period_ms: returns the heartbeat period that agents should use
         :param generator: source of random numbers for samples of loads
         """
@@ -100,19 +100,19 @@
         """Return the next documents for a process whose configuration is at a revision."""
         if revision >= self._configuration.revision:
             return ()
-        return tuple(self._configuration.since(revision, DOCUMENT_BYTES))
+        return tuple(self._configuration.documents_after(revision, DOCUMENT_BYTES))
 
     def served_revisions(self) -> dict[str, int]:
         """Return the lowest configuration revision of this entry's agents, per failure domain."""
         lowest: dict[str, int] = {}
         for peer, view in self._agents.items():
             member = self._roster.get(peer)
-            if member and not is_final(member) and not self._roster.sighting(peer).claimed:
+            if member and not is_final(member) and not self._roster.origin(peer).is_claimed:
                 revision = lowest.get(member.domain, view.config_revision)
                 lowest[member.domain] = min(revision, view.config_revision)
         return lowest
 
-    def has_guests(self) -> bool:
+    def has_foreign_agents(self) -> bool:
         """Return whether agents of other failure domains send heartbeats to this entry."""
         members = map(self._roster.get, self._agents)
         return any(member and member.domain != self._roster.domain for member in members)
@@ -120,7 +120,7 @@
     def prune(self) -> None:
         """Remove agents that are gone or send their heartbeats to another entry."""
         for peer in list(self._agents):
-            if self._roster.is_gone(peer) or not self._roster.sighting(peer).direct:
+            if self._roster.is_gone(peer) or not self._roster.origin(peer).is_direct:
                 del self._agents[peer]
 
     def forget_rings(self) -> None:
@@ -203,7 +203,7 @@
                 for m in members
                 if is_always_included(m) or (m.address in window and not is_final(m))
             )
-        changed = self._roster.since(version)
+        changed = self._roster.changes_since(version)
         selected = [
             m
             for m in changed
--- a/geraniumspool/revisions.py
+++ b/geraniumspool/revisions.py
@@ -91,21 +91,21 @@
         foreign = {domain: known.revision for domain, known in self._foreign.items()}
         return foreign | lowest
 
-    def near(self) -> dict[str, int]:
+    def local(self) -> dict[str, int]:
         """Return the revisions to report to other entries of this failure domain."""
         reported = {
             d: known.revision for d, known in self._foreign.items() if self._is_forwarded(d)
         }
         return reported | self._get_served_revisions()
 
-    def far(self, speaks: bool) -> dict[str, int]:
+    def foreign(self, is_representative: bool) -> dict[str, int]:
         """Return the revisions to report to entries of other failure domains.
 
-        :param speaks: whether this entry reports for its whole domain
+        :param is_representative: whether this entry reports for its whole domain
         """
         served = self._get_served_revisions()
         own_domain = self._roster.domain
-        if speaks:
+        if is_representative:
             served[own_domain] = self.in_force()[own_domain]
         else:
             del served[own_domain]
--- a/tests/test_domain_evacuation.py
+++ b/tests/test_domain_evacuation.py
@@ -96,7 +96,9 @@
             slots = agent.application.runner.slots
             described = agent.application.describe()
             stale_member = described._replace(load=described.load._replace(slots=slots, free=slots))
-            home.application.roster.observe(stale_member._replace(version=stale_member.version + 1))
+            home.application.roster.apply_indirect(
+                stale_member._replace(version=stale_member.version + 1)
+            )
         calls = [
             self.world.submit(self.world.entries[1], self.world.job(home, (150.0,) * 8))
             for _ in range(2)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -27,7 +27,9 @@
 OPERATIONS = ROOT / "docs" / "OPERATIONS.md"
 TRIAL_MODULES = frozenset({"standin_store", "standin_minion", "demo", "load", "workload"})
 CODE = re.compile(r"[a-z]+(?:_[a-z]+)+|internal")
-CODE_CALLS = frozenset({"reply_problem", "_refuse", "NoAnswer", "Verdict", "Answer"})
+CODE_CALLS = frozenset(
+    {"reply_problem", "_refuse", "_reject", "NoAnswer", "AdmissionDecision", "Answer"}
+)
 PROGRAM = "geraniumspool"
 OUTCOMES = frozenset({"not_run", "may_have_run"})
 
