--- a/benchmarks/soak_witness.py
+++ b/benchmarks/soak_witness.py
@@ -11,10 +11,10 @@
 from geraniumspool.clock import SystemClock
 from geraniumspool.contracts import RunKey
 from geraniumspool.memory_minion import MemoryMinion
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.run_messages import RUN_DONE, RUN_STOPPED
 
-WORKER_ROOM = Room(8_000, 8_000)
+WORKER_ROOM = Resources(8_000, 8_000)
 EVACUATION_S = 1.5
 # A delayed start can still take effect this long, until its lease ends and it is refused.
 LATE_START_S = 1.0
@@ -102,8 +102,8 @@
         self._check_not_evacuated(minion, key.task)
         self.starts[key.task] = self.starts.get(key.task, 0) + 1
         self._check_single_run(minion, key)
-        if not WORKER_ROOM.fits(minion.most_used):
-            self.note_broken(f"{minion.name} was given {minion.most_used} of {WORKER_ROOM}")
+        if not WORKER_ROOM.fits(minion.peak_used):
+            self.note_broken(f"{minion.name} was given {minion.peak_used} of {WORKER_ROOM}")
 
     def judge_job(self, job: str, tasks: int, succeeded: bool, refused: bool) -> None:
         """Check the answers to a job against its starts and the tasks that were done.
@@ -176,7 +176,7 @@
         before = self._next_end
         super()._advance()
         for end in self._ended:
-            if end.number >= before:
+            if end.sequence >= before:
                 self._log_run("run ended", end.key, how=end.how)
         self._witness.done.update(end.key.task for end in self._ended if end.how == RUN_DONE)
 
--- a/geraniumspool/callers.py
+++ b/geraniumspool/callers.py
@@ -35,7 +35,7 @@
     Submit,
 )
 from geraniumspool.metrics import Metrics
-from geraniumspool.quota import Quotas, Shortage
+from geraniumspool.quota import QuotaRefusal, Quotas
 from geraniumspool.reply import Reply, reply_json, reply_problem
 from geraniumspool.routes import Request, Route
 from geraniumspool.submission import Submission, check_limits, parse_submission, parse_ticket_order
@@ -211,7 +211,7 @@
         try:
             return self._send(text, ticket, ticket.home, submission)
         finally:
-            self._quotas.give_back(submission.team, len(submission.tasks))
+            self._quotas.release(submission.team, len(submission.tasks))
 
     def _submit(self, text: str, ticket: Ticket, submission: Submission) -> Reply:
         """Submit a job under a ticket that may have been submitted before.
@@ -239,7 +239,7 @@
         try:
             return self._send(text, ticket, peer, submission)
         finally:
-            self._quotas.give_back(submission.team, len(submission.tasks))
+            self._quotas.release(submission.team, len(submission.tasks))
 
     def _send(self, text: str, ticket: Ticket, peer: Peer, submission: Submission) -> Reply:
         deadline_ms = self._effective_deadline_ms(submission)
@@ -274,9 +274,9 @@
     def _find_refusal(self, submission: Submission) -> tuple[str, str, float] | None:
         if len(self._calls) >= self._max_running_jobs:
             return JOB_REFUSED_OVERLOAD, "too many jobs are in flight here", OVERLOAD_RETRY_MS
-        shortage: Shortage | None = self._quotas.take(submission.team, len(submission.tasks))
-        if shortage is not None:
-            return JOB_REFUSED_QUOTA, shortage.detail, shortage.retry_after_ms
+        refusal: QuotaRefusal | None = self._quotas.charge(submission.team, len(submission.tasks))
+        if refusal is not None:
+            return JOB_REFUSED_QUOTA, refusal.detail, refusal.retry_after_ms
         return None
 
     def _record_refusal(self, ticket: Ticket, code: str, detail: str, retry_ms: float) -> str:
@@ -288,7 +288,7 @@
     def _effective_deadline_ms(self, submission: Submission) -> float:
         if submission.deadline_ms > 0:
             return submission.deadline_ms
-        if self._configuration.held(f"service/{submission.service}") is None:
+        if self._configuration.get(f"service/{submission.service}") is None:
             return self._default_deadline_ms
         return self._configuration.service(submission.service).deadline_ms
 
--- a/geraniumspool/change_desk.py
+++ b/geraniumspool/change_desk.py
@@ -241,7 +241,7 @@
             self._on_change(applied)
 
     def _find_current(self, key: str, stored: KeyValue | None) -> _CurrentVersion:
-        in_force = self._configuration.held(key)
+        in_force = self._configuration.get(key)
         stored_revision = stored.revision if stored else 0
         if in_force is not None and in_force.revision > stored_revision:
             return _CurrentVersion(
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -215,9 +215,9 @@
 
     def _make_handlers(self) -> dict:
         return {
-            Answer: self.calls.take_answer,
-            Heartbeat: self.registry.take_heartbeat,
-            ShortHeartbeat: self.registry.take_short_heartbeat,
+            Answer: self.calls.handle_answer,
+            Heartbeat: self.registry.handle_heartbeat,
+            ShortHeartbeat: self.registry.handle_short_heartbeat,
             Digest: self._handle_digest,
             Inquire: self._handle_inquire,
             WrongIncarnation: self._handle_wrong_incarnation,
@@ -226,7 +226,7 @@
 
     def _handle_digest(self, sender: Peer, digest: Digest) -> None:
         old_revision = self.configuration.revision
-        self.registry.take_digest(sender, digest)
+        self.registry.handle_digest(sender, digest)
         if self.configuration.revision > old_revision:
             self.registry.push_configuration()
 
@@ -238,8 +238,8 @@
         self._messenger.send(sender, answer)
 
     def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        self.calls.take_rejection(sender, rejection.meant)
-        self.registry.take_rejection(sender, rejection.meant)
+        self.calls.handle_wrong_incarnation(sender, rejection.meant)
+        self.registry.handle_wrong_incarnation(sender, rejection.meant)
 
     def _member_changed(self, member: Member) -> None:
         if is_final(member):
--- a/geraniumspool/platform/reports.py
+++ b/geraniumspool/platform/reports.py
@@ -6,10 +6,10 @@
 import eventlet
 import msgspec
 
-from geraniumspool.contracts import Counters, MinionLife
+from geraniumspool.contracts import Counters, MinionIncarnation
 from geraniumspool.executor import Executor
 from geraniumspool.reply import Reply, reply_json, reply_problem
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.routes import Request, Route
 from geraniumspool.web import Application
 
@@ -57,7 +57,7 @@
     labels: list[str] = []
 
 
-class LeaveBody(msgspec.Struct):
+class DeregistrationBody(msgspec.Struct):
     """A minion's last report, sent as it shuts down.
 
     :ivar born: as in :class:`ReportBody`, 0 if the minion does not say
@@ -66,7 +66,7 @@
     born: int = 0
 
 
-class Reports(Application):
+class MinionReportsApplication(Application):
     """WSGI application that passes a minion's reports to the executor."""
 
     def __init__(self, executor: Executor, counters: Counters):
@@ -87,11 +87,11 @@
             body = msgspec.json.decode(request.body, type=ReportBody)
         except msgspec.MsgspecError as error:
             return _reject_report(request, error)
-        life = MinionLife(
+        incarnation = MinionIncarnation(
             request.parameters[0],
             body.service,
             body.addr,
-            Room(body.room.cpu, body.room.mem_mb, body.room.gpu),
+            Resources(body.room.cpu, body.room.mem_mb, body.room.gpu),
             tuple(body.labels),
             body.state == "draining",
             body.seq,
@@ -99,15 +99,15 @@
         )
         # A task of its own: the executor calls the minion back before it accepts a new
         # incarnation, which would delay this reply.
-        eventlet.spawn_n(self._executor.take_life, life)
+        eventlet.spawn_n(self._executor.handle_minion_report, incarnation)
         return reply_json(200, {})
 
     def _handle_leave(self, request: Request) -> Reply:
         try:
-            body = msgspec.json.decode(request.body or b"{}", type=LeaveBody)
+            body = msgspec.json.decode(request.body or b"{}", type=DeregistrationBody)
         except msgspec.MsgspecError as error:
             return _reject_report(request, error)
-        self._executor.lose_life(request.parameters[0], body.born)
+        self._executor.handle_minion_departure(request.parameters[0], body.born)
         return reply_json(200, {})
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -209,14 +209,14 @@
     def test_link_is_broken_after_peer_ended(self):
         """A link is broken after its peer ended, until another process listens there."""
         old = self.two.me
-        self.assertFalse(self.one.is_broken(old))
+        self.assertFalse(self.one.is_connection_closed(old))
         self.one.send(old, Inquire(1, "t"))
         self.wait(lambda: self.deliveries[22])
-        self.assertFalse(self.one.is_broken(old))
+        self.assertFalse(self.one.is_connection_closed(old))
         self.two.stop()
-        self.wait(lambda: self.one.is_broken(old))
+        self.wait(lambda: self.one.is_connection_closed(old))
         self.start(23, old.address)
-        self.wait(lambda: not self.one.is_broken(old))
+        self.wait(lambda: not self.one.is_connection_closed(old))
 
     def test_restart_at_the_same_address(self):
         """After a restart, messages to the old incarnation are rejected, to the new delivered."""
