--- a/geraniumspool/evacuation_guard.py
+++ b/geraniumspool/evacuation_guard.py
@@ -79,7 +79,7 @@
     def refresh(self) -> None:
         """Start reading the store if the known list is getting old; does not block.
 
-        After a failed read the next one waits for ``bound_ms``.
+        After a failed read the next one waits for ``evacuation_ms``.
         """
         if self.evacuations.age_ms < REFRESH_SHARE * self._evacuation_ms:
             self._is_cut_off = False
--- a/geraniumspool/fleet.py
+++ b/geraniumspool/fleet.py
@@ -77,10 +77,10 @@
     :ivar sent_worker_clock_ms: value of ``worker_clock_ms`` that was last sent to the worker, from
         which its lease counts
     :ivar last_message_ms: when the last report arrived, 0 before the first
-    :ivar reset_ms: when the connection was last reopened
+    :ivar link_reset_ms: when the connection was last reopened
     :ivar renewed_ms: when the last message was sent that renews the lease
     :ivar unanswered_since_ms: when the first message since the last report was sent, 0 for none
-    :ivar known_ms: when the worker became known
+    :ivar known_since_ms: when the worker became known
     :ivar highest_number: highest run number that the reported state includes
     :ivar last_number: highest run number sent
     :ivar runs: open runs by number
@@ -102,10 +102,10 @@
         self.worker_clock_ms = 0.0
         self.sent_worker_clock_ms = 0.0
         self.last_message_ms = 0.0
-        self.reset_ms = 0.0
+        self.link_reset_ms = 0.0
         self.renewed_ms = 0.0
         self.unanswered_since_ms = 0.0
-        self.known_ms = now
+        self.known_since_ms = now
         self.highest_number = 0
         self.last_number = 0
         self.runs: dict[int, OpenRun] = {}
@@ -261,7 +261,7 @@
         return any(
             view.is_owned
             and view.is_silent
-            and now - max(view.last_message_ms, view.known_ms) < STARTUP_REPORT_MS
+            and now - max(view.last_message_ms, view.known_since_ms) < STARTUP_REPORT_MS
             for view in self._views.values()
         )
 
@@ -273,7 +273,7 @@
             view.is_owned
             and not view.was_usable
             and not view.is_evacuated
-            and now - view.known_ms < STARTUP_REPORT_MS
+            and now - view.known_since_ms < STARTUP_REPORT_MS
             for view in self._views.values()
         )
 
@@ -423,7 +423,7 @@
         """Renew the leases that are due, detect silent workers and give up lost runs."""
         now = self._clock.now()
         for view in list(self._views.values()):
-            silent_ms = now - max(view.last_message_ms, view.known_ms)
+            silent_ms = now - max(view.last_message_ms, view.known_since_ms)
             unanswered_ms = now - view.unanswered_since_ms if view.unanswered_since_ms else 0.0
             is_unreachable = unanswered_ms > SILENT_AFTER_MS or self.is_connection_closed(view.peer)
             if is_unreachable and not view.is_silent:
@@ -476,8 +476,8 @@
 
     def _reset_if_due(self, view: WorkerView, now: float) -> None:
         """Reopen the connection if it is due: the old one may be dead without notice."""
-        if now - max(view.reset_ms, view.last_message_ms, view.known_ms) > LINK_RESET_MS:
-            view.reset_ms = now
+        if now - max(view.link_reset_ms, view.last_message_ms, view.known_since_ms) > LINK_RESET_MS:
+            view.link_reset_ms = now
             self.reset_link(view.peer)
 
     def _mark_silent(self, view: WorkerView, silent_ms: float) -> None:
--- a/geraniumspool/job_admission.py
+++ b/geraniumspool/job_admission.py
@@ -36,19 +36,19 @@
     :param jobs: all running and queued jobs of this process
     :param waiting: jobs of the service with tasks that wait for a worker
     :param workers: usable workers of the service
-    :param is_gathering: whether reports of further workers are expected shortly
+    :param expects_reports: whether reports of further workers are expected shortly
     :param queued: queued work and arrival rates of this process, by priority level
     :param wait_factor: learnt ratio of actual to predicted waits
-    :param unseen: number of newly listed workers that may become usable soon
+    :param new_worker_count: number of newly listed workers that may become usable soon
     """
 
     jobs: Collection[DispatchJob]
     waiting: list[DispatchJob]
     workers: list[WorkerView]
-    is_gathering: bool
+    expects_reports: bool
     queued: QueuedWork = NO_WORK
     wait_factor: float = 1.0
-    unseen: int = 0
+    new_worker_count: int = 0
 
 
 def check_admission(
@@ -138,7 +138,7 @@
     """
     workers = backlog.workers
     capacity = sum(max(0.0, view.capacity.cpu - task_cpu * UNUSED_SHARE) for view in workers)
-    return capacity * (1 + backlog.unseen / len(workers))
+    return capacity * (1 + backlog.new_worker_count / len(workers))
 
 
 def _round_to_tasks(free: int, need: int) -> int:
@@ -158,7 +158,7 @@
     """Return a refusal if the known workers cannot serve a job at any load, else None."""
     retry_ms = urgency.choose_retry_delay(NO_WORKER_RETRY_MS)
     if not backlog.workers:
-        if backlog.is_gathering:
+        if backlog.expects_reports:
             return None
         return JobResult(JobOutcome.REFUSED, "no_worker", retry_ms)
     if not fits_workers(job, backlog.workers):
--- a/geraniumspool/job_placer.py
+++ b/geraniumspool/job_placer.py
@@ -45,12 +45,12 @@
             workers = self._fleet.disowned_workers(job.queue.service)
         lateness = self._policy.rank(job, now).lateness
         allowed_ms = urgency.allowed_end_ms(job.timing, lateness, job.may_have_started)
-        within_ms = job.timing.arrived_ms + allowed_ms - now
+        max_run_ms = job.timing.arrived_ms + allowed_ms - now
         placed: dict[str, int] = {}
         for number, step in enumerate(job.steps):
             if step not in job.ready_steps():
                 continue
-            self._place_step(job, number, step, workers, within_ms, placed)
+            self._place_step(job, number, step, workers, max_run_ms, placed)
         if placed:
             job.may_have_started = True
             log_job(
@@ -68,11 +68,11 @@
         number: int,
         step: Step,
         workers: list[WorkerView],
-        within_ms: float,
+        max_run_ms: float,
         placed: dict[str, int],
     ) -> None:
         request = PlacementRequest(
-            step.spec, step.expected_ms, within_ms, self._domain, step.runs_by_worker
+            step.spec, step.expected_ms, max_run_ms, self._domain, step.runs_by_worker
         )
         for _ in range(len(step.pending)):
             task = TaskId(number, step.pending[0])
--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -605,8 +605,8 @@
             report = DispatcherReport(
                 now, view.clock_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
             )
-            if view.silent_ms(now) > LINK_RESET_MS and now - view.reset_ms > LINK_RESET_MS:
-                view.reset_ms = now
+            if view.silent_ms(now) > LINK_RESET_MS and now - view.link_reset_ms > LINK_RESET_MS:
+                view.link_reset_ms = now
                 self.reset_link(view.peer)
             self._send(view.peer, report)
 
--- a/geraniumspool/minion_lives.py
+++ b/geraniumspool/minion_lives.py
@@ -198,7 +198,7 @@
             _log_not_adopted(report, error)
             return
         if session.incarnation is incarnation:
-            self._adopt(report, status, sent_ms, min_fence, is_described=False)
+            self._adopt(report, status, sent_ms, min_fence, has_reported=False)
 
     def _ignore_stale(self, incarnation: IncarnationState, report: MinionIncarnation) -> None:
         """Count and log a report that is older than one already handled."""
@@ -255,7 +255,7 @@
         status: MinionStatus,
         sent_ms: float,
         min_fence: int,
-        is_described: bool = True,
+        has_reported: bool = True,
     ) -> None:
         """Serve another incarnation from now on.
 
@@ -264,12 +264,12 @@
         :param sent_ms: when that poll was sent
         :param min_fence: fencing token of that poll; calls sent with it since then may also have
             started runs
-        :param is_described: whether ``report`` was sent by this incarnation
+        :param has_reported: whether ``report`` was sent by this incarnation
         """
         session = self._session
         now = self._clock.now()
         previous = session.incarnation
-        incarnation = session.incarnation = IncarnationState(report, now, is_described)
+        incarnation = session.incarnation = IncarnationState(report, now, has_reported)
         _LOG.info(
             "minion adopted",
             extra={
@@ -286,7 +286,7 @@
             self._transfer_runs(previous, incarnation, status, min_fence)
         self.on_adopted(incarnation, status, sent_ms)
         self._reporter.report_to_all()
-        if is_described:
+        if has_reported:
             eventlet.spawn_n(self.on_incarnation, report)
 
     def _transfer_runs(
--- a/geraniumspool/minion_session.py
+++ b/geraniumspool/minion_session.py
@@ -18,10 +18,10 @@
     :ivar incarnation: the incarnation on which runs are started, None if there is none
     """
 
-    def __init__(self, control: MinionControl, first_fence: int):
+    def __init__(self, control: MinionControl, initial_fencing_token: int):
         """Initialize without an incarnation."""
         self.control = control
-        self.fencing_token = first_fence
+        self.fencing_token = initial_fencing_token
         self.incarnation: IncarnationState | None = None
 
     def raise_fencing_token(self, refused: int) -> None:
--- a/geraniumspool/platform/minion.py
+++ b/geraniumspool/platform/minion.py
@@ -31,7 +31,7 @@
 COMMAND_CONNECTIONS = 3
 POLL_CONNECTIONS = 1
 # Most finished runs in one answer to a poll; more follow once these are acknowledged.
-LISTED_ENDS = 500
+MAX_LISTED_ENDS = 500
 
 # Start outcomes by the reason in an answer with status 409.
 _OUTCOMES = {
@@ -175,7 +175,7 @@
             raise MinionReplaced(detail, held.born)
         running = {RunKey(row[0], row[1]): row[3] / 100 for row in held.running}
         ended = tuple(FinishedRun(row[0], RunKey(row[1], row[2]), row[3]) for row in held.ended)
-        is_partial = len(ended) >= LISTED_ENDS
+        is_partial = len(ended) >= MAX_LISTED_ENDS
         return MinionStatus(held.clock_ms, running, ended, held.born, is_partial)
 
     def _call(
--- a/geraniumspool/roster.py
+++ b/geraniumspool/roster.py
@@ -246,7 +246,7 @@
         return declared_dead
 
     def forget_final(self) -> None:
-        """Drop members that have been dead, or have left, for longer than ``remember_ms``."""
+        """Drop members that have been dead, or have left, for longer than ``retention_ms``."""
         limit = self._clock.now() - self._retention_ms
         for peer, record in list(self._records.items()):
             if is_final(record.member) and record.final_ms <= limit:
--- a/geraniumspool/run_starts.py
+++ b/geraniumspool/run_starts.py
@@ -40,12 +40,12 @@
         reporter: WorkerReporter,
         ends: RunEnds,
         stops: RunStops,
-        end_life: Callable[[IncarnationState, str], None],
+        end_incarnation: Callable[[IncarnationState, str], None],
     ):
         """Store the collaborators.
 
-        :param end_life: called with a reason when another incarnation of the minion has answered a
-            call
+        :param end_incarnation: called with a reason when another incarnation of the minion has
+            answered a call
         """
         self._clock = clock
         self._counters = counters
@@ -54,7 +54,7 @@
         self._reporter = reporter
         self._ends = ends
         self._stops = stops
-        self._end_life = end_life
+        self._end_incarnation = end_incarnation
 
     def start_queued(self) -> None:
         """Start queued runs, the most urgent first, as far as the free capacity allows.
@@ -122,7 +122,7 @@
                 self._resolve_unanswered(incarnation, run)
                 return
             except MinionReplaced:
-                self._end_life(incarnation, "minion_replaced")
+                self._end_incarnation(incarnation, "minion_replaced")
                 self._ends.refuse(run, "minion_replaced")
                 return
             incarnation.record_answer(answer.clock_ms, now, self._clock.now())
--- a/geraniumspool/urgency.py
+++ b/geraniumspool/urgency.py
@@ -110,7 +110,7 @@
     now: float,
     has_started: bool,
     level: int = 0,
-    done_share: float = 0.0,
+    completed_share: float = 0.0,
 ) -> Rank:
     """Rank started jobs first, then by priority, and late jobs last within a priority.
 
@@ -122,12 +122,12 @@
     :param now: clock time in ms
     :param has_started: whether some of its tasks have started
     :param level: priority level of its queue; 0 is the most urgent
-    :param done_share: fraction of its tasks that have succeeded
+    :param completed_share: fraction of its tasks that have succeeded
     """
     latest_start_ms = timing.latest_start(remaining_run_ms)
     lateness = _find_lateness(timing, remaining_run_ms, now, has_started)
-    is_past_use = lateness == TOO_LATE and done_share < FINISH_COMPLETED_SHARE
-    return Rank(is_past_use, not has_started, level, lateness, latest_start_ms)
+    is_useless = lateness == TOO_LATE and completed_share < FINISH_COMPLETED_SHARE
+    return Rank(is_useless, not has_started, level, lateness, latest_start_ms)
 
 
 def _find_lateness(timing: Timing, left_ms: float, now: float, has_started: bool) -> int:
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -273,7 +273,7 @@
         """Apply that a member's key was written to the store."""
         self.peers.directory.apply_change(key, encode_record(record), self.world.clock.now())
 
-    def note_written(self, address):
+    def handle_key_written(self, address):
         """Notify the dispatcher, as its watch does, that an executor has written its key."""
         self.dispatcher.fleet.handle_key_written(address)
         self.claims.handle_executor_start(address)
--- a/tests/test_job_admission.py
+++ b/tests/test_job_admission.py
@@ -116,10 +116,10 @@
     def test_workers_expected_back_soon_count(self):
         worker = make_worker("w", 10_000, 10_000)
         waits = []
-        for unseen in (0, 9):
+        for new_worker_count in (0, 9):
             others = [make_job(f"o{n}", cpu=5_000, run_ms=400) for n in range(3)]
             job = make_job("j", cpu=5_000, run_ms=400)
-            judge(job, [worker], others, unseen=unseen)
+            judge(job, [worker], others, new_worker_count=new_worker_count)
             waits.append(job.predicted_wait_ms)
         self.assertLess(waits[1], waits[0] / 5)
 
--- a/tests/test_platform_minion.py
+++ b/tests/test_platform_minion.py
@@ -10,7 +10,7 @@
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.errors import Fenced, MinionDown, MinionReplaced, MinionSilent
 from geraniumspool.memory_minion import MemoryMinion
-from geraniumspool.platform.minion import LISTED_ENDS, HttpMinionControl
+from geraniumspool.platform.minion import MAX_LISTED_ENDS, HttpMinionControl
 from geraniumspool.run_messages import RUN_DONE, RUN_STOPPED
 from tests.platform_standin import MinionStandin
 from tests.small import serve
@@ -106,15 +106,15 @@
             self.control.poll(self.life, 3, 0, None, 0.0)
 
     def test_a_full_list_of_finished_runs_is_marked_as_partial(self):
-        for number in range(LISTED_ENDS):
+        for number in range(MAX_LISTED_ENDS):
             self.minion.start(
                 self.minion.incarnation, RunKey(f"j.0.0.{number}", 1), "1:1", FAR_FUTURE_MS, 3
             )
         self.clock.advance(5)
         view = self.control.poll(self.life, 3, 0, None, 0.0)
-        self.assertEqual((LISTED_ENDS, True), (len(view.finished), view.is_partial))
+        self.assertEqual((MAX_LISTED_ENDS, True), (len(view.finished), view.is_partial))
         view = self.control.poll(self.life, 3, 1, None, 0.0)
-        self.assertEqual((LISTED_ENDS - 1, False), (len(view.finished), view.is_partial))
+        self.assertEqual((MAX_LISTED_ENDS - 1, False), (len(view.finished), view.is_partial))
 
     def test_a_lower_fencing_token_is_refused(self):
         self.control.poll(self.life, 9, 0, None, 0.0)
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -55,7 +55,7 @@
             self.world, process.name, 2, process.minion, fence=100_000, domain=process.domain
         )
         for dispatcher in self.world.dispatchers:
-            dispatcher.note_written(process.address)
+            dispatcher.handle_key_written(process.address)
 
     def run_under_load(self, total_ms):
         """Lose power and restart all processes while jobs are submitted."""
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -94,12 +94,12 @@
             (make_outlook(False, 4_000.0, 2_000.0), 0.0, 0.1, 0.95),
             (make_outlook(False, 4_000.0, 9_000.0), 0.0, 0.1, 0.0),
         ]
-        for outlook, least, most, of_use in rows:
+        for outlook, least, most, useful in rows:
             with self.subTest(outlook=outlook):
                 probabilities = urgency.predict_probabilities(TIMING, 100.0, outlook, 1_000.0)
                 self.assertGreaterEqual(probabilities.in_time, least)
                 self.assertLessEqual(probabilities.in_time, most)
-                self.assertGreaterEqual(probabilities.useful, max(of_use, probabilities.in_time))
+                self.assertGreaterEqual(probabilities.useful, max(useful, probabilities.in_time))
                 self.assertLessEqual(probabilities.useful, 1.0)
 
     def test_the_wait_factor_is_learnt_and_one_outlier_changes_it_little(self):
