--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -1,10 +1,10 @@
-"""Message and task counts of a running fleet, read from the metrics of its processes."""
+"""Message and task counts of a running system, read from the metrics of its processes."""
 
 from typing import NamedTuple
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.processes import Fleet
+from tests.processes import ProcessSystem
 
 CONTROL_KINDS = frozenset(
     {
@@ -30,7 +30,7 @@
 
 
 class Counts(NamedTuple):
-    """Totals over the processes of a fleet.
+    """Totals over the processes of a system.
 
     :param work_messages: messages about jobs between entries and agents
     :param cross_messages: work messages that crossed failure domains
@@ -55,12 +55,12 @@
         return Counts(*(left - right for left, right in zip(self, other, strict=True)))
 
 
-def read_series(fleet: Fleet, url: str) -> list[Series]:
+def read_series(system: ProcessSystem, url: str) -> list[Series]:
     """Return the samples that one process exports, without prefix and suffix in their names.
 
     :param url: base URL of the listener that serves ``/metrics``
     """
-    text = fleet.http.request("GET", f"{url}/metrics", timeout=10).data.decode()
+    text = system.http.request("GET", f"{url}/metrics", timeout=10).data.decode()
     return [
         Series(sample.name.removeprefix(PREFIX).removesuffix(SUFFIX), sample.labels, sample.value)
         for family in text_string_to_metric_families(text)
@@ -71,12 +71,12 @@
 NO_COUNTS = Counts(0.0, 0.0, 0.0, 0.0, 0.0)
 
 
-def read_process(fleet: Fleet, url: str) -> Counts:
+def read_process(system: ProcessSystem, url: str) -> Counts:
     """Return the counts of one process.
 
     :param url: base URL of the listener that serves ``/metrics``
     """
-    series = read_series(fleet, url)
+    series = read_series(system, url)
     sent = [row for row in series if row.name == "messages_sent"]
     work = [row for row in sent if row.labels["kind"] not in CONTROL_KINDS]
     control = [row for row in sent if row.labels["kind"] in CONTROL_KINDS]
@@ -90,22 +90,22 @@
 
 
 class Meter:
-    """Counts of a fleet while processes start and end.
+    """Counts of a system while processes start and end.
 
     What a process did between the last :meth:`look` and its end is not counted.
     """
 
-    def __init__(self, fleet: Fleet):
+    def __init__(self, system: ProcessSystem):
         """Start counting from the present values."""
-        self._fleet = fleet
+        self._system = system
         self._last: dict[int, Counts] = {}
         self.look()
         self._initial = dict(self._last)
 
     def look(self) -> None:
         """Read the counts of every running process."""
-        for pid, url in _running_urls(self._fleet).items():
-            self._last[pid] = read_process(self._fleet, url)
+        for pid, url in _running_urls(self._system).items():
+            self._last[pid] = read_process(self._system, url)
 
     def read(self) -> Counts:
         """Return what all processes did since this meter was made."""
@@ -116,9 +116,9 @@
         return total
 
 
-def _running_urls(fleet: Fleet) -> dict[int, str]:
-    entries = [(entry, f"http://{entry.ready['callers']}") for entry in fleet.entries]
-    agents = [(agent, agent.ready["minion"]) for agent in fleet.agents]
+def _running_urls(system: ProcessSystem) -> dict[int, str]:
+    entries = [(entry, f"http://{entry.ready['callers']}") for entry in system.entries]
+    agents = [(agent, agent.ready["minion"]) for agent in system.agents]
     return {program.process.pid: url for program, url in entries + agents if is_alive(program)}
 
 
--- a/benchmarks/experiment_base.py
+++ b/benchmarks/experiment_base.py
@@ -21,7 +21,7 @@
 from geraniumspool.loadreport import OUTCOME_UNANSWERED, JobOutcome, LoadReport
 from geraniumspool.ticket import Keyring
 from geraniumspool.workload import JobPlan, ideal_ms
-from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN, Fleet, Program
+from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN, ProcessSystem, Program
 
 DOMAINS = ["sukhbaatar", "bayanzurkh", "khan-uul"]
 AGENTS_PER_DOMAIN = [4, 4, 3]
@@ -172,15 +172,17 @@
 
 
 class Trial:
-    """Measurement of one policy in an experiment, in slices of load on one fleet."""
+    """Measurement of one policy in an experiment, in slices of load on one system."""
 
-    def __init__(self, fleet: Fleet, experiment: str, policy: str, chosen: bool, trip_ms: float):
+    def __init__(
+        self, system: ProcessSystem, experiment: str, policy: str, chosen: bool, trip_ms: float
+    ):
         """Start without results.
 
         :param chosen: whether the policy is the one in use
         :param trip_ms: one-way latency between client and entries in milliseconds
         """
-        self.fleet = fleet
+        self.system = system
         self._experiment = experiment
         self._policy = policy
         self._chosen = chosen
@@ -213,12 +215,12 @@
         :param options: fields of :class:`geraniumspool.load.LoadOptions`
         """
         options = {"slots": SLOTS, "trip_ms": self._trip_ms, "team": TEAM} | options
-        self.meter = Meter(self.fleet)
-        before = self.fleet.starts()["starts"]
+        self.meter = Meter(self.system)
+        before = self.system.sum_starts()["starts"]
         first = len(self.tally.jobs)
         samples: list[int] = []
         sampler = eventlet.spawn(self._sample, samples, seconds) if watch else None
-        entries = options.pop("entries", None) or self.fleet.callers()
+        entries = options.pop("entries", None) or self.system.callers()
         chosen = LoadOptions(entries=entries, service=SERVICE, seconds=seconds, **options)
         load = Load(chosen, observer=self.tally.note)
         on_start(load.stop)
@@ -227,7 +229,7 @@
         if sampler:
             sampler.kill()
         eventlet.sleep(SETTLE_S)
-        started = self.fleet.starts()["starts"] - before
+        started = self.system.sum_starts()["starts"] - before
         self.counts += self.meter.read()
         self.starts += started
         self.wrong_answers += report.wrong_answers
@@ -247,7 +249,7 @@
         end = time.monotonic() + seconds
         eventlet.sleep(seconds / 5)
         while time.monotonic() < end:
-            samples.append(self.fleet.starts()["running"])
+            samples.append(self.system.sum_starts()["running"])
             eventlet.sleep(SAMPLE_S)
 
     def row(self, **notes: float) -> Row:
@@ -257,7 +259,7 @@
         """
         tally = self.tally
         tasks = max(1, self.starts)
-        check = check_starts(self.fleet, tally.jobs, self.starts)
+        check = check_starts(self.system, tally.jobs, self.starts)
         goodput = statistics.mean(self._goodput or [r.goodput_share for r in self.reports])
         if self._seconds:
             offered = tally.work_ms / 1_000 / (SLOTS * self._seconds)
@@ -302,7 +304,7 @@
     false_not_run: int
 
 
-def check_starts(fleet: Fleet, jobs: list[Job], starts: int) -> StartsCheck:
+def check_starts(system: ProcessSystem, jobs: list[Job], starts: int) -> StartsCheck:
     """Compare the starts at the minions with the answers.
 
     Each task of a complete job was started at least once. Only if there were more starts than
@@ -322,7 +324,7 @@
         for job in incomplete
         for index in range(job.tasks)
     ]
-    counts = list(pool.imap(lambda pair: _count_starts(fleet, pair[1]), names))
+    counts = list(pool.imap(lambda pair: _count_starts(system, pair[1]), names))
     false_jobs = {
         job.ticket
         for (job, _), count in zip(names, counts, strict=True)
@@ -332,92 +334,92 @@
     return StartsCheck(surplus - started_tasks, len(false_jobs))
 
 
-def _count_starts(fleet: Fleet, task: str) -> int:
+def _count_starts(system: ProcessSystem, task: str) -> int:
     total = 0
-    for minion in fleet.minions:
+    for minion in system.minions:
         if is_alive(minion):
             url = f"{minion.ready['minion']}/starts/{task}"
-            total += fleet.http.request("GET", url, timeout=10).json()["starts"]
+            total += system.http.request("GET", url, timeout=10).json()["starts"]
     return total
 
 
 @contextlib.contextmanager
-def open_fleets(*settings: dict) -> Iterator[list[Fleet]]:
+def open_systems(*settings: dict) -> Iterator[list[ProcessSystem]]:
     """Start fleets in parallel, yield them once they are ready, and stop them at the end.
 
-    :param settings: agent settings, one dictionary per fleet
-    :raises RuntimeError: if a fleet is not ready in time
+    :param settings: agent settings, one dictionary per system
+    :raises RuntimeError: if a system is not ready in time
     """
     pool = eventlet.GreenPool()
-    fleets = list(pool.imap(_start_fleet, settings))
+    systems = list(pool.imap(_start_system, settings))
     try:
-        for fleet in fleets:
-            wait_ready(fleet)
-        yield fleets
+        for system in systems:
+            wait_ready(system)
+        yield systems
     finally:
-        for fleet in fleets:
-            fleet.stop()
+        for system in systems:
+            system.stop()
 
 
-def _start_fleet(settings: dict) -> Fleet:
-    # Starting a process blocks the event loop, so a native thread starts each fleet.
-    return tpool.execute(Fleet, DOMAINS, AGENTS_PER_DOMAIN, agent_settings=settings)
+def _start_system(settings: dict) -> ProcessSystem:
+    # Starting a process blocks the event loop, so a native thread starts each system.
+    return tpool.execute(ProcessSystem, DOMAINS, AGENTS_PER_DOMAIN, agent_settings=settings)
 
 
-def wait_ready(fleet: Fleet, agents: int = AGENTS) -> None:
+def wait_ready(system: ProcessSystem, agents: int = AGENTS) -> None:
     """Wait until every running entry sees enough ready agents.
 
     :raises RuntimeError: after ``READY_LIMIT_S``
     """
     end = time.monotonic() + READY_LIMIT_S
-    for entry in fleet.entries:
-        while is_alive(entry) and fleet.ready_agents(entry) < agents:
+    for entry in system.entries:
+        while is_alive(entry) and system.ready_agents(entry) < agents:
             if time.monotonic() > end:
                 raise RuntimeError(f"{agents} agents were not ready within {READY_LIMIT_S:g} s")
             eventlet.sleep(0.1)
 
 
 class Turn(NamedTuple):
-    """A slice of load, or other work, on one fleet.
+    """A slice of load, or other work, on one system.
 
     :param seconds: time until the next turn starts; this one may still be waiting for answers
     """
 
-    fleet: Fleet
+    system: ProcessSystem
     seconds: float
     run: Callable[[], object]
 
 
 def take_turns(turns: Iterable[Turn]) -> None:
-    """Start turns one after the other; turns on the same fleet never overlap."""
+    """Start turns one after the other; turns on the same system never overlap."""
     running: dict[int, eventlet.greenthread.GreenThread] = {}
     for turn in turns:
-        if id(turn.fleet) in running:
-            running[id(turn.fleet)].wait()
-        running[id(turn.fleet)] = eventlet.spawn(turn.run)
+        if id(turn.system) in running:
+            running[id(turn.system)].wait()
+        running[id(turn.system)] = eventlet.spawn(turn.run)
         eventlet.sleep(turn.seconds)
     for thread in running.values():
         thread.wait()
 
 
-def measure_trip(fleet: Fleet) -> float:
+def measure_trip(system: ProcessSystem) -> float:
     """Return half the median round-trip time to an entry, in milliseconds."""
-    url = f"http://{fleet.callers()[0]}/healthz"
+    url = f"http://{system.callers()[0]}/healthz"
     times = []
     for _ in range(TRIP_SAMPLES):
         begin = time.perf_counter()
-        fleet.http.request("GET", url, timeout=10)
+        system.http.request("GET", url, timeout=10)
         times.append(time.perf_counter() - begin)
     return statistics.median(times) * 1_000 / 2
 
 
-def put_faults(fleet: Fleet, url: str, **faults) -> None:
+def put_faults(system: ProcessSystem, url: str, **faults) -> None:
     """Set the faults of a store or minion stand-in; a minion ends those left out.
 
     :param url: base URL of the stand-in
     :raises RuntimeError: if it does not answer with status 200
     """
-    reply = fleet.http.request("PUT", f"{url}/faults", json=faults, timeout=10)
+    reply = system.http.request("PUT", f"{url}/faults", json=faults, timeout=10)
     if reply.status != 200:
         raise RuntimeError(f"PUT {url}/faults: status {reply.status}: {reply.data!r}")
 
@@ -437,9 +439,9 @@
     return (time.monotonic() - begin) * 1_000
 
 
-def restart_entry(fleet: Fleet, index: int) -> None:
+def restart_entry(system: ProcessSystem, index: int) -> None:
     """Start a new entry at the addresses of one that has ended."""
-    old = fleet.entries[index].ready
+    old = system.entries[index].ready
     settings = {
         "role": "entry",
         "domain": DOMAINS[index],
@@ -451,19 +453,19 @@
         "heartbeat_timeout_ms": 2000,
         "registration_ttl_ms": 3000,
     }
-    fleet.entries[index] = _start_program(fleet, "entry", settings)
+    system.entries[index] = _start_program(system, "entry", settings)
 
 
-def restart_agent(fleet: Fleet, index: int) -> None:
+def restart_agent(system: ProcessSystem, index: int) -> None:
     """Start a new agent at the addresses of one that has ended, where its minion finds it."""
-    old = fleet.agents[index].ready
+    old = system.agents[index].ready
     settings = {
         "role": "agent",
         "domain": domain_of(index),
         "inbox": old["inbox"],
         "minion_listen": old["minion"].removeprefix("http://"),
     }
-    fleet.agents[index] = _start_program(fleet, "agent", settings)
+    system.agents[index] = _start_program(system, "agent", settings)
 
 
 def domain_of(index: int) -> str:
@@ -478,8 +480,8 @@
     raise IndexError(index)
 
 
-def _start_program(fleet: Fleet, role: str, settings: dict) -> Program:
-    common = {"store_urls": [fleet.store_url], "heartbeat_period_ms": 500}
+def _start_program(system: ProcessSystem, role: str, settings: dict) -> Program:
+    common = {"store_urls": [system.store_url], "heartbeat_period_ms": 500}
     with tempfile.NamedTemporaryFile("w", suffix=".yaml", encoding="utf-8") as file:
         yaml.safe_dump(settings | common, file)
         file.flush()
--- a/benchmarks/experiment_faults.py
+++ b/benchmarks/experiment_faults.py
@@ -17,7 +17,7 @@
     is_alive,
     leave,
     measure_trip,
-    open_fleets,
+    open_systems,
     put_faults,
     restart_agent,
     restart_entry,
@@ -36,7 +36,7 @@
     TaskRequest,
 )
 from geraniumspool.workload import MIXES, RunTimes
-from tests.processes import SERVICE, TEAM, Fleet
+from tests.processes import SERVICE, TEAM, ProcessSystem
 
 MINION_SHARE = 0.6
 MINION_S = 8.0
@@ -90,30 +90,30 @@
 def measure_minions() -> list[Row]:
     """Measure one faulty minion out of eleven, with and without ejection."""
     trials, turns = [], []
-    with open_fleets({}, {}) as fleets:
-        trip_ms = measure_trip(fleets[0])
-        configure(fleets[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
+    with open_systems({}, {}) as systems:
+        trip_ms = measure_trip(systems[0])
+        configure(systems[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
         for bad, minion_index in zip(BAD_MINIONS, BAD_MINION_INDICES, strict=True):
-            for fleet, name in zip(fleets, ("ejection", "no ejection"), strict=True):
-                chosen = fleet is fleets[0]
-                trial = Trial(fleet, "minions", f"{bad.name}, {name}", chosen, trip_ms)
+            for system, name in zip(systems, ("ejection", "no ejection"), strict=True):
+                chosen = system is systems[0]
+                trial = Trial(system, "minions", f"{bad.name}, {name}", chosen, trip_ms)
                 run = functools.partial(_run_with_bad_minion, trial, minion_index, bad)
                 trials.append(trial)
-                turns.append(Turn(fleet, MINION_S, run))
+                turns.append(Turn(system, MINION_S, run))
         take_turns(turns)
         return [_describe_failures(trial) for trial in trials]
 
 
 def _run_with_bad_minion(trial: Trial, minion_index: int, bad: BadMinion) -> None:
-    fleet = trial.fleet
-    url = fleet.minions[minion_index].ready["minion"]
-    put_faults(fleet, url, **bad.faults)
-    flapping = eventlet.spawn(_flap, fleet, url, bad) if bad.flaps else None
+    system = trial.system
+    url = system.minions[minion_index].ready["minion"]
+    put_faults(system, url, **bad.faults)
+    flapping = eventlet.spawn(_flap, system, url, bad) if bad.flaps else None
 
     def end_faults() -> None:
         if flapping:
             flapping.kill()
-        put_faults(fleet, url)
+        put_faults(system, url)
 
     trial.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=end_faults)
 
@@ -124,12 +124,12 @@
     return trial.row(failed_share=round(failed / max(1, jobs), 4))
 
 
-def _flap(fleet: Fleet, url: str, bad: BadMinion) -> None:
+def _flap(system: ProcessSystem, url: str, bad: BadMinion) -> None:
     while True:
         eventlet.sleep(FLAP_S)
-        put_faults(fleet, url)
+        put_faults(system, url)
         eventlet.sleep(FLAP_S)
-        put_faults(fleet, url, **bad.faults)
+        put_faults(system, url, **bad.faults)
 
 
 def measure_unknown() -> list[Row]:
@@ -142,10 +142,10 @@
         ("agent killed, back at its address", _kill_agent_and_restart),
     )
     rows = []
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
+    with open_systems({}) as (system,):
+        trip_ms = measure_trip(system)
         for name, fault in cases:
-            trial = Trial(fleet, "unknown", name, True, trip_ms)
+            trial = Trial(system, "unknown", name, True, trip_ms)
             task = eventlet.spawn(_inject_after_delay, fault, trial)
             options = {"mix": FAULT_MIX, "load_share": FAULT_SHARE}
             trial.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
@@ -163,25 +163,25 @@
 
 
 def _freeze_agent(trial: Trial) -> None:
-    agent = trial.fleet.agents[0]
+    agent = trial.system.agents[0]
     agent.send(signal.SIGSTOP)
     eventlet.sleep(FREEZE_S)
     agent.send(signal.SIGCONT)
 
 
 def _kill_entry(trial: Trial) -> None:
-    trial.fleet.entries[1].kill()
+    trial.system.entries[1].kill()
     eventlet.sleep(ENTRY_DOWN_S)
-    restart_entry(trial.fleet, 1)
+    restart_entry(trial.system, 1)
 
 
 def _kill_agent(trial: Trial) -> None:
-    trial.fleet.agents[10].kill()
+    trial.system.agents[10].kill()
 
 
 def _kill_agent_and_restart(trial: Trial) -> None:
-    trial.fleet.agents[5].kill()
-    restart_agent(trial.fleet, 5)
+    trial.system.agents[5].kill()
+    restart_agent(trial.system, 5)
 
 
 def measure_store() -> list[Row]:
@@ -193,22 +193,22 @@
         ("down 10 s", {"down": True}, STORE_DOWN_S, 18.0),
     )
     rows = []
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
+    with open_systems({}) as (system,):
+        trip_ms = measure_trip(system)
         for number, (name, faults, down_s, seconds) in enumerate(cases):
-            trial = Trial(fleet, "store", name, True, trip_ms)
+            trial = Trial(system, "store", name, True, trip_ms)
             notes: dict[str, float] = {}
-            task = eventlet.spawn(_change_later, fleet, number, faults, down_s, notes)
+            task = eventlet.spawn(_change_later, system, number, faults, down_s, notes)
             trial.run(seconds, mix=FAULT_MIX, load_share=STORE_SHARE)
             task.wait()
-            put_faults(fleet, fleet.store_url, down=False, slow_ms=0, lose_answers=0)
+            put_faults(system, system.store_url, down=False, slow_ms=0, lose_answers=0)
             row = _describe_failures(trial)
             rows.append(row._replace(notes=row.notes | notes))
     return rows
 
 
 def _change_later(
-    fleet: Fleet, number: int, faults: dict, down_s: float, notes: dict[str, float]
+    system: ProcessSystem, number: int, faults: dict, down_s: float, notes: dict[str, float]
 ) -> None:
     """Change a document, retrying until it is accepted, and wait until it is in force.
 
@@ -220,22 +220,22 @@
     :param notes: receives the number of retries and the times in milliseconds
     """
     eventlet.sleep(1.0)
-    before = newest(fleet)
+    before = newest(system)
     if faults:
-        put_faults(fleet, fleet.store_url, **faults)
+        put_faults(system, system.store_url, **faults)
     begin = time.monotonic()
     if down_s:
-        eventlet.spawn_after(down_s, put_faults, fleet, fleet.store_url, down=False)
+        eventlet.spawn_after(down_s, put_faults, system, system.store_url, down=False)
     change_id = uuid.uuid4().hex
     body = f"weight: {number + 2}\n"
     retries = 0
-    while change(fleet, "team/opticians", body, change_id) != 200:
+    while change(system, "team/opticians", body, change_id) != 200:
         retries += 1
         if time.monotonic() - begin > STORE_LIMIT_S:
             break
         eventlet.sleep(0.1)
     accepted = time.monotonic()
-    wait_until(lambda: is_in_force(fleet, before + 1), STORE_LIMIT_S)
+    wait_until(lambda: is_in_force(system, before + 1), STORE_LIMIT_S)
     notes["repeated_changes"] = retries
     notes["accepted_ms"] = round((accepted - begin - down_s) * 1_000, 1)
     notes["in_force_ms"] = round((time.monotonic() - begin - down_s) * 1_000, 1)
@@ -243,10 +243,10 @@
 
 def measure_restarts() -> list[Row]:
     """Measure a rolling restart of all agents and entries under load."""
-    with open_fleets({}) as (fleet,):
-        trial = Trial(fleet, "restarts", "every agent and entry", True, measure_trip(fleet))
+    with open_systems({}) as (system,):
+        trial = Trial(system, "restarts", "every agent and entry", True, measure_trip(system))
         notes: dict[str, float] = {}
-        callers = [_Caller(fleet, number) for number in range(CALLERS)]
+        callers = [_Caller(system, number) for number in range(CALLERS)]
         tasks = []
 
         def start(stop_load: Callable[[], None]) -> None:
@@ -279,12 +279,12 @@
     :ivar done: jobs that ended, also failed ones
     """
 
-    def __init__(self, fleet: Fleet, number: int):
+    def __init__(self, system: ProcessSystem, number: int):
         self.jobs = 0
         self.resubmissions = 0
         self.failures: list[str] = []
         self.done: list[Job] = []
-        self._client = Client(fleet.callers(), SERVICE, TEAM)
+        self._client = Client(system.callers(), SERVICE, TEAM)
         self._number = number
         self._is_stopped = False
 
@@ -311,24 +311,24 @@
 
 
 def _restart_all(trial: Trial, notes: dict[str, float], stop: list[Callable[[], None]]) -> None:
-    fleet = trial.fleet
+    system = trial.system
     eventlet.sleep(2.0)
     begin = time.monotonic()
     codes = []
     longest_leave_s = 0.0
-    for index in range(len(fleet.agents)):
+    for index in range(len(system.agents)):
         trial.meter.look()
         leave_began = time.monotonic()
-        codes.append(leave(fleet.agents[index]))
+        codes.append(leave(system.agents[index]))
         longest_leave_s = max(longest_leave_s, time.monotonic() - leave_began)
-        restart_agent(fleet, index)
-        wait_ready(fleet)
-    for index in range(len(fleet.entries)):
+        restart_agent(system, index)
+        wait_ready(system)
+    for index in range(len(system.entries)):
         trial.meter.look()
-        codes.append(leave(fleet.entries[index]))
-        restart_entry(fleet, index)
-        wait_ready(fleet)
-    notes["restarted"] = sum(is_alive(program) for program in fleet.agents + fleet.entries)
+        codes.append(leave(system.entries[index]))
+        restart_entry(system, index)
+        wait_ready(system)
+    notes["restarted"] = sum(is_alive(program) for program in system.agents + system.entries)
     notes["bad_exit_codes"] = sum(code != 0 for code in codes)
     notes["took_s"] = round(time.monotonic() - begin, 1)
     notes["longest_leave_s"] = round(longest_leave_s, 1)
--- a/benchmarks/experiment_limits.py
+++ b/benchmarks/experiment_limits.py
@@ -12,14 +12,14 @@
     Tally,
     Trial,
     measure_trip,
-    open_fleets,
+    open_systems,
     subtract,
     wait_until,
 )
 from geraniumspool.client import OUTCOME_COMPLETE, OUTCOME_NOT_RUN
 from geraniumspool.load import CancelWave, run_load
 from geraniumspool.workload import MIXES, RunTimes
-from tests.processes import SERVICE, Fleet
+from tests.processes import SERVICE, ProcessSystem
 
 RATE_TEAM = "phones"
 RATE_TASKS_PER_S = 60.0
@@ -42,7 +42,7 @@
 SLOTS_FREE_LIMIT_S = 20.0
 
 
-def change(fleet: Fleet, key: str, body: str, change_id: str = "", entry: int = 0) -> int:
+def change(system: ProcessSystem, key: str, body: str, change_id: str = "", entry: int = 0) -> int:
     """Replace a configuration document.
 
     :param key: ``service/NAME`` or ``team/NAME``
@@ -51,8 +51,8 @@
     :param entry: index of the entry that gets the request
     :returns: HTTP status, 200 if the change was accepted
     """
-    program = fleet.entries[entry]
-    status, document = fleet.ask(program, f"/v1/config/{key}")
+    program = system.entries[entry]
+    status, document = system.call_operators(program, f"/v1/config/{key}")
     request = {
         "change_id": change_id or uuid.uuid4().hex,
         "expected_revision": document["revision"] if status == 200 else 0,
@@ -60,57 +60,57 @@
         "who": "measure",
         "why": "an experiment",
     }
-    return fleet.ask(program, f"/v1/config/{key}", "PUT", request)[0]
+    return system.call_operators(program, f"/v1/config/{key}", "PUT", request)[0]
 
 
-def is_in_force(fleet: Fleet, revision: int) -> bool:
+def is_in_force(system: ProcessSystem, revision: int) -> bool:
     """Return whether every entry reports a revision as in force in every domain."""
-    for entry in fleet.entries:
-        _, status = fleet.ask(entry, "/v1/config-status")
+    for entry in system.entries:
+        _, status = system.call_operators(entry, "/v1/config-status")
         rows = [row["revision"] for row in status["domains"]]
         if status["newest"] < revision or min(rows, default=0) < revision:
             return False
     return True
 
 
-def newest(fleet: Fleet) -> int:
+def newest(system: ProcessSystem) -> int:
     """Return the newest revision that the first entry knows."""
-    return fleet.ask(fleet.entries[0], "/v1/config-status")[1]["newest"]
+    return system.call_operators(system.entries[0], "/v1/config-status")[1]["newest"]
 
 
-def configure(fleet: Fleet, key: str, body: str) -> None:
+def configure(system: ProcessSystem, key: str, body: str) -> None:
     """Replace a configuration document and wait until it is in force everywhere.
 
     :raises RuntimeError: if it is not accepted, or not in force within ``STORE_LIMIT_S``
     """
-    if change(fleet, key, body) != 200:
+    if change(system, key, body) != 200:
         raise RuntimeError(f"configuration change of {key} was not accepted")
-    program = fleet.entries[0]
-    revision = fleet.ask(program, f"/v1/config/{key}")[1]["revision"]
-    if wait_until(lambda: is_in_force(fleet, revision), STORE_LIMIT_S) is None:
+    program = system.entries[0]
+    revision = system.call_operators(program, f"/v1/config/{key}")[1]["revision"]
+    if wait_until(lambda: is_in_force(system, revision), STORE_LIMIT_S) is None:
         raise RuntimeError(f"{key} was not in force within {STORE_LIMIT_S:g} s")
 
 
 def measure_quotas() -> list[Row]:
     """Exceed a team's quota through one entry, then through all entries."""
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
-        configure(fleet, f"team/{RATE_TEAM}", f"rate_tasks_per_s: {RATE_TASKS_PER_S}\n")
-        configure(fleet, f"team/{RUNNING_TEAM}", f"running_tasks: {RUNNING_TASKS}\n")
-        return [_measure_rate(fleet, trip_ms), _measure_running(fleet, trip_ms)]
+    with open_systems({}) as (system,):
+        trip_ms = measure_trip(system)
+        configure(system, f"team/{RATE_TEAM}", f"rate_tasks_per_s: {RATE_TASKS_PER_S}\n")
+        configure(system, f"team/{RUNNING_TEAM}", f"running_tasks: {RUNNING_TASKS}\n")
+        return [_measure_rate(system, trip_ms), _measure_running(system, trip_ms)]
 
 
 def _job_rate(tasks_per_s: float) -> float:
     return OFFERED_TO_QUOTA * tasks_per_s / SHORT_NARROW.widths.mean
 
 
-def _measure_rate(fleet: Fleet, trip_ms: float) -> Row:
-    trial = Trial(fleet, "quotas", "60 tasks a second", True, trip_ms)
+def _measure_rate(system: ProcessSystem, trip_ms: float) -> Row:
+    trial = Trial(system, "quotas", "60 tasks a second", True, trip_ms)
     options = {"team": RATE_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(RATE_TASKS_PER_S)}
     seconds = []
-    for entries in (fleet.callers()[:1], fleet.callers()):
+    for entries in (system.callers()[:1], system.callers()):
         counts: list[int] = []
-        sampler = eventlet.spawn(_sample_starts, fleet, counts, QUOTA_S)
+        sampler = eventlet.spawn(_sample_starts, system, counts, QUOTA_S)
         trial.run(QUOTA_S, entries=entries, **options)
         sampler.wait()
         seconds.append([b - a for a, b in zip(counts, counts[1:], strict=False)])
@@ -123,25 +123,25 @@
     )
 
 
-def _sample_starts(fleet: Fleet, counts: list[int], seconds: float) -> None:
+def _sample_starts(system: ProcessSystem, counts: list[int], seconds: float) -> None:
     begin = time.monotonic()
     for second in range(int(seconds) + 1):
         eventlet.sleep(max(0.0, begin + second - time.monotonic()))
-        counts.append(fleet.starts()["starts"])
+        counts.append(system.sum_starts()["starts"])
 
 
 def _relative_to_quota(value: float, quota: float) -> float:
     return round(value / quota, 3)
 
 
-def _measure_running(fleet: Fleet, trip_ms: float) -> Row:
-    trial = Trial(fleet, "quotas", "24 running tasks", True, trip_ms)
+def _measure_running(system: ProcessSystem, trip_ms: float) -> Row:
+    trial = Trial(system, "quotas", "24 running tasks", True, trip_ms)
     tasks_per_s = RUNNING_TASKS * 1_000 / SHORT_TIMES.mean_ms
     options = {"team": RUNNING_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(tasks_per_s)}
     peaks, means = [], []
-    for entries in (fleet.callers()[:1], fleet.callers()):
+    for entries in (system.callers()[:1], system.callers()):
         samples: list[int] = []
-        sampler = eventlet.spawn(_sample_running, fleet, samples)
+        sampler = eventlet.spawn(_sample_running, system, samples)
         trial.run(QUOTA_S, entries=entries, **options)
         sampler.kill()
         peaks.append(_relative_to_quota(max(samples), RUNNING_TASKS))
@@ -154,24 +154,24 @@
     )
 
 
-def _sample_running(fleet: Fleet, samples: list[int]) -> None:
+def _sample_running(system: ProcessSystem, samples: list[int]) -> None:
     while True:
-        samples.append(fleet.starts()["running"])
+        samples.append(system.sum_starts()["running"])
         eventlet.sleep(SAMPLE_S)
 
 
 def measure_fairness() -> list[Row]:
     """Measure a team with light load while another team overloads the system."""
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
-        alone = Trial(fleet, "fairness", "light team alone", True, trip_ms)
+    with open_systems({}) as (system,):
+        trip_ms = measure_trip(system)
+        alone = Trial(system, "fairness", "light team alone", True, trip_ms)
         options = {"mix": "narrow", "load_share": LIGHT_SHARE, "team": LIGHT_TEAM}
         alone.run(FAIR_S, seed=2, **options)
-        flood = Trial(fleet, "fairness", "flood beside a light team", True, trip_ms)
+        flood = Trial(system, "fairness", "flood beside a light team", True, trip_ms)
         light = Tally(trip_ms)
         light_load = eventlet.spawn(
             run_load,
-            fleet.callers(),
+            system.callers(),
             SERVICE,
             seconds=FAIR_S,
             seed=2,
@@ -197,9 +197,9 @@
 
 def measure_cancellation() -> list[Row]:
     """Cancel all jobs in flight at once at three times the capacity."""
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
-        trial = Trial(fleet, "cancellation", "all jobs in flight", True, trip_ms)
+    with open_systems({}) as (system,):
+        trip_ms = measure_trip(system)
+        trial = Trial(system, "cancellation", "all jobs in flight", True, trip_ms)
         notes: dict[str, float | None] = {}
         watcher = eventlet.spawn(_watch_wave, trial, notes)
         wave = CancelWave(WAVE_DELAY_S * 1_000, 1.0)
@@ -216,10 +216,10 @@
 def _watch_wave(trial: Trial, notes: dict[str, float | None]) -> None:
     eventlet.sleep(WAVE_DELAY_S - 0.4)
     before = trial.meter.read()
-    running = trial.fleet.starts()["running"]
+    running = trial.system.sum_starts()["running"]
     eventlet.sleep(0.4)
-    fleet = trial.fleet
-    taken = wait_until(lambda: fleet.starts()["running"] == 0, SLOTS_FREE_LIMIT_S, 0.01)
+    system = trial.system
+    taken = wait_until(lambda: system.sum_starts()["running"] == 0, SLOTS_FREE_LIMIT_S, 0.01)
     notes["running_before"] = running
     notes["slots"] = SLOTS
     notes["all_slots_free_ms"] = None if taken is None else round(taken, 1)
--- a/benchmarks/experiment_load.py
+++ b/benchmarks/experiment_load.py
@@ -4,7 +4,7 @@
 import random
 from typing import NamedTuple
 
-from benchmarks.experiment_base import Row, Trial, Turn, measure_trip, open_fleets, take_turns
+from benchmarks.experiment_base import Row, Trial, Turn, measure_trip, open_systems, take_turns
 from geraniumspool.workload import (
     DECLARED_EXACT,
     DECLARED_NONE,
@@ -53,14 +53,14 @@
     experiment: str, policies: list[Policy], seconds: float, slices: int = SLICES, **options
 ) -> list[Row]:
     """Measure policies on parallel fleets, each with the same slices of load in turn."""
-    with open_fleets(*(policy.settings for policy in policies)) as fleets:
-        trip_ms = measure_trip(fleets[0])
+    with open_systems(*(policy.settings for policy in policies)) as systems:
+        trip_ms = measure_trip(systems[0])
         trials = [
-            Trial(fleet, experiment, policy.name, policy.chosen, trip_ms)
-            for fleet, policy in zip(fleets, policies, strict=True)
+            Trial(system, experiment, policy.name, policy.chosen, trip_ms)
+            for system, policy in zip(systems, policies, strict=True)
         ]
         take_turns(
-            Turn(trial.fleet, seconds, functools.partial(trial.run, seconds, seed=seed, **options))
+            Turn(trial.system, seconds, functools.partial(trial.run, seconds, seed=seed, **options))
             for seed in range(1, slices + 1)
             for trial in trials
         )
@@ -89,14 +89,14 @@
 def measure_declared() -> list[Row]:
     """Compare exact, wrong and no declared run times."""
     kinds = (DECLARED_EXACT, DECLARED_WRONG, DECLARED_NONE)
-    with open_fleets({}, {}, {}) as fleets:
-        trip_ms = measure_trip(fleets[0])
+    with open_systems({}, {}, {}) as systems:
+        trip_ms = measure_trip(systems[0])
         trials = [
-            Trial(fleet, "declared", f"declared {kind}", True, trip_ms)
-            for fleet, kind in zip(fleets, kinds, strict=True)
+            Trial(system, "declared", f"declared {kind}", True, trip_ms)
+            for system, kind in zip(systems, kinds, strict=True)
         ]
         take_turns(
-            Turn(trial.fleet, SLICE_S, functools.partial(_run_declared, trial, kind, seed))
+            Turn(trial.system, SLICE_S, functools.partial(_run_declared, trial, kind, seed))
             for seed in range(1, SLICES + 1)
             for trial, kind in zip(trials, kinds, strict=True)
         )
@@ -137,13 +137,15 @@
     lasting_load = {"watch": True, "mix": "brief", "load_share": OVERLOAD_SHARE}
     burst_load = {"mix": "brief", "load_share": BURST_BASE_SHARE, "bursts": (burst,)}
     slices = (("overload", OVERLOAD_S, lasting_load), ("burst", BURST_S, burst_load))
-    with open_fleets(*(policy.settings for policy in policies)) as fleets:
-        trip_ms = measure_trip(fleets[0])
+    with open_systems(*(policy.settings for policy in policies)) as systems:
+        trip_ms = measure_trip(systems[0])
         trials, turns = [], []
         for name, seconds, options in slices:
-            for fleet, policy in zip(fleets, policies, strict=True):
-                trial = Trial(fleet, name, policy.name, policy.chosen, trip_ms)
+            for system, policy in zip(systems, policies, strict=True):
+                trial = Trial(system, name, policy.name, policy.chosen, trip_ms)
                 trials.append(trial)
-                turns.append(Turn(fleet, seconds, functools.partial(trial.run, seconds, **options)))
+                turns.append(
+                    Turn(system, seconds, functools.partial(trial.run, seconds, **options))
+                )
         take_turns(turns)
         return [trial.row() for trial in trials]
--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -279,12 +279,12 @@
         if begins:
             self._frozen.add(address)
             self._held_jobs[address] = []
-            self.world.network.freeze(address)
+            self.world.network.pause(address)
             dispatcher.pause()
             return
         self._frozen.discard(address)
         dispatcher.resume()
-        self.world.network.thaw(address)
+        self.world.network.resume(address)
         for sent in self._held_jobs.pop(address):
             self._submit(sent, dispatcher)
 
--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -131,7 +131,7 @@
 
     def submit(self, tasks: int) -> None:
         """Submit one job of so many tasks."""
-        ticket = self.keyring.issue(self.wire.me, SERVICE, 1_790_000_000_000)
+        ticket = self.keyring.issue(self.wire.local_peer, SERVICE, 1_790_000_000_000)
         submit = Submit(
             1, ticket, SERVICE, "team", DEADLINE_MS, b"d" * 16, (Task(PAYLOAD),) * tasks
         )
@@ -150,7 +150,7 @@
                     self._deliver(peer, _make_results(message))
 
     def _deliver(self, sender: Peer, message: Message) -> None:
-        data = encode(sender, self.wire.me.incarnation, message)
+        data = encode(sender, self.wire.local_peer.incarnation, message)
 
         def take() -> None:
             delivery = decode(data)
--- a/benchmarks/slope_links.py
+++ b/benchmarks/slope_links.py
@@ -7,7 +7,7 @@
 
 from benchmarks.slope_fit import US_PER_S, Point, Slope, fit
 from benchmarks.slope_membership import make_member
-from geraniumspool.application import draw_incarnation
+from geraniumspool.application import new_incarnation
 from geraniumspool.clock import SystemClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.link import NngMessenger
@@ -27,7 +27,7 @@
 
 
 def _start_messenger() -> NngMessenger:
-    messenger = NngMessenger(LISTEN, draw_incarnation(), SystemClock(), MemoryCounters())
+    messenger = NngMessenger(LISTEN, new_incarnation(), SystemClock(), MemoryCounters())
     messenger.start(lambda delivery: None)
     return messenger
 
@@ -46,7 +46,7 @@
         eventlet.sleep(SETTLE_S)
         before = process.num_fds()
         for peer in new_peers:
-            sender.send(peer.me, heartbeat)
+            sender.send(peer.local_peer, heartbeat)
         eventlet.sleep(SETTLE_S)
         descriptors += process.num_fds() - before
         memory.append(Point(count, (process.memory_info().rss - initial_rss) / 1024.0))
@@ -68,7 +68,7 @@
     for rate in HEARTBEATS_PER_S:
         start = time.process_time()
         for _ in range(int(rate * RATE_DURATION_S)):
-            sender.send(receiver.me, heartbeat)
+            sender.send(receiver.local_peer, heartbeat)
             eventlet.sleep(1.0 / rate)
         used_us_per_s = (time.process_time() - start) * US_PER_S / RATE_DURATION_S
         points.append(Point(rate, used_us_per_s))
--- a/benchmarks/slope_membership.py
+++ b/benchmarks/slope_membership.py
@@ -45,19 +45,19 @@
     :ivar last: newest message by receiver's address
     """
 
-    def __init__(self, me: Peer):
+    def __init__(self, local_peer: Peer):
         """Start empty.
 
-        :param me: sender of all messages
+        :param local_peer: sender of all messages
         """
-        self.me = me
+        self.local_peer = local_peer
         self.messages = 0
         self.bytes = 0
         self.last: dict[str, Message] = {}
 
     def send(self, peer: Peer, message: Message) -> bool:
         """Encode and count a message."""
-        self.bytes += len(encode(self.me, peer.incarnation, message))
+        self.bytes += len(encode(self.local_peer, peer.incarnation, message))
         self.messages += 1
         self.last[peer.address] = message
         return True
@@ -147,7 +147,7 @@
         """Deliver one encoded heartbeat and return its size in bytes."""
         data = encode(
             peer_of(member),
-            self.outbox.me.incarnation,
+            self.outbox.local_peer.incarnation,
             self._make_heartbeat(member, entry, version),
         )
         self.take(data)
@@ -174,7 +174,7 @@
     def heartbeats(self, count: int) -> list[bytes]:
         """Return encoded heartbeats from agents of the domain that have the current roster."""
         members = [self.near[number % len(self.near)] for number in range(count)]
-        me, version = self.outbox.me.incarnation, self.roster.version
+        me, version = self.outbox.local_peer.incarnation, self.roster.version
         beats = ((peer_of(m), ShortHeartbeat(m.version, version, 0, m.load)) for m in members)
         return [encode(peer, me, beat) for peer, beat in beats]
 
@@ -276,7 +276,9 @@
         sizes.append(Point(members, sent / TIMED_ROUNDS))
         messages.append(Point(members, count / TIMED_ROUNDS))
         speaker = next(e for e in side.entries if e.domain != side.me.domain)
-        data = encode(peer_of(speaker), side.outbox.me.incarnation, side.digest(speaker, False))
+        data = encode(
+            peer_of(speaker), side.outbox.local_peer.incarnation, side.digest(speaker, False)
+        )
         takes.append(
             Point(members, median_us(lambda s=side, d=data: _deliver_all(s, [d] * 50), 50))
         )
@@ -302,7 +304,7 @@
         digest = side.digest(speaker, True)
         agents = tuple(m._replace(incarnation=m.incarnation + 1) for m in digest.members)
         whole = digest._replace(members=agents)
-        data = encode(peer_of(speaker), side.outbox.me.incarnation, whole)
+        data = encode(peer_of(speaker), side.outbox.local_peer.incarnation, whole)
         taken.append(Point(len(agents), processor_us(lambda s=side, d=data: s.take(d)) / 1000.0))
         lengths.append(Point(len(agents), len(data)))
     return [
@@ -318,7 +320,7 @@
     taken, sizes = [], []
     for members in MEMBER_COUNTS:
         side = EntrySide(members, join=False)
-        me = side.outbox.me.incarnation
+        me = side.outbox.local_peer.incarnation
         first = [_encode_first_heartbeat(side, member, 0, 0) for member in side.near]
         side.outbox.reset()
         start_us = processor_us(lambda s=side, f=first: _deliver_all(s, f))
@@ -341,7 +343,7 @@
 
 def _encode_first_heartbeat(side: EntrySide, member: Member, entry: int, version: int) -> bytes:
     beat = Heartbeat(member._replace(state=MEMBER_STARTING), entry, version, 0)
-    return encode(peer_of(member), side.outbox.me.incarnation, beat)
+    return encode(peer_of(member), side.outbox.local_peer.incarnation, beat)
 
 
 class AgentSide:
@@ -361,15 +363,15 @@
         self.beater = Heartbeater(
             self.outbox, self.roster, self.clock, lambda: self.me, configuration, PERIOD_MS
         )
-        self.sender = entry.outbox.me
+        self.sender = entry.outbox.local_peer
         entry.beat(self.me, 0, 0)
         self.whole = entry.outbox.last[self.me.address]
-        self.take(encode(self.sender, self.outbox.me.incarnation, self.whole))
+        self.take(encode(self.sender, self.outbox.local_peer.incarnation, self.whole))
         beat = entry.heartbeats(1)[0]
         entry.take(beat)
         entry.take(beat)
         later = entry.outbox.last[self.me.address]
-        self.reply = encode(self.sender, self.outbox.me.incarnation, later)
+        self.reply = encode(self.sender, self.outbox.local_peer.incarnation, later)
 
     def take(self, data: bytes) -> None:
         """Decode and deliver an entry's reply."""
@@ -389,7 +391,7 @@
         side = AgentSide(EntrySide(members))
         taken.append(Point(members, median_us(lambda s=side: s.work(200), 200)))
         known.append(Point(members, len(side.roster.members())))
-        data = encode(side.sender, side.outbox.me.incarnation, side.whole)
+        data = encode(side.sender, side.outbox.local_peer.incarnation, side.whole)
         whole.append(Point(len(side.roster.members()), len(data)))
     return [
         fit("agent: heartbeat sent and reply taken / members", "us of processor", taken),
--- a/benchmarks/slope_processes.py
+++ b/benchmarks/slope_processes.py
@@ -10,7 +10,7 @@
 import urllib3
 
 from benchmarks.slope_fit import US_PER_S, Point, Slope, fit
-from tests.processes import SERVICE, TEAM, Fleet, Program
+from tests.processes import SERVICE, TEAM, ProcessSystem, Program
 
 DOMAINS = ("north", "middle", "south")
 FLEET_SIZES = (11, 44, 110)
@@ -47,7 +47,7 @@
 def measure_fleet() -> list[Slope]:
     """Measure an idle fleet while agents are added, and return the slopes."""
     rows: dict[str, list[Point]] = {}
-    fleet = Fleet(
+    system = ProcessSystem(
         list(DOMAINS),
         [0, 0, 0],
         1,
@@ -56,39 +56,39 @@
     )
     try:
         for size in FLEET_SIZES:
-            while len(fleet.agents) < size:
-                fleet.add_agent(DOMAINS[len(fleet.agents) % len(DOMAINS)], with_minion=False)
-            _wait_ready(fleet, size)
-            _measure_window(fleet, size, rows)
+            while len(system.agents) < size:
+                system.add_agent(DOMAINS[len(system.agents) % len(DOMAINS)], with_minion=False)
+            _wait_ready(system, size)
+            _measure_window(system, size, rows)
     finally:
-        fleet.stop()
+        system.stop()
     return [fit(name, name.rsplit(", ", 1)[1].split(" / ")[0], p) for name, p in rows.items()]
 
 
-def _wait_ready(fleet: Fleet, size: int) -> None:
+def _wait_ready(system: ProcessSystem, size: int) -> None:
     end = time.monotonic() + 60
-    while any(fleet.ready_agents(entry) < size for entry in fleet.entries):
+    while any(system.ready_agents(entry) < size for entry in system.entries):
         if time.monotonic() > end:
             raise RuntimeError(f"{size} agents were not ready within 60 s")
         eventlet.sleep(0.2)
     eventlet.sleep(SETTLE_S)
 
 
-def _measure_window(fleet: Fleet, size: int, rows: dict[str, list[Point]]) -> None:
-    sampled = fleet.agents[:: max(1, size // 11)]
-    calls = _store_calls(fleet)
-    agents = [_read_usage(fleet, agent) for agent in sampled]
-    entries = [_read_usage(fleet, entry) for entry in fleet.entries]
-    store = _cpu_seconds(fleet.store)
+def _measure_window(system: ProcessSystem, size: int, rows: dict[str, list[Point]]) -> None:
+    sampled = system.agents[:: max(1, size // 11)]
+    calls = _store_calls(system)
+    agents = [_read_usage(system, agent) for agent in sampled]
+    entries = [_read_usage(system, entry) for entry in system.entries]
+    store = _cpu_seconds(system.store)
     start = time.monotonic()
     eventlet.sleep(MEASUREMENT_S)
     elapsed_s = time.monotonic() - start
-    later_agents = [_read_usage(fleet, agent) for agent in sampled]
-    later_entries = [_read_usage(fleet, entry) for entry in fleet.entries]
-    later_calls = _store_calls(fleet)
+    later_agents = [_read_usage(system, agent) for agent in sampled]
+    later_entries = [_read_usage(system, entry) for entry in system.entries]
+    later_calls = _store_calls(system)
     _add_usage(rows, "agent idle", size, elapsed_s, agents, later_agents)
     _add_usage(rows, "entry idle", size, elapsed_s, entries, later_entries)
-    cpu = 100 * (_cpu_seconds(fleet.store) - store) / elapsed_s
+    cpu = 100 * (_cpu_seconds(system.store) - store) / elapsed_s
     rows.setdefault("store stand-in, % of a core / agents", []).append(Point(size, cpu))
     for kind in sorted(later_calls):
         rate = (later_calls[kind] - calls.get(kind, 0)) / elapsed_s
@@ -116,10 +116,10 @@
         rows.setdefault(f"{role}, {unit} / agents", []).append(Point(size, mean))
 
 
-def _read_usage(fleet: Fleet, program: Program) -> Usage:
+def _read_usage(system: ProcessSystem, program: Program) -> Usage:
     address = program.ready.get("callers")
     base = f"http://{address}" if address else program.ready["minion"]
-    text = fleet.http.request("GET", f"{base}/metrics", timeout=10).data
+    text = system.http.request("GET", f"{base}/metrics", timeout=10).data
     totals: dict[str, float] = {}
     for name, value in _SERIES.findall(text):
         key = name.decode()
@@ -142,8 +142,8 @@
     return times.user + times.system
 
 
-def _store_calls(fleet: Fleet) -> dict[str, float]:
-    return fleet.http.request("GET", f"{fleet.store_url}/calls", timeout=10).json()
+def _store_calls(system: ProcessSystem) -> dict[str, float]:
+    return system.http.request("GET", f"{system.store_url}/calls", timeout=10).json()
 
 
 def measure_load() -> list[Slope]:
@@ -153,22 +153,22 @@
     """
     points: dict[str, list[Point]] = {"entry": [], "agent: home and runner": [], "minion": []}
     rates: list[Point] = []
-    fleet = Fleet(["north"], [1], 1)
+    system = ProcessSystem(["north"], [1], 1)
     try:
-        _wait_ready(fleet, 1)
-        programs = [fleet.entries[0], fleet.agents[0], fleet.minions[0]]
+        _wait_ready(system, 1)
+        programs = [system.entries[0], system.agents[0], system.minions[0]]
         idle = _idle_shares(programs)
         for tasks in JOB_SIZES:
-            _send_load(fleet, tasks, 1.0)
+            _send_load(system, tasks, 1.0)
             before = [_cpu_seconds(program) for program in programs]
-            jobs = _send_load(fleet, tasks, LOAD_S)
+            jobs = _send_load(system, tasks, LOAD_S)
             for name, program, start, share in zip(points, programs, before, idle, strict=True):
                 used = _cpu_seconds(program) - start - share * LOAD_S
                 points[name].append(Point(tasks, used * US_PER_S / jobs))
             rates.append(Point(tasks, jobs / LOAD_S))
         resident = [psutil.Process(p.process.pid).memory_info().rss / MIB for p in programs]
     finally:
-        fleet.stop()
+        system.stop()
     slopes = [
         fit(f"{name}: one job over HTTP / tasks", "us of processor", row)
         for name, row in points.items()
@@ -190,10 +190,10 @@
     return [(_cpu_seconds(p) - start) / LOAD_S for p, start in zip(programs, before, strict=True)]
 
 
-def _send_load(fleet: Fleet, tasks: int, seconds: float) -> int:
+def _send_load(system: ProcessSystem, tasks: int, seconds: float) -> int:
     end = time.monotonic() + seconds
     pool = urllib3.PoolManager(retries=False, maxsize=CONNECTIONS)
-    url = f"http://{fleet.callers()[0]}/v1/jobs"
+    url = f"http://{system.callers()[0]}/v1/jobs"
     rows = [{"payload": {"run_ms": RUN_MS, "value": number}} for number in range(tasks)]
     body = {"service": SERVICE, "team": TEAM, "deadline_ms": 20_000, "tasks": rows}
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -141,7 +141,7 @@
         self._record_act(f"domains {one} and {other} are parted")
         for here in self._processes_of_domain(one):
             for there in self._processes_of_domain(other):
-                self.world.network.part(here.peer.address, there.peer.address)
+                self.world.network.partition(here.peer.address, there.peer.address)
 
     def _processes_of_domain(self, number: int) -> list[Process]:
         return [one for one in self.world.processes if one.domain == f"d{number}"]
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from geraniumspool.application import Application, ReadyLine, draw_incarnation
+from geraniumspool.application import Application, ReadyLine, new_incarnation
 from geraniumspool.clock import SystemClock
 from geraniumspool.configuration import Configuration
 from geraniumspool.contracts import Announcement, Clock, Messenger, MinionClient, Store
@@ -58,10 +58,10 @@
 from geraniumspool.roster import Roster
 from geraniumspool.routes import Request, Route
 from geraniumspool.runner import Runner
-from geraniumspool.scope import scope_by
+from geraniumspool.scope import make_scope_classifier
 from geraniumspool.settings import AgentSettings
 from geraniumspool.submission import collect
-from geraniumspool.web import Application as WebApplication
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 _LOG = logging.getLogger(__name__)
@@ -114,19 +114,19 @@
         self._settings = settings
         self._messenger = messenger
         self._store = store
-        self._random = random.Random(messenger.me.incarnation)
+        self._random = random.Random(messenger.local_peer.incarnation)
         self._version = 0
         self._has_left = False
         self._reported_state = MEMBER_STARTING
         self._is_draining = False
         self._announced_ms = clock.now()
         self.configuration = Configuration(clock, metrics)
-        self.decisions = DecisionLog(messenger.me.incarnation, clock, _LOG)
+        self.decisions = DecisionLog(messenger.local_peer.incarnation, clock, _LOG)
         self.roster = Roster(clock, settings.domain)
         self.health = Health(
             clock,
             self.decisions,
-            messenger.me.address,
+            messenger.local_peer.address,
             self._may_eject,
             lambda: self.configuration.service(self.home.service).ejection_failure_share,
             SlownessDetector(lambda: self.home.peers_lateness()),
@@ -174,13 +174,15 @@
         if self._settings.minion is not None:
             self._take_announcement(self._settings.minion)
         self.heartbeater.add_entries(self._settings.entries)
-        self._run(self._discover_entries)
-        self._run(self.heartbeater.run)
-        self._run(self._run_housekeeping)
+        self._spawn(self._discover_entries)
+        self._spawn(self.heartbeater.run)
+        self._spawn(self._run_housekeeping)
 
     def ready_line(self) -> ReadyLine:
         """Return the ready line with the inbox and the address for the minion's announcements."""
-        return ReadyLine(ready=ROLE_AGENT, inbox=self._messenger.me.address, minion=self.minion_url)
+        return ReadyLine(
+            ready=ROLE_AGENT, inbox=self._messenger.local_peer.address, minion=self.minion_url
+        )
 
     @property
     def minion_url(self) -> str:
@@ -192,7 +194,7 @@
         minion = self.runner.minion
         archive = self._handover.archive
         return Member(
-            *self._messenger.me,
+            *self._messenger.local_peer,
             self._settings.domain,
             ROLE_AGENT,
             self._state(),
@@ -210,7 +212,7 @@
         :returns: whether all jobs and tasks finished within the drain limit
         """
         self._is_draining = True
-        self.decisions.record(DRAIN_STARTED, self._messenger.me.address)
+        self.decisions.record(DRAIN_STARTED, self._messenger.local_peer.address)
         self.home.leave()
         self.runner.leave()
         self._report_change()
@@ -226,7 +228,10 @@
         self._has_left = True
         self._report_change()
         self.decisions.record(
-            DRAIN_FINISHED, self._messenger.me.address, finished=str(finished), records=handed_over
+            DRAIN_FINISHED,
+            self._messenger.local_peer.address,
+            finished=str(finished),
+            records=handed_over,
         )
         self._clock.sleep(STOP_GRACE_MS)
         self.heartbeater.send_to_all_entries()
@@ -280,7 +285,7 @@
             WrongIncarnation: self._handle_wrong_incarnation,
             Handover: self._handover.store_batch,
             HandoverReceipt: self._handover.handle_receipt,
-            Drain: self._take_drain,
+            Drain: self._handle_drain,
         }
 
     def _take_offer(self, sender: Peer, offer: Offer) -> None:
@@ -407,9 +412,9 @@
     """
     clock = SystemClock()
     metrics = Metrics(ROLE_AGENT, settings.domain)
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = EtcdStore(list(settings.store_urls), clock, metrics, settings.store_timeout_ms)
     client = HttpMinionClient(metrics)
     agent = Agent(settings, messenger, store, client, clock, metrics)
-    messenger.scope = scope_by(agent.roster, settings.domain)
+    messenger.scope = make_scope_classifier(agent.roster, settings.domain)
     return agent
--- a/geraniumspool/application.py
+++ b/geraniumspool/application.py
@@ -36,7 +36,7 @@
     minion: str
 
 
-def draw_incarnation() -> int:
+def new_incarnation() -> int:
     """Return a random number that identifies one run of a process.
 
     It is never 0, which stands for any incarnation in messages.
@@ -97,11 +97,11 @@
             return
         handler(delivery.sender, delivery.message)
 
-    def _take_drain(self, _sender: Peer, drain: Drain) -> None:
+    def _handle_drain(self, _sender: Peer, drain: Drain) -> None:
         _LOG.info("drain requested", extra={"fields": (("who", drain.who), ("why", drain.why))})
         self.request_exit()
 
-    def _run(self, body: Callable[[], None]) -> None:
+    def _spawn(self, body: Callable[[], None]) -> None:
         """Run a function in a green thread that is killed when the application stops."""
         self._tasks.append(eventlet.spawn(body))
 
--- a/geraniumspool/binding.py
+++ b/geraniumspool/binding.py
@@ -70,7 +70,7 @@
         return bound
 
     def _check_age(self, key: IdempotencyKey) -> None:
-        age_ms = self._clock.wall() - key.made_ms
+        age_ms = self._clock.wall_ms() - key.made_ms
         if age_ms < -MAX_KEY_AHEAD_MS:
             raise invalid_key("was made in the future; set the clock of the caller's host")
         if age_ms > MAX_KEY_AGE_MS:
@@ -92,7 +92,7 @@
     def _record_lost_lease(self) -> None:
         """Refuse keys made up to now, allowing for clock skew: the lost lease deleted bindings."""
         self._lease_reuse_until_ms = 0.0
-        self._refused_until_ms = self._clock.wall() + MAX_KEY_AHEAD_MS + CLOCK_SKEW_MS
+        self._refused_until_ms = self._clock.wall_ms() + MAX_KEY_AHEAD_MS + CLOCK_SKEW_MS
 
     def _swap(self, name: str, ticket: str) -> str:
         outcome = self._store.swap(name, 0, ticket.encode(), self._get_lease())
--- a/geraniumspool/bounded_log.py
+++ b/geraniumspool/bounded_log.py
@@ -16,12 +16,12 @@
 BURST_LINES = 500
 # Part of the burst that is reserved for warnings and errors.
 RESERVED_LINES = 100
-LEFT_OUT = "log lines dropped"
+DROPPED_MESSAGE = "log lines dropped"
 
 _WRITE = original("os").write
 
 
-class Stream(NamedTuple):
+class LogDestination(NamedTuple):
     """Destination of log lines.
 
     :param descriptor: file descriptor; the handler makes it non-blocking
@@ -30,42 +30,42 @@
     descriptor: int
 
 
-class BoundedHandler(logging.Handler):
+class RateLimitedHandler(logging.Handler):
     """Writes JSON lines at a limited rate (token bucket).
 
     Records above the rate and records that cannot be written without blocking
     are dropped. The next record that is written is preceded by one with the
     number of dropped lines.
 
-    :ivar left_out: lines dropped since the last such report
+    :ivar dropped: lines dropped since the last such report
     """
 
-    def __init__(self, stream: Stream, clock: Clock):
+    def __init__(self, destination: LogDestination, clock: Clock):
         """Make the descriptor non-blocking and start with a full token bucket.
 
-        :param stream: destination of the lines
+        :param destination: destination of the lines
         :param clock: source of time for the rate
         """
         super().__init__()
-        os.set_blocking(stream.descriptor, False)
+        os.set_blocking(destination.descriptor, False)
         self.setFormatter(JsonFormatter())
-        self._descriptor = stream.descriptor
+        self._descriptor = destination.descriptor
         self._clock = clock
         self._tokens = float(BURST_LINES)
         self._refilled_ms = clock.now()
-        self.left_out = 0
+        self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record, or drop and count it."""
         self._refill()
         min_tokens = 1 if record.levelno >= logging.WARNING else RESERVED_LINES
         if self._tokens < min_tokens:
-            self.left_out += 1
+            self.dropped += 1
             return
-        if self.left_out and self._write(self._make_drop_record(record)):
-            self.left_out = 0
+        if self.dropped and self._write(self._make_drop_record(record)):
+            self.dropped = 0
         if not self._write(record):
-            self.left_out += 1
+            self.dropped += 1
 
     def _refill(self) -> None:
         now = self._clock.now()
@@ -74,9 +74,9 @@
         self._tokens = min(BURST_LINES, self._tokens + gained)
 
     def _make_drop_record(self, record: logging.LogRecord) -> logging.LogRecord:
-        drop_record = logging.LogRecord(__name__, logging.WARNING, "", 0, LEFT_OUT, (), None)
+        drop_record = logging.LogRecord(__name__, logging.WARNING, "", 0, DROPPED_MESSAGE, (), None)
         drop_record.created = record.created
-        drop_record.fields = (("count", self.left_out),)
+        drop_record.fields = (("count", self.dropped),)
         return drop_record
 
     def _write(self, record: logging.LogRecord) -> bool:
@@ -90,7 +90,7 @@
         return written == len(data)
 
 
-def set_up_bounded(level: str, descriptor: int, clock: Clock) -> BoundedHandler:
+def configure_rate_limited_logging(level: str, descriptor: int, clock: Clock) -> RateLimitedHandler:
     """Write all logs of this process to a descriptor, at a limited rate.
 
     Replaces the existing handlers of the root logger.
@@ -101,7 +101,7 @@
     :returns: the new handler
     :raises ValueError: if the level is unknown
     """
-    handler = BoundedHandler(Stream(descriptor), clock)
+    handler = RateLimitedHandler(LogDestination(descriptor), clock)
     root = logging.getLogger()
     root.setLevel(level.upper())
     root.handlers[:] = [handler]
--- a/geraniumspool/change_desk.py
+++ b/geraniumspool/change_desk.py
@@ -185,7 +185,7 @@
             change_id=proposal.change_id,
             who=proposal.who,
             why=proposal.why,
-            at_ms=self._clock.wall(),
+            at_ms=self._clock.wall_ms(),
             body=proposal.text,
             previous=current_version.revision,
             before=current_version.text,
--- a/geraniumspool/clock.py
+++ b/geraniumspool/clock.py
@@ -36,13 +36,13 @@
 
 
 class BaseClock:
-    """Base of all clocks: implements waiting with ``now``, ``wall`` and ``after``."""
+    """Base of all clocks: implements waiting with ``now``, ``wall_ms`` and ``after``."""
 
     def now(self) -> float:
         """Return monotonic time in milliseconds."""
         raise NotImplementedError
 
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         """Return wall-clock time in milliseconds since the Unix epoch."""
         raise NotImplementedError
 
@@ -103,7 +103,7 @@
         """Return monotonic time in milliseconds."""
         return time.clock_gettime(STEADY_CLOCK) * MS_PER_SECOND
 
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         """Return wall-clock time in milliseconds since the Unix epoch."""
         return int(time.time() * MS_PER_SECOND)
 
@@ -126,10 +126,10 @@
 class ManualClock(BaseClock):
     """Clock for tests whose time changes only by :meth:`advance`.
 
-    :cvar SETTLE_TURNS: maximum number of hub rounds per call of :meth:`settle`
+    :cvar MAX_READY_ROUNDS: maximum number of hub rounds per call of :meth:`run_ready_threads`
     """
 
-    SETTLE_TURNS = 20
+    MAX_READY_ROUNDS = 20
 
     def __init__(self, start_ms: float = 1_000_000.0):
         """Set both the monotonic and the wall-clock time to ``start_ms`` milliseconds."""
@@ -141,7 +141,7 @@
         """Return the clock's current time in milliseconds."""
         return self._now
 
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         """Return the same time as :meth:`now`, in whole milliseconds."""
         return int(self._now)
 
@@ -158,18 +158,18 @@
         :param delay_ms: time to advance by, in milliseconds
         """
         target = self._now + delay_ms
-        self.settle()
+        self.run_ready_threads()
         while self._scheduled and self._scheduled[0][0] <= target:
             self._now, _, timer = heapq.heappop(self._scheduled)
             timer.fire()
-            self.settle()
+            self.run_ready_threads()
         self._now = target
-        self.settle()
+        self.run_ready_threads()
 
-    def settle(self) -> None:
+    def run_ready_threads(self) -> None:
         """Let all green threads that are ready run."""
         hub = hubs.get_hub()
-        for _ in range(self.SETTLE_TURNS):
+        for _ in range(self.MAX_READY_ROUNDS):
             eventlet.sleep(0)
             # No green thread is ready; the early return halves the run time of tests.
             if not hub.next_timers and (not hub.timers or hub.timers[0][0] > hub.clock()):
--- a/geraniumspool/connection.py
+++ b/geraniumspool/connection.py
@@ -18,7 +18,7 @@
 from geraniumspool.reply import STATUS_LINES, reply_problem
 
 REQUEST_MALFORMED = "request_malformed"
-CONNECTION = "geraniumspool.connection"
+CONNECTION_KEY = "geraniumspool.connection"
 
 # Limit of the line that precedes each chunk of a chunked body, in bytes.
 MAX_CHUNK_LINE = 1024
@@ -45,7 +45,7 @@
 
     :ivar max_header_bytes: limit of a request's head (request line and headers)
     :ivar draining: whether the server has stopped accepting connections
-    :ivar retiring: whether each connection is closed after its next reply
+    :ivar keep_alive_disabled: whether each connection is closed after its next reply
     :ivar connections: all open connections
     """
 
@@ -53,17 +53,17 @@
     max_header_bytes: int
     clock: Clock
     draining: bool
-    retiring: bool
+    keep_alive_disabled: bool
     connections: set["Connection"]
 
 
-class Attachable:
+class ConnectionCallbacks:
     """Callbacks from an application to the connection of its request; here all do nothing."""
 
     def begin_body(self) -> None:
         """Signal that the application starts to read the request's body."""
 
-    def begin_work(self) -> None:
+    def begin_handling(self) -> None:
         """Signal that the request is read completely and the handler starts."""
 
     def begin_reply(self, reusable: bool) -> None:
@@ -72,10 +72,10 @@
         :param reusable: whether the connection can serve another request after the reply
         """
 
-    def watch_caller(self, gone: Callable[[], None]) -> Callable[[], None]:
-        """Call ``gone`` if the caller closes the connection before the reply.
+    def watch_disconnect(self, on_disconnect: Callable[[], None]) -> Callable[[], None]:
+        """Call ``on_disconnect`` if the caller closes the connection before the reply.
 
-        :param gone: called at most once, from another green thread
+        :param on_disconnect: called at most once, from another green thread
         :returns: function that ends the watch; must be called before the reply
         """
         return _do_nothing
@@ -85,7 +85,7 @@
     pass
 
 
-UNATTACHED = Attachable()
+NO_CONNECTION = ConnectionCallbacks()
 
 
 class _HeadTooLarge(Exception):
@@ -125,7 +125,7 @@
         return line
 
 
-class Connection(wsgi.HttpProtocol, Attachable):
+class Connection(wsgi.HttpProtocol, ConnectionCallbacks):
     """HTTP connection of one caller, with a time limit on each phase."""
 
     def __init__(self, server: Server, conn_state: list, wsgi_server: Any):
@@ -148,24 +148,24 @@
             server.connections.discard(self)
 
     def begin_body(self) -> None:
-        """Start the time limit of the body; see :meth:`Attachable.begin_body`."""
+        """Start the time limit of the body; see :meth:`ConnectionCallbacks.begin_body`."""
         self._start_limit(self._server.limits.body_ms, socket.SHUT_RD)
 
-    def begin_work(self) -> None:
+    def begin_handling(self) -> None:
         """Suspend the time limit while the request is handled."""
         self._start_limit(math.inf)
 
     def begin_reply(self, reusable: bool) -> None:
-        """Start the time limit of the reply; see :meth:`Attachable.begin_reply`."""
+        """Start the time limit of the reply; see :meth:`ConnectionCallbacks.begin_reply`."""
         self._start_limit(self._server.limits.body_ms)
         if not reusable:
             self._must_linger = True
-        if not reusable or self._server.draining or self._server.retiring:
+        if not reusable or self._server.draining or self._server.keep_alive_disabled:
             self.close_connection = 1
 
-    def watch_caller(self, gone: Callable[[], None]) -> Callable[[], None]:
-        """Detect that the caller disconnects; see :meth:`Attachable.watch_caller`."""
-        return eventlet.spawn(self._watch_socket, gone).kill
+    def watch_disconnect(self, on_disconnect: Callable[[], None]) -> Callable[[], None]:
+        """Detect that the caller disconnects; see :meth:`ConnectionCallbacks.watch_disconnect`."""
+        return eventlet.spawn(self._watch_socket, on_disconnect).kill
 
     def _watch_socket(self, gone: Callable[[], None]) -> None:
         try:
@@ -254,11 +254,11 @@
     def get_environ(self) -> dict[str, Any]:
         """Return the WSGI environment of the request."""
         environ = super().get_environ()
-        environ[CONNECTION] = self
+        environ[CONNECTION_KEY] = self
         source = environ["wsgi.input"]
         if source.chunked_input:
             source.rfile = _BoundedChunkReader(source.rfile)
-        self.begin_work()
+        self.begin_handling()
         return environ
 
     def finish(self) -> None:
--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -17,7 +17,7 @@
     def now(self) -> float:
         """Return monotonic time in milliseconds."""
 
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         """Return milliseconds since the epoch."""
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
@@ -33,7 +33,7 @@
 class Messenger(Protocol):
     """Inbox and links of one process; see :mod:`geraniumspool.link`."""
 
-    me: Peer
+    local_peer: Peer
 
     def start(self, receive: Callable[[Delivery], None]) -> None:
         """Start delivering incoming messages to ``receive``, in order of arrival.
--- a/geraniumspool/counters.py
+++ b/geraniumspool/counters.py
@@ -97,7 +97,7 @@
         return {
             _format_series(name, key): value
             for name in sorted(self._counts)
-            for key, value in sorted(self.merged(name).items())
+            for key, value in sorted(self.series(name).items())
         }
 
     def names(self) -> set[str]:
@@ -108,7 +108,7 @@
         """Return the histograms by name and labels."""
         return self._histograms
 
-    def merged(self, name: str) -> dict[Labels, float]:
+    def series(self, name: str) -> dict[Labels, float]:
         """Return the values of a counter by label set, with the labels sorted by name."""
         # Callers may pass the same labels in different orders.
         merged: dict[Labels, float] = {}
--- a/geraniumspool/decisions.py
+++ b/geraniumspool/decisions.py
@@ -173,7 +173,9 @@
         trimmed = tuple((name, _limit_value(value)) for name, value in figures.items())[
             :MAX_FIGURES
         ]
-        decision = Decision(f"{self._prefix}{number}", self._clock.wall(), code, subject, trimmed)
+        decision = Decision(
+            f"{self._prefix}{number}", self._clock.wall_ms(), code, subject, trimmed
+        )
         self._entries[number] = decision
         self._add_to_subject(subject, number)
         if len(self._entries) > self._max_entries:
--- a/geraniumspool/digests.py
+++ b/geraniumspool/digests.py
@@ -103,7 +103,7 @@
         self._reports = reports
         self._revisions = revisions
         self._demand = demand
-        self._views = Views(roster, messenger.me)
+        self._views = Views(roster, messenger.local_peer)
         self._progress: dict[Peer, _Progress] = {}
         self._unreachable: frozenset[str] = frozenset()
 
@@ -146,7 +146,7 @@
         self._unreachable = self._roster.unreachable
 
     def _list_receivers(self) -> Iterator[Member]:
-        own = self._messenger.me
+        own = self._messenger.local_peer
         foreign: dict[str, list[Member]] = {}
         for entry in self._roster.entries():
             if entry.domain != self._roster.domain:
@@ -161,7 +161,9 @@
 
     def _is_representative(self) -> bool:
         near = [e.address for e in self._roster.entries() if e.domain == self._roster.domain]
-        return self._messenger.me.address <= min(near, default=self._messenger.me.address)
+        return self._messenger.local_peer.address <= min(
+            near, default=self._messenger.local_peer.address
+        )
 
     def _make_contents(self, near: bool) -> _Contents:
         if near:
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -69,12 +69,12 @@
             messenger.send,
             metrics,
             settings.domain,
-            clock.wall(),
+            clock.wall_ms(),
             self.guard,
             started_ms,
         )
         self.executor.reset_link = messenger.reset
-        address = messenger.me.address
+        address = messenger.local_peer.address
         record = encode_record(WorkerRecord(settings.domain))
         self._key = LeasedKey(store, clock, WORKER_PREFIX + address, record, KEY_TTL_MS)
         self.executor.incarnations.on_incarnation = self._store_incarnation
@@ -96,16 +96,16 @@
         self._messenger.start(self._receive)
         # No task may start before the evacuated failure domains are known.
         self.guard.refresh()
-        self._run(self.executor.run_poll_loop)
-        self._run(self.executor.run_periodic_checks)
-        self._run(self._maintain_key)
+        self._spawn(self.executor.run_poll_loop)
+        self._spawn(self.executor.run_periodic_checks)
+        self._spawn(self._maintain_key)
         for server in self._servers:
             server.start()
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
 
     def ready_line(self) -> ReadyLine:
         """Return the line to print when ready, with the process's name and message address."""
-        return ReadyLine(ready=self._settings.name, inbox=self._messenger.me.address)
+        return ReadyLine(ready=self._settings.name, inbox=self._messenger.local_peer.address)
 
     def drain(self) -> bool:
         """Shut down gracefully: refuse new runs, finish open ones, then stop the rest.
--- a/geraniumspool/dispatch_entry.py
+++ b/geraniumspool/dispatch_entry.py
@@ -79,13 +79,13 @@
         self.configuration = QueueConfiguration()
         self.evacuations = Evacuations(clock, metrics)
         record = DispatcherRecord(settings.domain, settings.capacity)
-        self._peers = DispatcherPeers(clock, messenger.me, record, self.evacuations)
+        self._peers = DispatcherPeers(clock, messenger.local_peer, record, self.evacuations)
         self._peers.is_connection_closed = messenger.is_connection_closed
         self.claims = JobClaims(
             clock,
             messenger.send,
             metrics,
-            messenger.me,
+            messenger.local_peer,
             settings.domain,
             self._peers.views.values,
             lambda: self._peers.executors,
@@ -110,7 +110,7 @@
         self._member_key = LeasedKey(
             store,
             clock,
-            DISPATCHER_PREFIX + messenger.me.address,
+            DISPATCHER_PREFIX + messenger.local_peer.address,
             encode_record(record),
             KEY_TTL_MS,
         )
@@ -159,18 +159,18 @@
     def start(self) -> None:
         """Bind the listeners and start the green threads."""
         self._messenger.start(self._receive)
-        self._run(self._operators_watch.run)
-        self._run(self._members_watch.run)
-        self._run(self._member_key.run)
-        self._run(self.dispatcher.run_periodic_checks)
-        self._run(self.router.run_periodic_checks)
+        self._spawn(self._operators_watch.run)
+        self._spawn(self._members_watch.run)
+        self._spawn(self._member_key.run)
+        self._spawn(self.dispatcher.run_periodic_checks)
+        self._spawn(self.router.run_periodic_checks)
         for server in self._servers:
             server.start()
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
 
     def ready_line(self) -> ReadyLine:
         """Return the line to print when ready, with the process's name and message address."""
-        return ReadyLine(ready=self._settings.name, inbox=self._messenger.me.address)
+        return ReadyLine(ready=self._settings.name, inbox=self._messenger.local_peer.address)
 
     def drain(self) -> bool:
         """Shut down gracefully: report not ready, finish accepted jobs, then close.
@@ -182,7 +182,7 @@
         self._leaving = True
         self.dispatcher.exit_ms = deadline
         callers = self._servers[0]
-        callers.retire()
+        callers.disable_keep_alive()
         _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
         self.router.give_up_workers()
         self._clock.sleep(min(READINESS_NOTICE_MS, deadline - started))
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from geraniumspool.application import Application, ReadyLine, draw_incarnation
+from geraniumspool.application import Application, ReadyLine, new_incarnation
 from geraniumspool.audit import AuditTrail
 from geraniumspool.binding import Bindings
 from geraniumspool.callers import Callers
@@ -45,10 +45,10 @@
 from geraniumspool.registry import Registry
 from geraniumspool.roster import Roster
 from geraniumspool.routes import Route
-from geraniumspool.scope import scope_by
+from geraniumspool.scope import make_scope_classifier
 from geraniumspool.settings import EntrySettings
 from geraniumspool.ticket import Keyring
-from geraniumspool.web import Application as WebApplication
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 _LOG = logging.getLogger(__name__)
@@ -77,7 +77,7 @@
         self._settings = settings
         self._messenger = messenger
         self._state = MEMBER_READY
-        self.decisions = DecisionLog(messenger.me.incarnation, clock, _LOG)
+        self.decisions = DecisionLog(messenger.local_peer.incarnation, clock, _LOG)
         self.roster = Roster(clock, settings.domain)
         self.configuration = Configuration(clock, metrics)
         self.calls = Calls(messenger, clock, metrics, self.roster.is_gone)
@@ -93,36 +93,38 @@
         self._callers_server.start()
         self._operators_server.start()
         self.callers.ready = True
-        self._run(self._registrar.run)
-        self._run(self.registry.run)
-        self._run(self.watcher.run)
+        self._spawn(self._registrar.run)
+        self._spawn(self.registry.run)
+        self._spawn(self.watcher.run)
 
     def ready_line(self) -> ReadyLine:
         """Return the addresses of the inbox and of both HTTP listeners."""
         return ReadyLine(
             ready=ROLE_ENTRY,
-            inbox=self._messenger.me.address,
+            inbox=self._messenger.local_peer.address,
             callers=self._callers_server.address,
             operators=self._operators_server.address,
         )
 
     def describe(self) -> Member:
         """Return the membership record that this entry announces to other processes."""
-        return Member(*self._messenger.me, self._settings.domain, ROLE_ENTRY, self._state)
+        return Member(*self._messenger.local_peer, self._settings.domain, ROLE_ENTRY, self._state)
 
     def drain(self) -> bool:
         """Stop accepting requests and wait for those in flight.
 
         :returns: whether all of them finished within ``drain_limit_ms``
         """
-        self.decisions.record(DRAIN_STARTED, self._messenger.me.address)
+        self.decisions.record(DRAIN_STARTED, self._messenger.local_peer.address)
         self.callers.ready = False
         self._state = MEMBER_LEAVING
         self._registrar.withdraw()
         finished = self._callers_server.drain(self._settings.drain_limit_ms)
         self._state = MEMBER_LEFT
         self.registry.run_round()
-        self.decisions.record(DRAIN_FINISHED, self._messenger.me.address, finished=str(finished))
+        self.decisions.record(
+            DRAIN_FINISHED, self._messenger.local_peer.address, finished=str(finished)
+        )
         return finished
 
     def stop(self) -> None:
@@ -221,7 +223,7 @@
             Digest: self._handle_digest,
             Inquire: self._handle_inquire,
             WrongIncarnation: self._handle_wrong_incarnation,
-            Drain: self._take_drain,
+            Drain: self._handle_drain,
         }
 
     def _handle_digest(self, sender: Peer, digest: Digest) -> None:
@@ -258,8 +260,8 @@
     """
     clock = SystemClock()
     metrics = Metrics(ROLE_ENTRY, settings.domain)
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = EtcdStore(list(settings.store_urls), clock, metrics, settings.store_timeout_ms)
     entry = Entry(settings, messenger, store, clock, metrics)
-    messenger.scope = scope_by(entry.roster, settings.domain)
+    messenger.scope = make_scope_classifier(entry.roster, settings.domain)
     return entry
--- a/geraniumspool/etcd_store.py
+++ b/geraniumspool/etcd_store.py
@@ -50,8 +50,8 @@
     TXN,
     WATCH,
     WATCH_POLL_MS,
-    Mailbox,
     StoreCall,
+    WatchQueue,
 )
 
 DEFAULT_TIMEOUT_MS = 2_000.0
@@ -70,7 +70,7 @@
 
 Reply = TypeVar("Reply")
 
-# Item in a watch's mailbox that reports that the watch was opened.
+# Item in a watch's queue that reports that the watch was opened.
 _OPENED = object()
 
 
@@ -176,13 +176,13 @@
         :raises StoreUnavailable: if the watch cannot be opened or the stream breaks
         """
         self._counters.add("store_calls", kind=WATCH.kind)
-        mailbox = Mailbox()
-        reader = eventlet.spawn(self._read_watch, prefix, revision, mailbox)
+        queue = WatchQueue()
+        reader = eventlet.spawn(self._read_watch, prefix, revision, queue)
         try:
-            if mailbox.take(self._clock, self._timeout_ms) is None:
+            if queue.get(self._clock, self._timeout_ms) is None:
                 raise StoreUnavailable(f"watch was not opened within {self._timeout_ms:.0f} ms")
             while True:
-                yield mailbox.take(self._clock, self._poll_ms)
+                yield queue.get(self._clock, self._poll_ms)
         except StoreUnavailable:
             self._counters.add("store_failures", kind=WATCH.kind)
             raise
@@ -216,7 +216,7 @@
         try:
             return msgspec.json.decode(response.data, type=reply_type)
         except msgspec.DecodeError as error:
-            raise call.doubt(f"reply could not be decoded: {error}") from error
+            raise call.unanswered_error(f"reply could not be decoded: {error}") from error
 
     def _post(self, call: StoreCall, request: msgspec.Struct, timeout: urllib3.Timeout, **options):
         body = msgspec.json.encode(request)
@@ -239,7 +239,7 @@
                 raise StoreUnavailable(f"connection timed out: {error}") from error
             except (HTTPError, OSError) as error:
                 self._move_to_end(url)
-                raise call.doubt(f"no reply: {error}") from error
+                raise call.unanswered_error(f"no reply: {error}") from error
             else:
                 if response.status >= _HTTP_SERVER_ERROR:
                     self._move_to_end(url)
@@ -251,16 +251,16 @@
         if self._urls[0] == url:
             self._urls.rotate(-1)
 
-    def _read_watch(self, prefix: str, revision: int, mailbox: Mailbox) -> None:
-        """Read the stream of a watch into its mailbox, the final error included."""
+    def _read_watch(self, prefix: str, revision: int, queue: WatchQueue) -> None:
+        """Read the stream of a watch into its queue, the final error included."""
         try:
-            self._read_stream(prefix, revision, mailbox)
+            self._read_stream(prefix, revision, queue)
         except StoreError as error:
-            mailbox.put(error)
+            queue.put(error)
         except (HTTPError, OSError, ValueError, msgspec.DecodeError) as error:
-            mailbox.put(StoreUnavailable(f"watch failed: {error}"))
+            queue.put(StoreUnavailable(f"watch failed: {error}"))
 
-    def _read_stream(self, prefix: str, revision: int, mailbox: Mailbox) -> None:
+    def _read_stream(self, prefix: str, revision: int, queue: WatchQueue) -> None:
         key_range = prefix_range(prefix)
         create = WatchCreate(
             key_range.key, key_range.range_end, str(revision + 1), progress_notify=True
@@ -271,22 +271,22 @@
             if response.status != _HTTP_OK:
                 raise _error_for_reply(WATCH, response.status, response.read())
             for line in response:
-                _queue_changes(msgspec.json.decode(line, type=WatchLine).result, mailbox)
+                _queue_changes(msgspec.json.decode(line, type=WatchLine).result, queue)
         finally:
             response.close()
         raise StoreUnavailable("watch stream was closed by the store")
 
 
-def _queue_changes(reply: WatchReply, mailbox: Mailbox) -> None:
+def _queue_changes(reply: WatchReply, queue: WatchQueue) -> None:
     if int(reply.compact_revision):
         raise CompactedRevision(f"changes are compacted up to revision {reply.compact_revision}")
     if reply.canceled:
         raise StoreUnavailable("watch was cancelled by the store")
     if reply.created:
-        mailbox.put(_OPENED)
+        queue.put(_OPENED)
     for event in reply.events:
         value = None if event.type == DELETE_EVENT else event.kv.value
-        mailbox.put(Change(event.kv.key.decode(), value, int(event.kv.mod_revision)))
+        queue.put(Change(event.kv.key.decode(), value, int(event.kv.mod_revision)))
 
 
 def _error_for_reply(call: StoreCall, status: int, body: bytes) -> StoreError:
@@ -296,7 +296,7 @@
         reply = ErrorReply()
     if reply.code == NOT_FOUND and "lease" in reply.message:
         return LeaseExpired(reply.message)
-    error_type = StoreUnavailable if reply.code in REJECTED else call.doubt
+    error_type = StoreUnavailable if reply.code in REJECTED else call.unanswered_error
     return error_type(f"HTTP {status}: {reply.message}")
 
 
--- a/geraniumspool/fence_requests.py
+++ b/geraniumspool/fence_requests.py
@@ -55,7 +55,7 @@
         self._clock = clock
         self._send = send
         self._list_executors = list_executors
-        self.rank = round(clock.wall())
+        self.rank = round(clock.wall_ms())
         self.is_connection_closed: Callable[[str], bool] = _assume_open
         self.find_silent_since: Callable[[str], float | None] = _find_no_silence
         self._unanswered: dict[str, _UnansweredRequest] = {}
--- a/geraniumspool/handover.py
+++ b/geraniumspool/handover.py
@@ -65,7 +65,7 @@
         return 0
 
     def _choose_peers(self) -> list[Peer]:
-        me = self._messenger.me
+        me = self._messenger.local_peer
         near = self._roster.agents(self._home.service, self._domain)
         far = self._roster.agents(self._home.service)
         others = dict.fromkeys(
@@ -79,7 +79,9 @@
         return list(others)[:MAX_PEERS_TRIED]
 
     def _make_batches(self) -> list[Handover]:
-        batches = _split_batches(self._messenger.me, self._home.records(), self._home.watermark)
+        batches = _split_batches(
+            self._messenger.local_peer, self._home.records(), self._home.watermark
+        )
         for archive in self._home.archives.all():
             if archive.is_complete:
                 records = list(archive.records.values())
--- a/geraniumspool/heartbeat.py
+++ b/geraniumspool/heartbeat.py
@@ -93,7 +93,7 @@
         self._clock = clock
         self._describe = describe
         self._configuration = configuration
-        self._random = generator or random.Random(messenger.me.address)
+        self._random = generator or random.Random(messenger.local_peer.address)
         self._seeds: set[str] = set()
         self._avoided_until_ms: dict[Peer, float] = {}
         self._target: Peer | None = None
@@ -194,7 +194,7 @@
             self._roster.keep_foreign(map(peer_of, reply.members))
         self._roster.drop_foreign(reply.released)
         for member in reply.members:
-            if concerns_other_process(member, self._messenger.me):
+            if concerns_other_process(member, self._messenger.local_peer):
                 self._roster.apply_authoritative(member)
         if reply.roster_version:
             self._acknowledged = (sender, self._sent_member)
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -115,7 +115,7 @@
         self._team_work_ms: Counter[str] = Counter()
         self._offers = Offers(messenger, clock, counters, decisions, runner, self, peer_timeout_ms)
         self._placer = Placer(
-            HomeLocation(messenger.me, domain),
+            HomeLocation(messenger.local_peer, domain),
             lambda: self.service,
             clock,
             roster,
@@ -140,7 +140,7 @@
     @property
     def me(self) -> Peer:
         """Return the address and incarnation of this process."""
-        return self._messenger.me
+        return self._messenger.local_peer
 
     def load(self) -> Load:
         """Return the free capacity of this process and the work queued in it."""
--- a/geraniumspool/homes.py
+++ b/geraniumspool/homes.py
@@ -72,7 +72,7 @@
 
         :raises NoHome: if no ready agent serves the service
         """
-        return self._keyring.issue(self.choose(service), service, self._clock.wall())
+        return self._keyring.issue(self.choose(service), service, self._clock.wall_ms())
 
     def choose(self, service: str) -> Peer:
         """Return the less loaded of two agents sampled at random.
--- a/geraniumspool/link.py
+++ b/geraniumspool/link.py
@@ -23,7 +23,7 @@
     WrongIncarnation,
     decode,
     encode,
-    name_kind,
+    kind_name,
 )
 
 # nng runs callbacks on its own threads, which share locks with the main thread. With eventlet's
@@ -64,8 +64,10 @@
 class _InboundHandler:
     """Decodes and validates incoming messages and passes them to the receive callback."""
 
-    def __init__(self, me: Peer, counters: Counters, send_reply: Callable[[Peer, Message], bool]):
-        self._me = me
+    def __init__(
+        self, local_peer: Peer, counters: Counters, send_reply: Callable[[Peer, Message], bool]
+    ):
+        self._local_peer = local_peer
         self._counters = counters
         self._send_reply = send_reply
         self.receive: Receiver | None = None
@@ -77,10 +79,10 @@
         except MalformedMessage:
             self._counters.add("messages_rejected", reason="malformed")
             return
-        if delivery.receiver not in (ANY_INCARNATION, self._me.incarnation):
+        if delivery.receiver not in (ANY_INCARNATION, self._local_peer.incarnation):
             self._reject(delivery)
             return
-        self._counters.add("messages_received", kind=name_kind(delivery.kind))
+        self._counters.add("messages_received", kind=kind_name(delivery.kind))
         try:
             self.receive(delivery)
         except Exception:
@@ -244,10 +246,10 @@
         """
         self._socket = pynng.Pull0(recv_buffer_size=INBOX_MESSAGES)
         self._socket.listen(listen)
-        self.me = Peer(_bound_address(self._socket, listen), incarnation)
+        self.local_peer = Peer(_bound_address(self._socket, listen), incarnation)
         self._clock = clock
         self._counters = counters
-        self._inbound = _InboundHandler(self.me, counters, self.send)
+        self._inbound = _InboundHandler(self.local_peer, counters, self.send)
         self._links: dict[str, _Link] = {}
         self._tasks: list = []
         self.scope = scope
@@ -259,11 +261,11 @@
 
     def send(self, peer: Peer, message: Message) -> bool:
         """Queue a message for a peer; see :class:`~contracts.Messenger`."""
-        if peer == self.me:
-            delivery = Delivery(self.me, peer.incarnation, 0, message)
+        if peer == self.local_peer:
+            delivery = Delivery(self.local_peer, peer.incarnation, 0, message)
             eventlet.spawn_n(self._inbound.receive, delivery)
             return True
-        data = encode(self.me, peer.incarnation, message)
+        data = encode(self.local_peer, peer.incarnation, message)
         kind = type(message).__name__
         scope = self.scope(peer)
         self._counters.add("messages_sent", kind=kind, scope=scope)
@@ -362,13 +364,13 @@
     """Simulated network for tests, with faults that can be injected at any time.
 
     :ivar delay_ms: latency of every message, in milliseconds
-    :ivar double_delay_ms: further latency of the second copy of a duplicated message, in
+    :ivar duplicate_delay_ms: further latency of the second copy of a duplicated message, in
         milliseconds
-    :ivar cut: pairs of sender's and receiver's address between which messages are lost
-    :ivar frozen: undelivered messages of each address whose process is paused
-    :ivar lose_kinds: names of message types to lose
-    :ivar double_kinds: names of message types to deliver twice
-    :ivar draw_delays: function of the sender's and the receiver's address that returns the
+    :ivar partitioned: pairs of sender's and receiver's address between which messages are lost
+    :ivar held_messages: undelivered messages of each address whose process is paused
+    :ivar dropped_kinds: names of message types to lose
+    :ivar duplicated_kinds: names of message types to deliver twice
+    :ivar choose_delays: function of the sender's and the receiver's address that returns the
         latency of each copy of a message, or an empty sequence if the message is lost
     :ivar sent: sender, receiver and message of everything sent, in order
     """
@@ -384,112 +386,112 @@
         self._random = random.Random(seed)
         self._inboxes: dict[str, MemoryMessenger] = {}
         self.delay_ms = delay_ms
-        self.double_delay_ms = 50.0
-        self.cut: set[tuple[str, str]] = set()
-        self.frozen: dict[str, list] = {}
-        self.lose_kinds: set[str] = set()
-        self.double_kinds: set[str] = set()
-        self.draw_delays: Callable[[str, str], Sequence[float]] = self._delay_once
+        self.duplicate_delay_ms = 50.0
+        self.partitioned: set[tuple[str, str]] = set()
+        self.held_messages: dict[str, list] = {}
+        self.dropped_kinds: set[str] = set()
+        self.duplicated_kinds: set[str] = set()
+        self.choose_delays: Callable[[str, str], Sequence[float]] = self._delay_once
         self.sent: list[tuple[Peer, Peer, Message]] = []
 
-    def join(self, messenger: "MemoryMessenger") -> None:
+    def attach(self, messenger: "MemoryMessenger") -> None:
         """Deliver messages for a messenger's address to this messenger."""
-        self._inboxes[messenger.me.address] = messenger
+        self._inboxes[messenger.local_peer.address] = messenger
 
-    def leave(self, messenger: "MemoryMessenger") -> None:
+    def detach(self, messenger: "MemoryMessenger") -> None:
         """Stop delivery to a messenger, as if its process had died."""
-        if self._inboxes.get(messenger.me.address) is messenger:
-            del self._inboxes[messenger.me.address]
+        if self._inboxes.get(messenger.local_peer.address) is messenger:
+            del self._inboxes[messenger.local_peer.address]
 
-    def part(self, one: str, other: str) -> None:
+    def partition(self, one: str, other: str) -> None:
         """Drop all messages between two addresses, in both directions."""
-        self.cut.update({(one, other), (other, one)})
+        self.partitioned.update({(one, other), (other, one)})
 
     def heal(self) -> None:
         """Remove all partitions."""
-        self.cut.clear()
+        self.partitioned.clear()
 
-    def freeze(self, address: str) -> None:
+    def pause(self, address: str) -> None:
         """Hold back all messages to a process, as if it were paused (``SIGSTOP``)."""
-        self.frozen[address] = []
+        self.held_messages[address] = []
 
-    def thaw(self, address: str) -> None:
+    def resume(self, address: str) -> None:
         """Resume a paused process and deliver the messages held back."""
-        for data in self.frozen.pop(address, []):
+        for data in self.held_messages.pop(address, []):
             self._deliver(address, data)
 
-    def has_left(self, address: str) -> bool:
+    def is_detached(self, address: str) -> bool:
         """Return whether no messenger is attached to an address."""
         return address not in self._inboxes
 
-    def carry(self, sender: Peer, receiver: Peer, message: Message) -> None:
+    def transmit(self, sender: Peer, receiver: Peer, message: Message) -> None:
         """Schedule the delivery of one message, subject to the injected faults."""
         self.sent.append((sender, receiver, message))
         kind = type(message).__name__
-        if kind in self.lose_kinds or (sender.address, receiver.address) in self.cut:
+        if kind in self.dropped_kinds or (sender.address, receiver.address) in self.partitioned:
             return
         data = encode(sender, receiver.incarnation, message)
         address = receiver.address
-        for delay_ms in self.draw_delays(sender.address, address):
+        for delay_ms in self.choose_delays(sender.address, address):
             self._clock.after(delay_ms, lambda: self._deliver(address, data))
-        if kind in self.double_kinds:
-            duplicate_ms = self.delay_ms + self.double_delay_ms
+        if kind in self.duplicated_kinds:
+            duplicate_ms = self.delay_ms + self.duplicate_delay_ms
             self._clock.after(duplicate_ms, lambda: self._deliver(address, data))
 
     def _delay_once(self, _sender: str, _receiver: str) -> Sequence[float]:
         return (self.delay_ms,)
 
     def _deliver(self, address: str, data: bytes) -> None:
-        if address in self.frozen:
-            self.frozen[address].append(data)
+        if address in self.held_messages:
+            self.held_messages[address].append(data)
             return
         messenger = self._inboxes.get(address)
         if messenger is not None:
-            messenger.take(data)
+            messenger.handle_data(data)
 
 
 class MemoryMessenger:
     """A messenger on a :class:`MemoryNetwork`."""
 
-    def __init__(self, network: MemoryNetwork, me: Peer, counters: Counters):
+    def __init__(self, network: MemoryNetwork, local_peer: Peer, counters: Counters):
         """Create the messenger; it receives messages only after :meth:`start`.
 
         :param network: the network that delivers the messages
-        :param me: address and incarnation of the process
+        :param local_peer: address and incarnation of the process
         :param counters: where received and rejected messages are counted
         """
-        self.me = me
+        self.local_peer = local_peer
         self._network = network
-        self._inbound = _InboundHandler(me, counters, self.send)
+        self._inbound = _InboundHandler(local_peer, counters, self.send)
 
     def start(self, receive: Receiver) -> None:
         """Attach to the network and pass each incoming message to ``receive``."""
         self._inbound.receive = receive
-        self._network.join(self)
+        self._network.attach(self)
 
     def send(self, peer: Peer, message: Message) -> bool:
         """Send a message, which the network may lose; always return True."""
-        if peer == self.me:
-            self.take_local(Delivery(self.me, peer.incarnation, 0, message))
+        if peer == self.local_peer:
+            self.deliver_locally(Delivery(self.local_peer, peer.incarnation, 0, message))
         else:
-            self._network.carry(self.me, peer, message)
+            self._network.transmit(self.local_peer, peer, message)
         return True
 
-    def take(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Handle an encoded message delivered by the network."""
         self._inbound.handle(data)
 
-    def take_local(self, delivery: Delivery) -> None:
+    def deliver_locally(self, delivery: Delivery) -> None:
         """Deliver a message that the process sent to itself."""
         eventlet.spawn_n(self._inbound.receive, delivery)
 
     def is_connection_closed(self, peer: Peer) -> bool:
         """Return whether no process is attached at the peer's address."""
-        return self._network.has_left(peer.address)
+        return self._network.is_detached(peer.address)
 
     def reset(self, peer: Peer) -> None:
         """Do nothing: a simulated link holds no connection that could stall."""
 
     def stop(self) -> None:
         """Detach from the network."""
-        self._network.leave(self)
+        self._network.detach(self)
--- a/geraniumspool/logs.py
+++ b/geraniumspool/logs.py
@@ -42,7 +42,7 @@
         return json.dumps(line)
 
 
-def set_up(level: str, stream: TextIO) -> logging.Handler:
+def configure_logging(level: str, stream: TextIO) -> logging.Handler:
     """Write all logs of this process to ``stream`` as JSON lines.
 
     Replaces the existing handlers of the root logger.
--- a/geraniumspool/memory_store.py
+++ b/geraniumspool/memory_store.py
@@ -20,8 +20,8 @@
     TXN,
     WATCH,
     WATCH_POLL_MS,
-    Mailbox,
     StoreCall,
+    WatchQueue,
 )
 
 # Changes kept for watches that start at an older revision.
@@ -76,7 +76,7 @@
         self._compacted = 0
         self._grants: dict[int, _GrantedLease] = {}
         self._lease_ids = itertools.count(1)
-        self._watchers: list[Mailbox] = []
+        self._watchers: list[WatchQueue] = []
 
     @property
     def down(self) -> bool:
@@ -87,8 +87,8 @@
     def down(self, down: bool) -> None:
         self._down = down
         if down:
-            for mailbox in self._watchers:
-                mailbox.put(StoreUnavailable("watch failed: the store is down"))
+            for queue in self._watchers:
+                queue.put(StoreUnavailable("watch failed: the store is down"))
 
     @property
     def revision(self) -> int:
@@ -177,27 +177,27 @@
         self._read(WATCH)
         if revision < self._compacted:
             raise CompactedRevision(f"changes are compacted up to revision {self._compacted}")
-        mailbox = Mailbox(prefix)
+        queue = WatchQueue(prefix)
         for change in self._history:
             if change.revision > revision and change.key.startswith(prefix):
-                mailbox.put(change)
-        self._watchers.append(mailbox)
-        changes = self._read_changes(mailbox)
+                queue.put(change)
+        self._watchers.append(queue)
+        changes = self._read_changes(queue)
         next(changes)
         return changes
 
-    def _read_changes(self, mailbox: Mailbox) -> Iterator[Change | None]:
+    def _read_changes(self, queue: WatchQueue) -> Iterator[Change | None]:
         try:
             # watch() consumes this item: closing a generator that was never started would not run
             # the finally clause.
             yield None
             while True:
-                yield mailbox.take(self._clock, WATCH_POLL_MS)
+                yield queue.get(self._clock, WATCH_POLL_MS)
         except StoreUnavailable:
             self._count("store_failures", WATCH)
             raise
         finally:
-            self._watchers.remove(mailbox)
+            self._watchers.remove(queue)
 
     def _count(self, name: str, call: StoreCall) -> None:
         if self._counters:
@@ -227,7 +227,7 @@
     def _raise_if_late(self, call: StoreCall, in_time: bool) -> None:
         if not in_time:
             raise self._count_failure(
-                call, call.doubt(f"no reply within {self._timeout_ms:.0f} ms")
+                call, call.unanswered_error(f"no reply within {self._timeout_ms:.0f} ms")
             )
 
     def _read(self, call: StoreCall) -> None:
@@ -274,9 +274,9 @@
         self._history.append(change)
         if len(self._history) > self._history_limit:
             self._compacted = self._history.popleft().revision
-        for mailbox in self._watchers:
-            if change.key.startswith(mailbox.prefix):
-                mailbox.put(change)
+        for queue in self._watchers:
+            if change.key.startswith(queue.prefix):
+                queue.put(change)
 
     def _find_lease(self, lease: int) -> _GrantedLease:
         grant = self._grants.get(lease)
--- a/geraniumspool/messages.py
+++ b/geraniumspool/messages.py
@@ -561,12 +561,12 @@
     return msgspec.msgpack.Decoder(_MESSAGE_TYPES[kind])
 
 
-def kind_of(message_type: type) -> int:
+def kind_number(message_type: type) -> int:
     """Return the kind number of a message type."""
     return _KIND_BY_TYPE[message_type]
 
 
-def name_kind(kind: int) -> str:
+def kind_name(kind: int) -> str:
     """Return the type name of a kind number, for logs and metrics."""
     return _MESSAGE_TYPES[kind].__name__
 
--- a/geraniumspool/metrics.py
+++ b/geraniumspool/metrics.py
@@ -27,14 +27,14 @@
     Every instance has its own registry, so a process can have several instances.
     """
 
-    def __init__(self, role: str, domain: str, counted: MemoryCounters | None = None):
+    def __init__(self, role: str, domain: str, counters: MemoryCounters | None = None):
         """Create the OpenTelemetry meter and its registry.
 
         :param role: role of the process, such as ``entry`` or ``agent``
         :param domain: failure domain of the process
-        :param counted: existing counters to export instead of new ones
+        :param counters: existing counters to export instead of new ones
         """
-        super().__init__(counted)
+        super().__init__(counters)
         self._gauges: dict[str, Callable[[], float]] = {}
         self._registered: set[str] = set()
         self._registry = CollectorRegistry()
@@ -83,7 +83,7 @@
 
     def _counter_reader(self, name: str) -> Callable[[CallbackOptions], Iterator[Observation]]:
         def read(_options: CallbackOptions) -> Iterator[Observation]:
-            for key, value in self.merged(name).items():
+            for key, value in self.series(name).items():
                 yield Observation(value, dict(key))
 
         return read
--- a/geraniumspool/metrics_page.py
+++ b/geraniumspool/metrics_page.py
@@ -6,13 +6,13 @@
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.reply import Reply
 from geraniumspool.routes import Request, Route
-from geraniumspool.web import Application
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 _LOG = logging.getLogger(__name__)
 
 
-class MetricsPage(Application):
+class MetricsPage(WebApplication):
     """WSGI application that serves ``/metrics``.
 
     The modules that render metrics are imported at the first request, which saves memory in a
--- a/geraniumspool/offers.py
+++ b/geraniumspool/offers.py
@@ -135,7 +135,7 @@
         offered = tuple(self._open(worker, task, service, limit_ms) for task in tasks)
         message = Offer(worker.floor(self._next_number), offered, more, self._runner.load())
         self._watch(worker)
-        if worker.peer == self._messenger.me:
+        if worker.peer == self._messenger.local_peer:
             self._runner.handle_offer(worker.peer, message)
         else:
             self._messenger.send(worker.peer, message)
@@ -181,12 +181,14 @@
         if worker is None:
             return
         worker.suspect_until = max(worker.suspect_until, self._clock.now() + SUSPECT_MS)
-        if worker.open and peer != self._messenger.me:
+        if worker.open and peer != self._messenger.local_peer:
             self._send_revoke(worker, worker.open, False)
 
     def peers_lateness(self) -> float:
         """Return the median lateness of the other workers, or 0 if none is known."""
-        peers = [worker for worker in self._workers.values() if worker.peer != self._messenger.me]
+        peers = [
+            worker for worker in self._workers.values() if worker.peer != self._messenger.local_peer
+        ]
         if len(peers) > MAX_COMPARED_WORKERS:
             peers = random.sample(peers, MAX_COMPARED_WORKERS)
         return statistics.median_low([0.0, *(worker.load.lateness for worker in peers)])
@@ -287,7 +289,7 @@
         worker.revoking.update(numbers)
         message = Revoke(worker.floor(self._next_number), numbers, stop)
         self._counters.add("offers_revoked", len(numbers))
-        if worker.peer == self._messenger.me:
+        if worker.peer == self._messenger.local_peer:
             self._runner.handle_revoke(worker.peer, message)
             return
         self._messenger.send(worker.peer, message)
--- a/geraniumspool/operations.py
+++ b/geraniumspool/operations.py
@@ -284,7 +284,7 @@
 def _configure_logging(settings: Any) -> None:
     from geraniumspool import logs
 
-    logs.set_up(settings.log_level, sys.stderr)
+    logs.configure_logging(settings.log_level, sys.stderr)
 
 
 def _return_job_failure(call: Callable[[], Any]) -> Any:
--- a/geraniumspool/operators.py
+++ b/geraniumspool/operators.py
@@ -265,7 +265,7 @@
         if not found:
             raise NotFound(f"no living process has the address {drain_request.address!r}")
         peer = peer_of(found[0])
-        if peer == self._messenger.me:
+        if peer == self._messenger.local_peer:
             self._request_exit()
         else:
             self._messenger.send(peer, Drain(drain_request.who, drain_request.why))
@@ -286,7 +286,7 @@
         incarnation = parse_decision_id(name)
         if incarnation is None:
             raise NotFound(f"{name!r} is no decision's id")
-        if incarnation == self._messenger.me.incarnation:
+        if incarnation == self._messenger.local_peer.incarnation:
             decision = self._decisions.get(name)
             rows = [] if decision is None else [describe(decision)]
         else:
--- a/geraniumspool/platform/executor_program.py
+++ b/geraniumspool/platform/executor_program.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from geraniumspool.application import draw_incarnation
-from geraniumspool.bounded_log import set_up_bounded
+from geraniumspool.application import new_incarnation
+from geraniumspool.bounded_log import configure_rate_limited_logging
 from geraniumspool.clock import SystemClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings, load_settings
@@ -26,9 +26,9 @@
     """
     settings = load_settings(path, ExecutorSettings)
     clock = SystemClock()
-    set_up_bounded(settings.log_level, sys.stdout.fileno(), clock)
+    configure_rate_limited_logging(settings.log_level, sys.stdout.fileno(), clock)
     metrics = MemoryCounters()
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = KeyValueStore(settings.store, clock, metrics)
     control = HttpMinionControl(clock, metrics)
     agent = ExecutorProcess(
--- a/geraniumspool/platform/ingress.py
+++ b/geraniumspool/platform/ingress.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from geraniumspool.connection import CONNECTION, UNATTACHED
+from geraniumspool.connection import CONNECTION_KEY, NO_CONNECTION
 from geraniumspool.contracts import Counters
 from geraniumspool.job_router import JobRouter, RoutedJob
 from geraniumspool.job_specs import JobOutcome, JobResult, JobSpec, StepSpec
@@ -17,7 +17,7 @@
 from geraniumspool.rooms import Resources
 from geraniumspool.routes import Request, Route
 from geraniumspool.units import MS_PER_SECOND
-from geraniumspool.web import Application
+from geraniumspool.web import WebApplication
 
 _LOG = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
     times: int = 0
 
 
-class Ingress(Application):
+class Ingress(WebApplication):
     """WSGI application that submits, cancels and counts callers' jobs.
 
     Paths begin with a queue's prefix, which only the configuration knows, so that requests
@@ -91,7 +91,7 @@
         self._configuration = configuration
 
     def dispatch(self, environ: dict[str, Any], body: bytes) -> Reply:
-        """Answer one request; see :meth:`geraniumspool.web.Application.dispatch`."""
+        """Answer one request; see :meth:`geraniumspool.web.WebApplication.dispatch`."""
         table = self._configuration.table
         if table is None:
             return _refuse(503, "configuration_unknown", MS_PER_SECOND)
@@ -131,15 +131,15 @@
 
     def _wait_for_result(self, environ: dict[str, Any], job: RoutedJob) -> JobResult:
         """Wait for a job's result; the job is left if its caller closes the connection."""
-        connection = environ.get(CONNECTION, UNATTACHED)
-        unwatch = connection.watch_caller(lambda: self._router.remove_waiter(job))
+        connection = environ.get(CONNECTION_KEY, NO_CONNECTION)
+        unwatch = connection.watch_disconnect(lambda: self._router.remove_waiter(job))
         try:
             return self._router.wait(job)
         finally:
             unwatch()
 
 
-class ReadyCheck(Application):
+class ReadyCheck(WebApplication):
     """WSGI application that tells a load balancer whether to send new connections here."""
 
     def __init__(self, is_ready: Callable[[], bool], counters: Counters):
--- a/geraniumspool/platform/reports.py
+++ b/geraniumspool/platform/reports.py
@@ -11,7 +11,7 @@
 from geraniumspool.reply import Reply, reply_json, reply_problem
 from geraniumspool.rooms import Resources
 from geraniumspool.routes import Request, Route
-from geraniumspool.web import Application
+from geraniumspool.web import WebApplication
 
 _LOG = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
     born: int = 0
 
 
-class MinionReportsApplication(Application):
+class MinionReportsApplication(WebApplication):
     """WSGI application that passes a minion's reports to the executor."""
 
     def __init__(self, executor: Executor, counters: Counters):
--- a/geraniumspool/program.py
+++ b/geraniumspool/program.py
@@ -22,7 +22,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Application(Protocol):
+class RunnableProgram(Protocol):
     """Program that :func:`run_application` can run."""
 
     def start(self) -> None:
@@ -41,7 +41,7 @@
         """Apply changed settings."""
 
 
-def run_application(app: Application, output: TextIO | None = None) -> int:
+def run_application(app: RunnableProgram, output: TextIO | None = None) -> int:
     """Run a program until SIGTERM, SIGINT or its own exit request, then drain and stop it.
 
     Prints one line of JSON when the program is ready. SIGHUP reloads the
@@ -66,7 +66,7 @@
     return OK if drained else FAILED
 
 
-def _reload(app: Application) -> None:
+def _reload(app: RunnableProgram) -> None:
     # A signal handler may interrupt any code, so the reload runs in a green thread.
     eventlet.spawn_n(getattr(app, "reload", lambda: None))
 
@@ -95,7 +95,7 @@
         eventlet.sleep(SIGNAL_POLL_MS / MS_PER_SECOND)
 
 
-def _drain_until_signal(app: Application, received: list[int]) -> bool:
+def _drain_until_signal(app: RunnableProgram, received: list[int]) -> bool:
     before = len(received)
     task = eventlet.spawn(app.drain)
     _poll_until(lambda: task.dead or len(received) > before)
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -78,7 +78,7 @@
             clock,
             configuration,
             lambda: self.period_ms,
-            generator or random.Random(messenger.me.address),
+            generator or random.Random(messenger.local_peer.address),
         )
         self._reports = Reports(clock, heartbeat_timeout_ms)
         self._revisions = Revisions(
@@ -146,7 +146,7 @@
         if peer_of(member) != sender:
             return
         member = member._replace(load=member.load.round_up())
-        if heartbeat.roster_entry not in (0, self._messenger.me.incarnation):
+        if heartbeat.roster_entry not in (0, self._messenger.local_peer.incarnation):
             self._handle_copy(heartbeat)
             return
         self._roster.apply_direct(member)
@@ -159,7 +159,7 @@
         if member is None:
             self._replies.ask_again(sender)
             return
-        known = (self._messenger.me.incarnation, heartbeat.roster_version)
+        known = (self._messenger.local_peer.incarnation, heartbeat.roster_version)
         self._replies.send(sender, Heartbeat(member, *known, heartbeat.config_revision))
 
     def handle_digest(self, sender: Peer, digest: Digest) -> None:
@@ -171,7 +171,7 @@
         else:
             self._roster.apply_relayed(digest.sender, sender)
         for member in digest.members:
-            if concerns_other_process(member, self._messenger.me):
+            if concerns_other_process(member, self._messenger.local_peer):
                 self._roster.apply_relayed(member, sender)
         self._reports.take(sender, digest)
         self._revisions.take(digest)
@@ -214,7 +214,7 @@
             return
         self._checked_version = self._roster.version
         unreported = ReportOrigin()
-        me = self._messenger.me
+        me = self._messenger.local_peer
         for member in self._roster.members():
             peer = peer_of(member)
             if peer == me or member.domain != self._roster.domain or is_final(member):
--- a/geraniumspool/routes.py
+++ b/geraniumspool/routes.py
@@ -50,7 +50,7 @@
     handler: Callable[[Request], Reply]
 
 
-class Node:
+class RouteNode:
     """Node of the routing tree, reached by one path segment.
 
     :ivar children: next nodes by literal segment; None is the key of a ``{…}`` segment
@@ -59,7 +59,7 @@
 
     def __init__(self):
         """Create a node without children and handlers."""
-        self.children: dict[str | None, Node] = {}
+        self.children: dict[str | None, RouteNode] = {}
         self.handlers: dict[str, Callable[[Request], Reply]] = {}
 
 
@@ -68,7 +68,7 @@
 
     def __init__(self, routes: Iterable[Route]):
         """Build the routing tree."""
-        self._root = Node()
+        self._root = RouteNode()
         for route in routes:
             self._add(route)
 
@@ -76,10 +76,10 @@
         node = self._root
         for segment in route.pattern.split("/")[1:]:
             key = _PARAMETER if segment.startswith("{") else segment
-            node = node.children.setdefault(key, Node())
+            node = node.children.setdefault(key, RouteNode())
         node.handlers[route.method] = route.handler
 
-    def find(self, path: str) -> tuple[Node, tuple[str, ...]]:
+    def find(self, path: str) -> tuple[RouteNode, tuple[str, ...]]:
         """Return the node that a path ends at and the values of its ``{…}`` segments.
 
         :param path: path as sent (not percent-decoded), without the query
--- a/geraniumspool/runner.py
+++ b/geraniumspool/runner.py
@@ -500,7 +500,7 @@
         self, home_offers: HomeOffers, task: OfferedTask, result: TaskResult
     ) -> bool:
         """Return whether to send a result at once instead of holding it to join others."""
-        if home_offers.home == self._messenger.me or not result.ok:
+        if home_offers.home == self._messenger.local_peer or not result.ok:
             return True
         if home_offers.open_tasks[task.job] <= 0:
             return True
--- a/geraniumspool/scope.py
+++ b/geraniumspool/scope.py
@@ -7,7 +7,7 @@
 from geraniumspool.roster import Roster
 
 
-def scope_by(roster: Roster, domain: str) -> Callable[[Peer], str]:
+def make_scope_classifier(roster: Roster, domain: str) -> Callable[[Peer], str]:
     """Return a function that classifies a peer by its failure domain.
 
     The function returns ``SCOPE_CROSS`` for a peer in another failure domain, and
--- a/geraniumspool/store.py
+++ b/geraniumspool/store.py
@@ -18,13 +18,13 @@
 
     :param kind: label value in the counters
     :param path: path at etcd's JSON gateway
-    :param doubt: error type to raise if there is no reply: ``StoreUnknown`` for a call that may
-        have taken effect
+    :param unanswered_error: error type to raise if there is no reply: ``StoreUnknown`` for a call
+        that may have taken effect
     """
 
     kind: str
     path: str
-    doubt: type[StoreError]
+    unanswered_error: type[StoreError]
 
 
 RANGE = StoreCall("range", RANGE_PATH, StoreUnavailable)
@@ -34,7 +34,7 @@
 WATCH = StoreCall("watch", WATCH_PATH, StoreUnavailable)
 
 
-class Mailbox:
+class WatchQueue:
     """Queue of a watch: any number of writers, one reader.
 
     :ivar prefix: prefix of the watched keys
@@ -55,7 +55,7 @@
         if not self._woken.ready():
             self._woken.send()
 
-    def take(self, clock: Clock, timeout_ms: float):
+    def get(self, clock: Clock, timeout_ms: float):
         """Return the next item, or None on timeout.
 
         :param clock: source of time for the timeout
--- a/geraniumspool/web.py
+++ b/geraniumspool/web.py
@@ -13,11 +13,11 @@
 
 import eventlet
 
-from geraniumspool.connection import CONNECTION, UNATTACHED, Attachable
+from geraniumspool.connection import CONNECTION_KEY, NO_CONNECTION, ConnectionCallbacks
 from geraniumspool.contracts import Counters
 from geraniumspool.errors import DispatchError, MethodNotAllowed, PayloadTooLarge
 from geraniumspool.reply import STATUS_LINES, Reply, reply_error, reply_problem
-from geraniumspool.routes import Node, Request, Route, Router
+from geraniumspool.routes import Request, Route, RouteNode, Router
 
 BODY_INCOMPLETE = "body_incomplete"
 ENCODING_UNSUPPORTED = "transfer_encoding_unsupported"
@@ -41,7 +41,7 @@
         self.reusable = reusable
 
 
-class Application:
+class WebApplication:
     """WSGI callable that dispatches requests to the handlers of its routes."""
 
     def __init__(
@@ -66,7 +66,7 @@
 
     def __call__(self, environ: dict[str, Any], start_response: Callable) -> list[bytes]:
         """Answer one request according to WSGI (PEP 3333)."""
-        connection = environ.get(CONNECTION, UNATTACHED)
+        connection = environ.get(CONNECTION_KEY, NO_CONNECTION)
         reusable = True
         try:
             body = self._read_body(environ, connection)
@@ -113,7 +113,7 @@
         query = _parse_query(environ.get("QUERY_STRING"))
         return handler(Request(method, path, parameters, query, environ, body))
 
-    def _read_body(self, environ: dict[str, Any], connection: Attachable) -> bytes:
+    def _read_body(self, environ: dict[str, Any], connection: ConnectionCallbacks) -> bytes:
         encoding = environ.get("HTTP_TRANSFER_ENCODING")
         length = environ.get("CONTENT_LENGTH")
         if encoding is not None:
@@ -130,7 +130,7 @@
         body = _read_stream(
             environ["wsgi.input"], self._max_body_bytes + 1 if size is None else size
         )
-        connection.begin_work()
+        connection.begin_handling()
         if size is None and len(body) > self._max_body_bytes:
             raise self._body_too_large()
         if size is not None and len(body) < size:
@@ -156,7 +156,7 @@
     return _RejectedRequest(reply_problem(status, code, detail), reusable)
 
 
-def _reply_method_not_allowed(method: str, node: Node) -> Reply:
+def _reply_method_not_allowed(method: str, node: RouteNode) -> Reply:
     allowed = ", ".join(sorted(node.handlers))
     reply = reply_error(MethodNotAllowed(f"{method} is not one of {allowed}"))
     return reply._replace(headers=(("Allow", allowed),))
--- a/geraniumspool/webserver.py
+++ b/geraniumspool/webserver.py
@@ -18,11 +18,11 @@
 BACKLOG = 1024
 MAX_HEADER_BYTES = 16 << 10
 # Interval of the check for connections past their time limit.
-SWEEP_MS = 500.0
+EXPIRY_CHECK_MS = 500.0
 # Pause after a failed accept.
 ACCEPT_PAUSE_S = 0.05
 # Rounds of the hub that a drain waits, so that connections queued by the kernel are accepted.
-SETTLE_TURNS = 5
+ACCEPT_ROUNDS = 5
 # Time that idle connections stay open during a drain, for requests already on their way.
 IDLE_GRACE_MS = 250.0
 
@@ -82,7 +82,7 @@
         self.connections: set[Connection] = set()
         self.max_header_bytes = max_header_bytes
         self.draining = False
-        self.retiring = False
+        self.keep_alive_disabled = False
         self.address = listen
         self._application = application
         self._pool = eventlet.GreenPool(max_connections)
@@ -103,9 +103,9 @@
         eventlet.sleep(0)
         self._expire_connections()
 
-    def retire(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Keep serving, but close each connection after its next reply."""
-        self.retiring = True
+        self.keep_alive_disabled = True
 
     def drain(self, limit_ms: float) -> bool:
         """Stop accepting connections and wait for the requests in flight.
@@ -120,7 +120,7 @@
             return True
         if not self.draining:
             # First accept the connections that the kernel has queued already.
-            for _ in range(SETTLE_TURNS):
+            for _ in range(ACCEPT_ROUNDS):
                 eventlet.sleep(0)
             self._stop_accepting()
             self.clock.after(min(IDLE_GRACE_MS, limit_ms / 2), self._close_idle)
@@ -166,7 +166,7 @@
         for connection in list(self.connections):
             connection.expire(now)
         if not self._finished.ready():
-            self._expiry_timer = self.clock.after(SWEEP_MS, self._expire_connections)
+            self._expiry_timer = self.clock.after(EXPIRY_CHECK_MS, self._expire_connections)
 
 
 def _listen(address: str) -> Any:
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -241,7 +241,7 @@
 
     @property
     def address(self):
-        return self.messenger.me.address
+        return self.messenger.local_peer.address
 
     def submit(self, spec, queue=QUEUE, timeout_ms=3_000.0):
         """Submit a job; return its caller, who gets the result once there is one."""
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -73,7 +73,7 @@
         return code
 
 
-class Fleet:
+class ProcessSystem:
     """A complete system, each part a process of its own.
 
     :ivar slots: slots of each minion
@@ -172,7 +172,7 @@
         """Return the addresses of all entries' interfaces for callers."""
         return [entry.ready["callers"] for entry in self.entries]
 
-    def ask(self, entry: Program, path: str, method: str = "GET", body=None):
+    def call_operators(self, entry: Program, path: str, method: str = "GET", body=None):
         """Send a request to the operators' interface of an entry; return status and document."""
         reply = self.http.request(
             method,
@@ -185,10 +185,10 @@
 
     def ready_agents(self, entry: Program) -> int:
         """Return the number of agents that are ready according to an entry."""
-        _, status = self.ask(entry, "/v1/status")
+        _, status = self.call_operators(entry, "/v1/status")
         return sum(domain["ready"] for domain in status["domains"])
 
-    def starts(self) -> dict[str, int]:
+    def sum_starts(self) -> dict[str, int]:
         """Return the counts of task starts, summed over the running minions."""
         total: dict[str, int] = {}
         for minion in self.minions:
--- a/tests/small.py
+++ b/tests/small.py
@@ -30,7 +30,7 @@
 SLOTS, ALL_SLOTS = 2, 2 * len(DOMAINS)
 WAIT_S, POLL_S = 20.0, 0.02
 HEARTBEAT = {"heartbeat_period_ms": 200}
-Answered = namedtuple("Answered", "status headers body")
+HttpReply = namedtuple("HttpReply", "status headers body")
 
 
 def make_task(value, run_ms: float = 0) -> dict:
@@ -55,7 +55,7 @@
     return change | {"who": "tester", "why": "a test"} | fields
 
 
-def point_commands(test: unittest.TestCase, address: str, token: str) -> None:
+def direct_commands_to(test: unittest.TestCase, address: str, token: str) -> None:
     """Set the environment variables that direct operators' commands to an entry, for one test."""
     variables = {ENTRY_VARIABLE: address, TOKEN_VARIABLE: token}
     patch = mock.patch.dict(os.environ, variables)
@@ -91,7 +91,7 @@
         eventlet.sleep(POLL_S)
 
 
-class Small:
+class SmallSystem:
     """A store, and in each failure domain an entry and an agent with its minion.
 
     :ivar store: stand-in for the key-value store
@@ -137,23 +137,25 @@
         list(eventlet.GreenPool().imap(lambda part: part.stop(), parts))
         logging.disable(logging.NOTSET)
 
-    def call(self, method: str, path: str, body=None, entry=0, to="callers", **headers) -> Answered:
+    def call(
+        self, method: str, path: str, body=None, entry=0, interface="callers", **headers
+    ) -> HttpReply:
         """Send a request to an HTTP interface of an entry and return the reply.
 
         :param body: value to send as JSON, or bytes to send unchanged
         :param entry: index of the entry
-        :param to: interface, ``callers`` or ``operators``
+        :param interface: interface, ``callers`` or ``operators``
         :param headers: request headers, with underscores for hyphens
         """
-        url = f"http://{self.entries[entry].ready_line()[to]}{path}"
+        url = f"http://{self.entries[entry].ready_line()[interface]}{path}"
         data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
         headers = {name.replace("_", "-"): text for name, text in headers.items()}
         limits = {"retries": False, "timeout": WAIT_S}
         reply = urllib3.request(method, url, body=data, headers=headers, **limits)
         is_json = "json" in reply.headers.get("Content-Type", "")
-        return Answered(reply.status, reply.headers, reply.json() if is_json else reply.data)
+        return HttpReply(reply.status, reply.headers, reply.json() if is_json else reply.data)
 
-    def operate(self, method: str, path: str, body=None, entry=0, token=TOKEN) -> Answered:
+    def call_operators(self, method: str, path: str, body=None, entry=0, token=TOKEN) -> HttpReply:
         """Send a request to the operators' interface of an entry and return the reply."""
         headers = {} if token is None else {"Authorization": f"Bearer {token}"}
         return self.call(method, path, body, entry, "operators", **headers)
@@ -166,19 +168,19 @@
         order = {"service": SERVICE, "team": TEAM}
         return self.call("POST", "/v1/tickets", order, agent).body["tickets"][0]
 
-    def put(self, ticket: str, tasks: list[dict], entry: int = 0, **fields) -> Answered:
+    def submit(self, ticket: str, tasks: list[dict], entry: int = 0, **fields) -> HttpReply:
         """Submit a job under a ticket and return the reply."""
         return self.call("PUT", f"/v1/jobs/{ticket}", make_job(tasks, **fields), entry)
 
-    def block(self, tasks: int = ALL_SLOTS) -> str:
-        """Occupy all slots with a job whose tasks run until :meth:`unblock`; return its ticket."""
+    def occupy_slots(self, tasks: int = ALL_SLOTS) -> str:
+        """Occupy all slots with a job that runs until :meth:`free_slots`; return its ticket."""
         ticket = self.ticket()
-        eventlet.spawn(self.put, ticket, [make_task(0, 60_000)] * tasks, deadline_ms=600_000)
+        eventlet.spawn(self.submit, ticket, [make_task(0, 60_000)] * tasks, deadline_ms=600_000)
         wait_until(lambda: self.running() == ALL_SLOTS)
         return ticket
 
-    def unblock(self, ticket: str) -> None:
-        """Cancel a job of :meth:`block` and wait until its tasks have stopped."""
+    def free_slots(self, ticket: str) -> None:
+        """Cancel a job of :meth:`occupy_slots` and wait until its tasks have stopped."""
         self.call("DELETE", f"/v1/jobs/{ticket}")
         wait_until(lambda: self.running() == 0)
 
@@ -190,7 +192,7 @@
         """Return the number of tasks that the minions have started."""
         return sum(minion.report()["starts"] for minion in self.minions)
 
-    def leave(self, number: int) -> None:
+    def drain_agent(self, number: int) -> None:
         """Drain and stop an agent that was asked to leave, and wait until the entries know."""
         agent = self.agents[number]
         wait_until(lambda: agent.exit_requested)
@@ -212,8 +214,8 @@
     @classmethod
     def setUpClass(cls):
         """Start the system."""
-        cls.small = Small(**cls.SETTINGS)
-        cls.addClassCleanup(cls.small.stop)
+        cls.system = SmallSystem(**cls.SETTINGS)
+        cls.addClassCleanup(cls.system.stop)
 
     def assert_problem(self, answered, status, code, outcome=None):
         """Check status, code, type and outcome of an error reply."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,7 +6,7 @@
 
 from geraniumspool.admission import DEADLINE_SHARE
 from geraniumspool.job import Width
-from tests.small import ALL_SLOTS, Small, make_task, wait_until
+from tests.small import ALL_SLOTS, SmallSystem, make_task, wait_until
 
 
 class AdmissionTest(unittest.TestCase):
@@ -27,14 +27,14 @@
                 self.assertEqual(reply.status, 200, reply.body)
 
     def _submit_behind_wide(self, tasks: list[dict], deadline_ms: float):
-        system = Small()
+        system = SmallSystem()
         self.addCleanup(system.stop)
         wide, ticket = system.ticket(), system.ticket()
         ahead = [make_task(0, 300)] * 80
-        waiting = eventlet.spawn(system.put, wide, ahead, deadline_ms=60_000)
+        waiting = eventlet.spawn(system.submit, wide, ahead, deadline_ms=60_000)
         wait_until(lambda: system.running() == ALL_SLOTS)
         try:
-            return system.put(ticket, tasks, deadline_ms=deadline_ms)
+            return system.submit(ticket, tasks, deadline_ms=deadline_ms)
         finally:
             system.call("DELETE", f"/v1/jobs/{wide}")
             waiting.wait()
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -28,7 +28,7 @@
     def __init__(self, clock):
         """Derive the time from another clock."""
         self.now = clock.now
-        self.wall = lambda: clock.wall() - CLOCK_SKEW_MS
+        self.wall_ms = lambda: clock.wall_ms() - CLOCK_SKEW_MS
 
 
 class BindingTest(unittest.TestCase):
@@ -43,7 +43,7 @@
 
     def key(self, text: str, age_ms: float = 0.0) -> IdempotencyKey:
         """Return a key whose timestamp is ``age_ms`` in the past."""
-        return IdempotencyKey(text, int(self.clock.wall() - age_ms))
+        return IdempotencyKey(text, int(self.clock.wall_ms() - age_ms))
 
     def test_key(self):
         """A key is a UUID of version 7 with a timestamp; any other text is refused."""
@@ -130,7 +130,7 @@
             eventlet.spawn(binding.bind, "t", self.key("k"), f"ticket-{number}")
             for number, binding in enumerate(bindings)
         ]
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertEqual(len({task.wait() for task in tasks}), 1)
 
     def test_answer_lost(self):
--- a/tests/test_claim_gaps.py
+++ b/tests/test_claim_gaps.py
@@ -60,7 +60,7 @@
 
     def partition(self, address, others):
         for other in others:
-            self.world.network.part(address, other)
+            self.world.network.partition(address, other)
 
     def run_for_each_job(self, scenario, count=4):
         """Run a scenario with several job ids, thus with different arbiters, in new worlds."""
@@ -95,7 +95,7 @@
         self.place(0, spec)
         self.advance(START_MS)
         self.assertEqual(1, self.world.start_count("j.0.0.0"))
-        other = self.all_dispatchers[1].messenger.me
+        other = self.all_dispatchers[1].messenger.local_peer
         self.all_dispatchers[0].claims.handle_claim_jobs(
             other, ClaimJobs((Claim(1, "j", 3_000.0, 99),), (), 1)
         )
@@ -371,7 +371,7 @@
 
         :param wanted: returns whether to deliver a message, given sender, receiver and message
         """
-        self.clock.settle()
+        self.clock.run_ready_threads()
         handlers = {
             ClaimJobs: "handle_claim_jobs",
             OpenClaims: "handle_open_claims",
@@ -383,7 +383,7 @@
             if type(message) in handlers:
                 peer = Peer(sender, self.claims[sender].incarnation)
                 getattr(self.claims[receiver], handlers[type(message)])(peer, message)
-            self.clock.settle()
+            self.clock.run_ready_threads()
 
     def test_a_list_of_open_claims_does_not_release_a_pending_claim(self):
         job, arbiters = next(
@@ -396,7 +396,7 @@
         self.claims["a"].update_members()
         self.messages.held.clear()
         self.claims["a"].claim(Job(job))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         # It sends another list before the answers to its claim arrive.
         self.deliver(lambda sender, receiver, _m: sender == "a" and receiver != "a")
         self.claims["a"].update_members()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 from geraniumspool import cli, exit_codes, program
 from geraniumspool.arguments import ENTRY_VARIABLE
 from geraniumspool.operator_answers import DomainStatus, MemberStatus
-from tests.small import make_change, point_commands, serve
+from tests.small import direct_commands_to, make_change, serve
 from tests.small import run_command as run
 
 TOKEN = "a-token-for-tests"
@@ -56,7 +56,7 @@
 
     def setUp(self):
         self.entry = ScriptedEntry()
-        point_commands(self, serve(self, self.entry), TOKEN)
+        direct_commands_to(self, serve(self, self.entry), TOKEN)
         with tempfile.NamedTemporaryFile("w", suffix=".yaml", delete=False) as file:
             file.write("service: fitting\n")
         self.addCleanup(os.unlink, file.name)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -21,7 +21,7 @@
 from geraniumspool.errors import LinkDown
 from geraniumspool.reply import Reply, reply_json, reply_problem
 from geraniumspool.routes import Route
-from geraniumspool.web import Application
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 DEADLINE_MS = 5000.0
@@ -129,7 +129,7 @@
             Route("DELETE", "/v1/jobs/{ticket}", self._other),
             Route("GET", "/v1/jobs/{ticket}/decisions", self._other),
         ]
-        application = Application(routes, 100_000, FakeCounters(), logging.getLogger("tests"))
+        application = WebApplication(routes, 100_000, FakeCounters(), logging.getLogger("tests"))
         server = WebServer(application, "127.0.0.1:0", SystemClock())
         server.start()
         test.addCleanup(server.stop)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -174,7 +174,7 @@
         self.author = EntryParts(self.clock, self.store)
         task = eventlet.spawn(self.entry.watcher.run)
         self.addCleanup(task.kill)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def test_follows_changes(self):
         first = self.author.propose(make_body(2), 0, "c1")
@@ -187,7 +187,7 @@
     def test_outage_keeps_what_is_in_force(self):
         self.author.propose(make_body(2), 0, "c1")
         self.store.down = True
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertEqual(WATCH_WAITING, self.entry.watcher.state)
         before = self.entry.watcher.last_contact_ms
         calls = self.store.calls.total()
@@ -203,7 +203,7 @@
     def test_deletion_and_compaction_in_an_outage(self):
         receipt = self.author.propose(make_body(2), 0, "c1")
         self.store.down = True
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.store.down = False
         self.store.delete(STORED, receipt.revision)
         self.store.compact()
@@ -214,7 +214,7 @@
     def test_value_without_an_envelope_is_rejected(self):
         receipt = self.author.propose(make_body(2), 0, "c1")
         self.store.swap(STORED, receipt.revision, make_body(3))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertEqual(2, self.entry.weight())
         self.assertEqual([KEY], [each.place for each in self.entry.configuration.findings])
 
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -14,7 +14,12 @@
 import yaml
 from eventlet.patcher import original
 
-from geraniumspool.bounded_log import BURST_LINES, LEFT_OUT, BoundedHandler, Stream
+from geraniumspool.bounded_log import (
+    BURST_LINES,
+    DROPPED_MESSAGE,
+    LogDestination,
+    RateLimitedHandler,
+)
 from geraniumspool.clock import ManualClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import DispatcherSettings, ExecutorSettings, load_settings
@@ -137,7 +142,7 @@
         self.addCleanup(os.close, self.reading)
         self.addCleanup(os.close, writing)
         os.set_blocking(self.reading, False)
-        self.handler = BoundedHandler(Stream(writing), self.clock)
+        self.handler = RateLimitedHandler(LogDestination(writing), self.clock)
         self.logger = logging.Logger("test")
         self.logger.addHandler(self.handler)
 
@@ -166,20 +171,20 @@
         self.logger.info("later")
         messages = self.read()
         self.assertEqual("later", messages[-1]["message"])
-        self.assertEqual(0, self.handler.left_out)
+        self.assertEqual(0, self.handler.dropped)
 
     def test_the_number_of_dropped_lines_is_logged(self):
         for number in range(2 * BURST_LINES):
             self.logger.info("line %s", number)
             if number % 50 == 0:
                 self.read()
-        left_out = self.handler.left_out
-        self.assertGreater(left_out, 0)
+        dropped = self.handler.dropped
+        self.assertGreater(dropped, 0)
         self.clock.advance(1_000)
         self.read()
         self.logger.info("later")
         note = self.read()[0]
-        self.assertEqual((LEFT_OUT, left_out), (note["message"], note["count"]))
+        self.assertEqual((DROPPED_MESSAGE, dropped), (note["message"], note["count"]))
 
     def test_logging_does_not_block_when_nobody_reads(self):
         with eventlet.Timeout(5):
@@ -187,7 +192,7 @@
                 self.clock.advance(1_000)
                 for _ in range(100):
                     self.logger.info("x" * 200)
-        self.assertGreater(self.handler.left_out, 0)
+        self.assertGreater(self.handler.dropped, 0)
 
 
 class MetricsPageTest(unittest.TestCase):
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -149,7 +149,7 @@
         self.message_draw = random.Random(f"{seed} messages")
         self.message_faults = (0.0, 0.0, 0.0)
         if returns_early:
-            self.world.network.draw_delays = self.draw_delays
+            self.world.network.choose_delays = self.choose_delays
             for worker in self.world.workers:
                 worker.minion.stop_ms = self.draw.choice(STOPS_MS)
 
@@ -329,9 +329,9 @@
         other_dispatchers = [other for other in self.world.dispatchers if other is not dispatcher]
         peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_dispatchers)])
         pair = self.draw.sample([dispatcher.address, peer.address], 2)
-        self.world.network.cut.add(tuple(pair))
+        self.world.network.partitioned.add(tuple(pair))
         if self.draw.random() < 0.5:
-            self.world.network.cut.add(tuple(reversed(pair)))
+            self.world.network.partitioned.add(tuple(reversed(pair)))
         self.note(f"network cut {pair}")
 
     def heal(self):
@@ -378,7 +378,7 @@
         worker = self.pick_worker()
         worker.kill()
         index = self.world.workers.index(worker)
-        incarnation = worker.messenger.me.incarnation + 1
+        incarnation = worker.messenger.local_peer.incarnation + 1
         self.world.workers[index] = SimulatedWorker(
             self.world,
             worker.name,
@@ -397,10 +397,10 @@
         if (
             self.resumptions
             or not self.is_up(dispatcher)
-            or dispatcher.address in self.world.network.frozen
+            or dispatcher.address in self.world.network.held_messages
         ):
             return
-        self.world.network.freeze(dispatcher.address)
+        self.world.network.pause(dispatcher.address)
         dispatcher.pause()
         self.resumptions.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), dispatcher))
         self.note(f"{dispatcher.address} paused")
@@ -411,11 +411,11 @@
         dispatcher.resume()
         network = self.world.network
         if not self.returns_early:
-            network.thaw(dispatcher.address)
+            network.resume(dispatcher.address)
             return
         self.note(f"{dispatcher.address} resumes")
         delay_ms = self.draw.choice((0, READS_LATE_MS))
-        self.world.clock.after(delay_ms, lambda: network.thaw(dispatcher.address))
+        self.world.clock.after(delay_ms, lambda: network.resume(dispatcher.address))
         self.callers.resume(dispatcher)
 
     def kill_dispatcher(self):
@@ -441,7 +441,7 @@
         due_ms = self.world.clock.now() + self.draw.choice(DOWN_MS)
         self.resumptions.clear()
         for index, dispatcher in enumerate(self.world.dispatchers):
-            self.world.network.frozen.pop(dispatcher.address, None)
+            self.world.network.held_messages.pop(dispatcher.address, None)
             if self.is_up(dispatcher):
                 dispatcher.kill()
                 self.replacements.append((due_ms, index))
@@ -457,7 +457,7 @@
 
     def replace_dispatcher(self, index):
         old = self.world.dispatchers[index]
-        name = old.messenger.me.address.removeprefix("tcp://")
+        name = old.messenger.local_peer.address.removeprefix("tcp://")
         self.world.dispatchers[index] = SimulatedDispatcher(
             self.world,
             name,
@@ -486,7 +486,7 @@
         )
         self.note(f"messages lost, duplicated, delayed: {self.message_faults}")
 
-    def draw_delays(self, sender, receiver):
+    def choose_delays(self, sender, receiver):
         """Return the delay of each copy of a message; only dispatchers' messages are disturbed."""
         delay_ms = self.world.network.delay_ms
         dispatchers = {dispatcher.address for dispatcher in self.world.dispatchers}
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -291,7 +291,7 @@
     def __init__(self, on_drain):
         self._on_drain = on_drain
 
-    def retire(self):
+    def disable_keep_alive(self):
         pass
 
     def drain(self, _limit_ms):
@@ -329,7 +329,7 @@
         caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.world.network.part(self.dispatcher.address, worker.address)
+        self.world.network.partition(self.dispatcher.address, worker.address)
         self.advance(DISPATCHER_LEASE_MS + MINION_LEASE_MS)
         self.assertEqual(1, self.world.start_count(TASK))
         self.advance(2_000)
@@ -340,7 +340,7 @@
         caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.world.network.cut.add((self.dispatcher.address, worker.address))
+        self.world.network.partitioned.add((self.dispatcher.address, worker.address))
         self.advance(3_500)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
@@ -348,7 +348,7 @@
         caller = self.dispatcher.submit(make_spec("j1", run_ms=900), timeout_ms=8_000.0)
         self.advance(50)
         worker = self.find_worker(TASK)
-        self.world.network.cut.add((worker.address, self.dispatcher.address))
+        self.world.network.partitioned.add((worker.address, self.dispatcher.address))
         self.advance(3_500)
         self.assertEqual(JobOutcome.SUCCEEDED, caller.outcome)
 
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -72,7 +72,7 @@
         request = self.start_job(dispatcher)
         for other in self.dispatchers:
             if other is not dispatcher:
-                self.world.network.part(dispatcher.address, other.address)
+                self.world.network.partition(dispatcher.address, other.address)
         dispatcher.router.remove_waiter(request.job)
 
     def test_a_job_sent_again_at_once_has_no_task_run_twice(self):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -349,12 +349,12 @@
     def test_a_dispatcher_that_was_frozen_does_not_use_its_outdated_list(self):
         dispatcher = self.world.dispatchers[1]
         dispatcher.pause()
-        self.world.network.freeze(dispatcher.address)
+        self.world.network.pause(dispatcher.address)
         self.cut_off(dispatcher)
         self.world.evacuate("south")
         self.advance(round(EVACUATION_MS) + 1_000)
         dispatcher.resume()
-        self.world.network.thaw(dispatcher.address)
+        self.world.network.resume(dispatcher.address)
         before = self.count_starts("south")
         eventlet.sleep(0)
         self.load(800)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -90,7 +90,7 @@
 
     def start(self, *orders, dispatcher=DISPATCHER):
         self.executor.handle_start(dispatcher, StartRuns(self.clock.now(), orders))
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def renew(self, *numbers, dispatcher=DISPATCHER, echo_ms=None):
         echo = self.clock.now() if echo_ms is None else echo_ms
@@ -335,7 +335,7 @@
         self.clock.advance(400)
         self.sent.clear()
         self.executor.handle_start(DISPATCHER, StartRuns(echo, (make_order(1),)))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertEqual([DISPATCHER], [peer for peer, _ in self.sent])
         self.assertEqual(1, self.sent[0][1].upto)
 
@@ -478,7 +478,7 @@
             resources=Resources(cpu, 10_000), sequence=incarnation.sequence + 1
         )
         self.executor.handle_minion_report(self.minion.incarnation)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def test_run_exceeding_the_reduced_capacity_is_not_started(self):
         self.start(make_order(1, cpu=6_000, run_ms=400))
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -21,7 +21,7 @@
     SERVICE,
     TEAM,
     TOKEN,
-    Small,
+    SmallSystem,
     make_change,
     make_job,
     make_task,
@@ -100,9 +100,9 @@
     :ivar steps: requests and responses with placeholders, in the order of the responses
     """
 
-    def __init__(self, small: Small):
+    def __init__(self, system: SmallSystem):
         """Start with nothing recorded."""
-        self.small = small
+        self.system = system
         self.steps: list[dict] = []
         self._placeholders = Placeholders()
 
@@ -110,16 +110,16 @@
         """Send a request to the callers' API and record it."""
         return self.record("callers", method, path, body, entry, headers)
 
-    def operate(self, method: str, path: str, body=None, entry: int = 0):
+    def call_operators(self, method: str, path: str, body=None, entry: int = 0):
         """Send a request to the operators' API and record it."""
         return self.record("operators", method, path, body, entry, {})
 
     def record(self, listener, method, path, body, entry, headers):
         """Send a request; record it with its response once that has arrived."""
         if listener == "callers":
-            answered = self.small.call(method, path, body, entry, **headers)
+            answered = self.system.call(method, path, body, entry, **headers)
         else:
-            answered = self.small.operate(method, path, body, entry)
+            answered = self.system.call_operators(method, path, body, entry)
         request = {"to": f"{listener} of entry {entry + 1}", "method": method, "path": path}
         if headers:
             request["headers"] = {name.replace("_", "-"): text for name, text in headers.items()}
@@ -138,7 +138,7 @@
         order = {"service": SERVICE, "team": TEAM, "count": 1}
         return self.call("POST", "/v1/tickets", order).body["tickets"][0]
 
-    def put(self, ticket: str, values: list, entry: int = 0, run_ms: float = 0, **fields):
+    def submit(self, ticket: str, values: list, entry: int = 0, run_ms: float = 0, **fields):
         """Submit a job with one short task for each value."""
         job = make_job([make_task(value, run_ms) for value in values], **fields)
         return self.call("PUT", f"/v1/jobs/{ticket}", job, entry)
@@ -151,9 +151,9 @@
 
     def setUp(self):
         """Start a separate deployment for each session."""
-        self.small = Small()
-        self.addCleanup(self.small.stop)
-        self.session = Recorder(self.small)
+        self.system = SmallSystem()
+        self.addCleanup(self.system.stop)
+        self.session = Recorder(self.system)
 
     def check(self, name: str) -> None:
         """Compare the session with its golden file, which is written first if so requested."""
@@ -169,12 +169,12 @@
         ticket = session.ticket()
         url = f"/v1/jobs/{ticket}"
         session.call("GET", url)
-        answered = session.put(ticket, ["a", "b", "c"])
+        answered = session.submit(ticket, ["a", "b", "c"])
         session.call("GET", url)
         session.call("GET", f"{url}/decisions")
-        session.put(answered.body["next_ticket"], [{"nested": [1, None]}])
+        session.submit(answered.body["next_ticket"], [{"nested": [1, None]}])
         session.call("POST", "/v1/jobs", make_job([make_task(1)]))
-        key = {"Idempotency_Key": make_key(SystemClock().wall())}
+        key = {"Idempotency_Key": make_key(SystemClock().wall_ms())}
         session.call("POST", "/v1/jobs", make_job([make_task(2)]), **key)
         session.call("POST", "/v1/jobs", make_job([make_task(2)]), 1, **key)
         self.check("submit")
@@ -184,15 +184,15 @@
         session = self.session
         ticket = session.ticket()
         job = make_job([make_task("once", 700)])
-        first = eventlet.spawn(self.small.call, "PUT", f"/v1/jobs/{ticket}", job)
-        wait_until(lambda: self.small.running() == 1)
+        first = eventlet.spawn(self.system.call, "PUT", f"/v1/jobs/{ticket}", job)
+        wait_until(lambda: self.system.running() == 1)
         session.call("GET", f"/v1/jobs/{ticket}", entry=1)
         joined = session.call("PUT", f"/v1/jobs/{ticket}", job, 1)
         self.assertEqual(first.wait().body["results"], joined.body["results"])
         session.call("PUT", f"/v1/jobs/{ticket}", job | {"deadline_ms": 9_000})
-        session.put(ticket, ["other"], 1)
+        session.submit(ticket, ["other"], 1)
         session.call("GET", f"/v1/jobs/{ticket}")
-        self.assertEqual(self.small.starts(), 1)
+        self.assertEqual(self.system.starts(), 1)
         self.check("resubmit_elsewhere")
 
     def test_cancel(self):
@@ -200,20 +200,20 @@
         session = self.session
         unused = session.ticket()
         session.call("DELETE", f"/v1/jobs/{unused}")
-        session.put(unused, ["never"], 1)
-        blocker = self.small.block()
+        session.submit(unused, ["never"], 1)
+        blocker = self.system.occupy_slots()
         queued = session.ticket()
         url = f"/v1/jobs/{queued}"
         job = make_job([make_task("never")], deadline_ms=500_000)
-        waiting = eventlet.spawn(self.small.call, "PUT", url, job)
-        wait_until(lambda: self.small.call("GET", url).body.get("state") == "running")
+        waiting = eventlet.spawn(self.system.call, "PUT", url, job)
+        wait_until(lambda: self.system.call("GET", url).body.get("state") == "running")
         session.call("DELETE", url, entry=1)
         self.assertEqual(waiting.wait().body["outcome"], "not_run")
         session.call("DELETE", f"/v1/jobs/{blocker}")
         session.call("GET", f"/v1/jobs/{blocker}", entry=1)
-        wait_until(lambda: self.small.running() == 0)
+        wait_until(lambda: self.system.running() == 0)
         done = session.ticket()
-        session.put(done, ["done"])
+        session.submit(done, ["done"])
         session.call("DELETE", f"/v1/jobs/{done}")
         self.check("cancel")
 
@@ -221,18 +221,18 @@
         """After an agent leaves, its answers are kept and its unused tickets refused."""
         session = self.session
         done, unused = session.ticket(), session.ticket()
-        session.put(done, ["kept"])
-        address = self.small.agents[0].ready_line()["inbox"]
+        session.submit(done, ["kept"])
+        address = self.system.agents[0].ready_line()["inbox"]
         self.assertEqual(read_ticket(unused).home.address, address)
         order = {"address": address, "who": "tester", "why": "new kernel"}
-        session.operate("POST", "/v1/drain", order)
-        self.small.leave(0)
+        session.call_operators("POST", "/v1/drain", order)
+        self.system.drain_agent(0)
         for entry in (0, 1):
             session.call("GET", f"/v1/jobs/{done}", entry=entry)
-            session.put(done, ["kept"], entry)
-            session.put(done, ["other"], entry)
-            session.put(unused, ["never"], entry)
-        session.put(session.ticket(), ["elsewhere"])
+            session.submit(done, ["kept"], entry)
+            session.submit(done, ["other"], entry)
+            session.submit(unused, ["never"], entry)
+        session.submit(session.ticket(), ["elsewhere"])
         self.check("leave")
 
     def test_refuse(self):
@@ -251,16 +251,18 @@
         session.call("POST", "/v1/tickets", {"service": "sawing", "team": TEAM})
         session.call("POST", "/v1/jobs", make_job([make_task(1)], service="sawing"))
         change = make_change(0, "running_tasks: 1\n", "c1", why="a tight quota")
-        session.operate("PUT", "/v1/config/team/tight", change)
-        session.operate("PUT", "/v1/config/team/tight", change | {"change_id": "c2"}, 1)
-        session.operate("PUT", "/v1/config/team/odd", change | {"body": "weight: x\nodd: 1\n"})
-        session.put(ticket, [1, 2], team="tight")
-        session.put(ticket, [1, 2], team="tight", deadline_ms=9_000)
-        blocker = self.small.block(10 * ALL_SLOTS)
+        session.call_operators("PUT", "/v1/config/team/tight", change)
+        session.call_operators("PUT", "/v1/config/team/tight", change | {"change_id": "c2"}, 1)
+        session.call_operators(
+            "PUT", "/v1/config/team/odd", change | {"body": "weight: x\nodd: 1\n"}
+        )
+        session.submit(ticket, [1, 2], team="tight")
+        session.submit(ticket, [1, 2], team="tight", deadline_ms=9_000)
+        blocker = self.system.occupy_slots(10 * ALL_SLOTS)
         late = session.ticket()
-        session.put(late, ["late"], deadline_ms=5)
-        self.small.unblock(blocker)
-        session.put(late, ["late"])
+        session.submit(late, ["late"], deadline_ms=5)
+        self.system.free_slots(blocker)
+        session.submit(late, ["late"])
         self.check("refuse")
 
 
--- a/tests/test_heartbeat.py
+++ b/tests/test_heartbeat.py
@@ -19,8 +19,8 @@
 class RecordingMessenger:
     """Messenger that records the messages sent."""
 
-    def __init__(self, me):
-        self.me = me
+    def __init__(self, local_peer):
+        self.local_peer = local_peer
         self.sent = []
 
     def send(self, peer, message):
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -88,22 +88,22 @@
         load = Load(slots, slots, 0, 0.0)
         member = Member(*peer, domain, "agent", state, "fitting", 10.0, load)
         self.roster.apply_direct(member)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def issue(self) -> str:
-        return self.keyring.issue(ME, "fitting", self.clock.wall())
+        return self.keyring.issue(ME, "fitting", self.clock.wall_ms())
 
     def submit(self, tasks=2, run_ms=100.0, ticket="", deadline_ms=8_000.0, size=0.0, digest=b"a"):
         ticket = ticket or self.issue()
         rows = tuple(Task(json.dumps(n).encode(), size, run_ms) for n in range(tasks))
         submit = Submit(7, ticket, "fitting", "team", deadline_ms, digest, rows)
         self.home.handle_submit(ENTRY, submit)
-        self.clock.settle()
+        self.clock.run_ready_threads()
         return ticket
 
     def cancel(self, ticket):
         self.home.handle_cancel(ENTRY, Cancel(9, ticket))
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def offers(self) -> list[Offer]:
         return self.outbox.take(Offer)
@@ -114,12 +114,12 @@
         )
         gone = tuple(Refusal(number, "worker_busy") for number in refused)
         self.home.handle_results(peer, Results(done, gone, Load(slots, slots, 0, 0.0)))
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def revoked(self, not_started=(), started=(), lost=(), peer=FAR):
         answer = Revoked(tuple(not_started), tuple(started), tuple(lost), Load(4, 4, 0, 0.0))
         self.home.handle_revoked(peer, answer)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def answers(self) -> list[tuple[str, str]]:
         return [(answer.state, answer.code) for answer in self.outbox.take(Answer)]
@@ -183,7 +183,7 @@
         tickets = [self.submit(1) for _ in range(4)]
         for ticket in tickets:
             self.home.handle_cancel(ENTRY, Cancel(9, ticket))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         revokes = self.outbox.take(Revoke)
         self.assertEqual([message.offers for message in revokes], [(1, 2, 3, 4)])
 
@@ -356,7 +356,7 @@
     def test_states(self):
         """An inquiry returns the state of a job and starts nothing."""
         running, unknown = self.submit(1), self.issue()
-        foreign = self.keyring.issue(FAR, "fitting", self.clock.wall())
+        foreign = self.keyring.issue(FAR, "fitting", self.clock.wall_ms())
         for ticket in (running, unknown, foreign):
             self.home.handle_inquire(ENTRY, Inquire(3, ticket))
         states = [state for state, _ in self.answers()]
--- a/tests/test_job_fences.py
+++ b/tests/test_job_fences.py
@@ -43,7 +43,7 @@
 
     def request_fence(self, messenger=None, rank=RANK, job_id=JOB):
         self.results.clear()
-        peer = Peer(self.worker.address, self.worker.messenger.me.incarnation)
+        peer = Peer(self.worker.address, self.worker.messenger.local_peer.incarnation)
         (messenger or self.requester).send(peer, FenceJobs((job_id,), rank))
 
     def start_run(self):
@@ -119,12 +119,20 @@
         self.assertEqual(set(), minion.running)
 
     def test_a_run_that_relies_on_an_unknown_or_lower_fence_is_refused(self):
-        self.assertTrue(self.worker.executor.job_fences.excludes(self.requester.me, TASK, RANK))
-        self.assertFalse(self.worker.executor.job_fences.excludes(self.requester.me, TASK, 0))
+        self.assertTrue(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, RANK)
+        )
+        self.assertFalse(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, 0)
+        )
         self.request_fence()
         self.world.clock.advance(5)
-        self.assertFalse(self.worker.executor.job_fences.excludes(self.requester.me, TASK, RANK))
-        self.assertTrue(self.worker.executor.job_fences.excludes(self.requester.me, TASK, RANK + 1))
+        self.assertFalse(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, RANK)
+        )
+        self.assertTrue(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, RANK + 1)
+        )
 
     def test_a_fence_expires(self):
         self.request_fence()
--- a/tests/test_job_router.py
+++ b/tests/test_job_router.py
@@ -30,7 +30,7 @@
 
     def partition(self, one, other):
         """Lose all messages between two processes."""
-        self.world.network.part(one.address, other.address)
+        self.world.network.partition(one.address, other.address)
 
 
 class ForwardTest(RouterCase):
@@ -159,10 +159,10 @@
         self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_forwarded_job_whose_message_is_lost_is_sent_again(self):
-        self.world.network.lose_kinds.add("ForwardJob")
+        self.world.network.dropped_kinds.add("ForwardJob")
         request = self.entry.submit(make_spec("j"), timeout_ms=3_000.0)
         self.advance(20)
-        self.world.network.lose_kinds.clear()
+        self.world.network.dropped_kinds.clear()
         self.advance(1_000)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
         self.assertEqual(1, self.world.start_count(TASK))
@@ -170,9 +170,9 @@
     def test_a_lost_answer_is_sent_again(self):
         request = self.entry.submit(make_spec("j"))
         self.advance(20)
-        self.world.network.lose_kinds.add("ForwardedEnd")
+        self.world.network.dropped_kinds.add("ForwardedEnd")
         self.advance(150)
-        self.world.network.lose_kinds.clear()
+        self.world.network.dropped_kinds.clear()
         self.advance(500)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
         self.assertEqual(1, self.world.start_count(TASK))
@@ -181,11 +181,11 @@
         blockers = [self.owner.submit(make_spec(f"b{n}", cpu=10_000, run_ms=400)) for n in range(2)]
         request = self.entry.submit(make_spec("j", run_ms=900), timeout_ms=9_000.0)
         self.advance(50)
-        self.world.network.freeze(self.owner.address)
+        self.world.network.pause(self.owner.address)
         self.owner.pause()
         self.advance(2_600)
         self.owner.resume()
-        self.world.network.thaw(self.owner.address)
+        self.world.network.resume(self.owner.address)
         self.advance(3_000)
         self.assertEqual(JobOutcome.SUCCEEDED, request.outcome)
         self.assertEqual(1, self.world.start_count(TASK))
@@ -210,7 +210,7 @@
     def test_a_job_is_not_started_again_while_runs_from_its_expired_lease_continue(self):
         request = self.entry.submit(make_spec("j", run_ms=3_000), timeout_ms=9_000.0)
         self.advance(100)
-        self.world.network.freeze(self.entry.address)
+        self.world.network.pause(self.entry.address)
         self.entry.pause()
         self.advance(400)
         worker = next(w for w in self.world.workers if TASK in w.minion.running)
@@ -218,7 +218,7 @@
             self.partition(dispatcher, worker)
         self.advance(350)
         self.entry.resume()
-        self.world.network.thaw(self.entry.address)
+        self.world.network.resume(self.entry.address)
         self.advance(1_000)
         self.assertEqual(JobOutcome.UNFINISHED, request.outcome)
         self.assertEqual(1, self.world.start_count(TASK))
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -18,7 +18,7 @@
     Peer,
     WrongIncarnation,
     encode,
-    kind_of,
+    kind_number,
 )
 
 LIMIT_S = 10.0
@@ -75,15 +75,15 @@
 
     def assert_alive(self, messenger):
         """Check that a messenger still receives."""
-        before = len(self.deliveries[messenger.me.incarnation])
+        before = len(self.deliveries[messenger.local_peer.incarnation])
         sender = self.one if messenger is not self.one else self.two
-        self.assertTrue(sender.send(messenger.me, Inquire(99, "alive")))
-        self.wait(lambda: len(self.deliveries[messenger.me.incarnation]) > before)
+        self.assertTrue(sender.send(messenger.local_peer, Inquire(99, "alive")))
+        self.wait(lambda: len(self.deliveries[messenger.local_peer.incarnation]) > before)
 
     def send_raw(self, messenger, *items):
         """Send raw bytes to a messenger from a plain socket."""
         with pynng.Push0() as sender:
-            sender.dial(messenger.me.address, block=True)
+            sender.dial(messenger.local_peer.address, block=True)
             for data in items:
                 sender.send(data)
             eventlet.sleep(0.2)
@@ -91,45 +91,47 @@
     def test_messages_arrive_in_order_in_both_directions(self):
         """Messages arrive complete and in order, with their sender, in both directions."""
         for number in range(500):
-            self.assertTrue(self.one.send(self.two.me, Inquire(number, "t" * number)))
-        self.two.send(self.one.me, Inquire(7, "back"))
+            self.assertTrue(self.one.send(self.two.local_peer, Inquire(number, "t" * number)))
+        self.two.send(self.one.local_peer, Inquire(7, "back"))
         self.wait(lambda: len(self.deliveries[22]) == 500 and self.deliveries[11])
         self.assertEqual(self.requests(22), list(range(500)))
-        self.assertEqual(self.deliveries[22][0][:2], (self.one.me, 22))
-        self.assertEqual(self.deliveries[11][0].sender, self.two.me)
+        self.assertEqual(self.deliveries[22][0][:2], (self.one.local_peer, 22))
+        self.assertEqual(self.deliveries[11][0].sender, self.two.local_peer)
 
     def test_message_to_own_address(self):
         """A message to the sender itself bypasses the sockets and is delivered asynchronously."""
-        self.one.send(self.one.me, Inquire(1, "t"))
+        self.one.send(self.one.local_peer, Inquire(1, "t"))
         self.assertEqual(self.deliveries[11], [])
         self.wait(lambda: self.deliveries[11])
         self.assertEqual(self.deliveries[11][0].message, Inquire(1, "t"))
 
     def test_wrong_incarnation(self):
         """A message for another incarnation is not delivered but answered with a rejection."""
-        self.one.send(Peer(self.two.me.address, 21), Inquire(5, "t"))
+        self.one.send(Peer(self.two.local_peer.address, 21), Inquire(5, "t"))
         self.wait(lambda: self.deliveries[11])
-        self.assertEqual(self.deliveries[11][0].message, WrongIncarnation(kind_of(Inquire), 5, 21))
-        self.assertEqual(self.deliveries[11][0].sender, self.two.me)
+        self.assertEqual(
+            self.deliveries[11][0].message, WrongIncarnation(kind_number(Inquire), 5, 21)
+        )
+        self.assertEqual(self.deliveries[11][0].sender, self.two.local_peer)
         self.assertEqual(self.deliveries[22], [])
         self.assertEqual(self.counts[22]["messages_rejected/wrong_incarnation"], 1)
 
     def test_rejection_is_not_rejected_again(self):
         """A rejection that itself has the wrong incarnation is dropped, not rejected again."""
-        self.one.send(Peer(self.two.me.address, 21), WrongIncarnation(0, 1, 1))
+        self.one.send(Peer(self.two.local_peer.address, 21), WrongIncarnation(0, 1, 1))
         self.wait(lambda: "messages_rejected/wrong_incarnation" in self.counts[22])
         self.assert_alive(self.two)
         self.assertEqual(self.deliveries[11], [])
 
     def test_message_to_any_incarnation(self):
         """A message for any incarnation is delivered."""
-        self.one.send(Peer(self.two.me.address, ANY_INCARNATION), Inquire(3, "t"))
+        self.one.send(Peer(self.two.local_peer.address, ANY_INCARNATION), Inquire(3, "t"))
         self.wait(lambda: self.deliveries[22])
         self.assertEqual(self.deliveries[22][0].receiver, ANY_INCARNATION)
 
     def test_malformed_bytes(self):
         """Malformed messages are counted and dropped; the next valid one is delivered."""
-        good = encode(self.one.me, 22, Inquire(1, "abcd"))
+        good = encode(self.one.local_peer, 22, Inquire(1, "abcd"))
         wrong = good.replace(b"abcd", b"\xff\xff\xff\xff")
         self.send_raw(self.two, b"\xc1", good[:-1], b"x" * 100_000, wrong, good)
         self.wait(lambda: self.deliveries[22])
@@ -161,7 +163,7 @@
 
         three = self.start(33, receive=receive)
         for number in (1, 2):
-            self.one.send(three.me, Inquire(number, "t"))
+            self.one.send(three.local_peer, Inquire(number, "t"))
         self.wait(lambda: len(received) == 2)
 
     def test_suspended_handler_keeps_order(self):
@@ -174,7 +176,7 @@
 
         three = self.start(33, receive=receive)
         for number in range(5):
-            self.one.send(three.me, Inquire(number, "t"))
+            self.one.send(three.local_peer, Inquire(number, "t"))
             eventlet.sleep(0.01)
         self.wait(lambda: len(received) == 5)
         self.assertEqual(received, list(range(5)))
@@ -182,7 +184,7 @@
     def test_least_recently_used_link_is_evicted(self):
         """At the limit of links, the least recently used one is closed if it is idle."""
         others = [self.start(number) for number in (33, 44)]
-        peers = [self.two.me, *(other.me for other in others)]
+        peers = [self.two.local_peer, *(other.local_peer for other in others)]
         for min_idle_ms, expected in ((-1.0, peers[1:]), (60_000.0, peers)):
             with self.subTest(min_idle_ms=min_idle_ms):
                 patches = mock.patch.multiple(link, MAX_LINKS=2, MIN_IDLE_MS=min_idle_ms)
@@ -197,7 +199,7 @@
 
     def test_messages_to_absent_peer_arrive_later(self):
         """Messages to a peer that does not listen yet are delivered once it does."""
-        address = self.two.me.address
+        address = self.two.local_peer.address
         self.two.stop()
         for number in range(3):
             self.one.send(Peer(address, 23), Inquire(number, "t"))
@@ -208,7 +210,7 @@
 
     def test_link_is_broken_after_peer_ended(self):
         """A link is broken after its peer ended, until another process listens there."""
-        old = self.two.me
+        old = self.two.local_peer
         self.assertFalse(self.one.is_connection_closed(old))
         self.one.send(old, Inquire(1, "t"))
         self.wait(lambda: self.deliveries[22])
@@ -220,15 +222,15 @@
 
     def test_restart_at_the_same_address(self):
         """After a restart, messages to the old incarnation are rejected, to the new delivered."""
-        old = self.two.me
+        old = self.two.local_peer
         self.one.send(old, Inquire(1, "t"))
         self.wait(lambda: self.deliveries[22])
         self.two.stop()
         new = self.start(23, old.address)
         self.wait(lambda: self.send_until_refused(old))
         self.assertEqual(self.deliveries[23], [])
-        self.assertEqual(self.deliveries[11][0].sender, new.me)
-        self.one.send(new.me, Inquire(3, "t"))
+        self.assertEqual(self.deliveries[11][0].sender, new.local_peer)
+        self.one.send(new.local_peer, Inquire(3, "t"))
         self.wait(lambda: self.deliveries[23])
         self.assertEqual(self.requests(23), [3])
 
@@ -239,7 +241,7 @@
 
     def test_queue_of_link_is_bounded(self):
         """A peer that never listens costs bounded memory; other links are unaffected."""
-        address = self.two.me.address
+        address = self.two.local_peer.address
         self.two.stop()
         total = 3 * link.LINK_MESSAGES
         sent = [self.one.send(Peer(address, 23), Inquire(n, "t")) for n in range(total)]
@@ -247,15 +249,15 @@
         self.assertLessEqual(sum(sent), 2 * link.LINK_MESSAGES + 2)
         self.assertEqual(self.counts[11]["messages_dropped/link_full"], total - sum(sent))
         three = self.start(33)
-        self.one.send(three.me, Inquire(1, "t"))
+        self.one.send(three.local_peer, Inquire(1, "t"))
         self.wait(lambda: self.deliveries[33])
 
     def test_counts_by_kind(self):
         """Messages sent and received are counted by kind, with scope and bytes."""
-        self.one.send(self.two.me, Inquire(1, "t"))
+        self.one.send(self.two.local_peer, Inquire(1, "t"))
         self.wait(lambda: self.deliveries[22])
         self.assertEqual(self.counts[11]["messages_sent/Inquire/local"], 1)
-        size = len(encode(self.one.me, 22, Inquire(1, "t")))
+        size = len(encode(self.one.local_peer, 22, Inquire(1, "t")))
         self.assertEqual(self.counts[11]["message_bytes_sent/Inquire"], size)
         self.assertEqual(self.counts[22]["messages_received/Inquire"], 1)
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -26,7 +26,7 @@
         self.addCleanup(root.setLevel, root.level)
         self.addCleanup(setattr, root, "handlers", list(root.handlers))
         self.stream = io.StringIO()
-        logs.set_up("info", self.stream)
+        logs.configure_logging("info", self.stream)
         self.logger = logging.getLogger("geraniumspool.test")
 
     def read_lines(self):
@@ -82,4 +82,4 @@
 
     def test_unknown_level_is_rejected(self):
         with self.assertRaises(ValueError):
-            logs.set_up("loud", self.stream)
+            logs.configure_logging("loud", self.stream)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -45,8 +45,8 @@
                 delivery = decode(encode(SENDER, 5, message))
                 self.assertEqual(delivery, (SENDER, 5, number, message))
                 self.assertIs(type(delivery.message), kind)
-                self.assertEqual(messages.kind_of(kind), number)
-                self.assertEqual(messages.name_kind(number), kind.__name__)
+                self.assertEqual(messages.kind_number(kind), number)
+                self.assertEqual(messages.kind_name(number), kind.__name__)
 
     def test_message_types_are_registered_once(self):
         """Message types are registered with the codec, each only once."""
@@ -70,7 +70,7 @@
                 (kind, SENDER, 0, msgspec.Raw(msgspec.msgpack.encode(body)))
             )
 
-        inquire = messages.kind_of(Inquire)
+        inquire = messages.kind_number(Inquire)
         whole = encode(SENDER, 0, Inquire(1, "abcd"))
         for name, data in (
             ("empty", b""),
@@ -82,7 +82,7 @@
             ("missing field", wrap(inquire, (1,))),
             ("map", wrap(inquire, {"request": 1, "ticket": "t"})),
             ("nil", wrap(inquire, None)),
-            ("body of another kind", wrap(messages.kind_of(messages.Submit), (1, "t"))),
+            ("body of another kind", wrap(messages.kind_number(messages.Submit), (1, "t"))),
             ("invalid UTF-8", whole.replace(b"abcd", b"\xff\xfe\xfd\xfc")),
             ("deep nesting", b"\x91" * 100_000),
         ):
--- a/tests/test_minion.py
+++ b/tests/test_minion.py
@@ -92,7 +92,7 @@
         return task.wait()
 
     def wait_until_running(self):
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertEqual(1, self.running())
 
     def outcome(self, case, body=b'{"run_ms": 5, "value": [1]}'):
