--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -16,11 +16,11 @@
     SERVICE,
     TEAM,
     TOKEN,
-    Small,
+    SmallSystem,
     SystemTest,
+    direct_commands_to,
     make_change,
     make_task,
-    point_commands,
     run_command,
     wait_until,
 )
@@ -47,13 +47,13 @@
 
     def store_down(self):
         """Make the store unavailable until the test ends."""
-        self.small.store.store.down = True
+        self.system.store.store.down = True
         self.addCleanup(self.store_up)
 
     def store_up(self):
         """Make the store available again and wait until the entries watch it again."""
-        self.small.store.store.down = False
-        wait_until(lambda: all(entry.watcher.state == "watching" for entry in self.small.entries))
+        self.system.store.store.down = False
+        wait_until(lambda: all(entry.watcher.state == "watching" for entry in self.system.entries))
 
 
 class HttpTest(OperatorsCase):
@@ -64,12 +64,12 @@
         for token in (None, "", "wrong", TOKEN[:-1], TOKEN + "x", "é"):
             for method, path in PATHS:
                 with self.subTest(token=token, method=method, path=path):
-                    answered = self.small.operate(method, path, {}, token=token)
+                    answered = self.system.call_operators(method, path, {}, token=token)
                     self.assert_problem(answered, 401, "unauthorized")
 
     def test_status(self):
         """The status covers the entry, the failure domains, the store and counters."""
-        status = self.small.operate("GET", "/v1/status", entry=1).body
+        status = self.system.call_operators("GET", "/v1/status", entry=1).body
         self.assertEqual(status["entry"]["domain"], "south")
         self.assertEqual(status["entry"]["state"], MEMBER_READY)
         rows = {r["domain"]: (r["state"], r["agents"], r["ready"]) for r in status["domains"]}
@@ -82,16 +82,16 @@
         with mock.patch.object(Revisions, "_is_silent", lambda _, domain: domain == "north"):
 
             def find_rows():
-                status = self.small.operate("GET", "/v1/status", entry=1).body
+                status = self.system.call_operators("GET", "/v1/status", entry=1).body
                 return {(r["domain"], r["state"], r["ready"]) for r in status["domains"]}
 
             expected = {("north", "unreachable", 1), ("south", "reachable", 1)}
             wait_until(lambda: find_rows() == expected)
-        wait_until(lambda: not self.small.entries[1].roster.unreachable)
+        wait_until(lambda: not self.system.entries[1].roster.unreachable)
 
     def test_roster(self):
         """Both entries list the same four processes in the same order."""
-        one, two = (self.small.operate("GET", "/v1/roster", entry=n).body for n in (0, 1))
+        one, two = (self.system.call_operators("GET", "/v1/roster", entry=n).body for n in (0, 1))
         rows = [(row["domain"], row["role"], row["state"]) for row in one["members"]]
         parts = itertools.product(("north", "south"), (ROLE_AGENT, ROLE_ENTRY), (MEMBER_READY,))
         self.assertEqual(rows, list(parts))
@@ -101,58 +101,64 @@
     def test_change_and_stale_revision(self):
         """Of two changes based on the same revision one wins; the other learns which."""
         url = "/v1/config/service/planing"
-        first = self.small.operate("PUT", url, make_change(0, "max_tasks: 5\n", "a1"))
+        first = self.system.call_operators("PUT", url, make_change(0, "max_tasks: 5\n", "a1"))
         self.assertEqual((first.status, first.body["status"]), (200, "accepted"))
         revision = first.body["revision"]
-        again = self.small.operate("PUT", url, make_change(0, "max_tasks: 5\n", "a1"), entry=1)
+        again = self.system.call_operators(
+            "PUT", url, make_change(0, "max_tasks: 5\n", "a1"), entry=1
+        )
         self.assertEqual((again.status, again.body), (200, first.body))
         change = make_change(0, "max_tasks: 6\n", "a2", who="other")
-        stale = self.small.operate("PUT", url, change, entry=1)
+        stale = self.system.call_operators("PUT", url, change, entry=1)
         self.assert_problem(stale, 409, "config_stale_revision")
         self.assertIn("tester", stale.body["detail"])
         self.assertIn(str(revision), stale.body["detail"])
-        got = self.small.operate("GET", url, entry=1).body
+        got = self.system.call_operators("GET", url, entry=1).body
         self.assertEqual(
             (got["revision"], got["body"], got["fresh"]), (revision, "max_tasks: 5\n", True)
         )
-        second = self.small.operate("PUT", url, make_change(revision, "max_tasks: 6\n", "a3"))
+        second = self.system.call_operators(
+            "PUT", url, make_change(revision, "max_tasks: 6\n", "a3")
+        )
         newest = second.body["revision"]
-        deleted = self.small.operate("PUT", url, make_change(newest, None, "a4"))
+        deleted = self.system.call_operators("PUT", url, make_change(newest, None, "a4"))
         self.assertEqual(deleted.status, 200)
-        history = self.small.operate("GET", url + "/history", entry=1).body["changes"]
+        history = self.system.call_operators("GET", url + "/history", entry=1).body["changes"]
         self.assertEqual({row["change_id"] for row in history}, {"a1", "a3", "a4"})
         self.assertEqual({row["who"] for row in history}, {"tester"})
         bodies = {row["change_id"]: (row["before"], row["after"]) for row in history}
         self.assertEqual(bodies["a3"], ("max_tasks: 5\n", "max_tasks: 6\n"))
         self.assertEqual(bodies["a4"], ("max_tasks: 6\n", None))
-        listed = self.small.operate("GET", "/v1/config").body["documents"]
+        listed = self.system.call_operators("GET", "/v1/config").body["documents"]
         self.assertNotIn("service/planing", [row["key"] for row in listed])
 
     def test_change_takes_effect_everywhere(self):
         """A change comes into force at every agent, and the configuration status shows it."""
         change = make_change(0, "max_tasks: 3\n", "b1")
-        revision = self.small.operate("PUT", "/v1/config/service/carving", change).body["revision"]
+        revision = self.system.call_operators("PUT", "/v1/config/service/carving", change).body[
+            "revision"
+        ]
         for entry in (0, 1):
 
             def is_in_force(entry=entry):
-                answer = self.small.operate("GET", "/v1/config-status", entry=entry).body
+                answer = self.system.call_operators("GET", "/v1/config-status", entry=entry).body
                 rows = {row["domain"]: row["revision"] for row in answer["domains"]}
                 return answer["newest"] >= revision and min(rows.values(), default=0) >= revision
 
             wait_until(is_in_force)
-        for agent in self.small.agents:
+        for agent in self.system.agents:
             self.assertEqual(agent.configuration.service("carving").max_tasks, 3)
 
     def test_invalid_documents(self):
         """An invalid document yields all findings with line numbers and is not written."""
         body = "max_tasks: 0\nodd: 1\nrun_limit_ms: soon\n"
         url = "/v1/config/service/turning"
-        answered = self.small.operate("PUT", url, make_change(0, body, "c1"))
+        answered = self.system.call_operators("PUT", url, make_change(0, body, "c1"))
         self.assert_problem(answered, 400, "invalid_input")
         found = [(row["place"], row["line"], row["path"]) for row in answered.body["findings"]]
         key = "service/turning"
         self.assertEqual(found, [(key, 1, "max_tasks"), (key, 2, "odd"), (key, 3, "run_limit_ms")])
-        self.assert_problem(self.small.operate("GET", url), 404, "not_found")
+        self.assert_problem(self.system.call_operators("GET", url), 404, "not_found")
 
     def test_invalid_requests(self):
         """Invalid requests get a problem with a stable code."""
@@ -179,71 +185,73 @@
             ("GET", "/v1/jobs/none", None, 400, "ticket_malformed"),
         ):
             with self.subTest(method=method, path=path, body=body):
-                self.assert_problem(self.small.operate(method, path, body), status, code)
+                self.assert_problem(self.system.call_operators(method, path, body), status, code)
         drain = {"address": "tcp://127.0.0.1:1", "who": "tester", "why": "a test"}
-        answered = self.small.operate("POST", "/v1/drain", drain)
+        answered = self.system.call_operators("POST", "/v1/drain", drain)
         self.assert_problem(answered, 404, "not_found")
 
     def test_store_down(self):
         """Without the store the outcome is unknown, the old document stays; retrying is safe."""
         url = "/v1/config/team/joiners"
         change = make_change(0, "weight: 2\n", "e1")
-        revision = self.small.operate("PUT", url, change).body["revision"]
+        revision = self.system.call_operators("PUT", url, change).body["revision"]
         self.store_down()
         change = make_change(revision, "weight: 3\n", "e2")
-        answered = self.small.operate("PUT", url, change)
+        answered = self.system.call_operators("PUT", url, change)
         self.assert_problem(answered, 503, "config_change_unknown")
         self.assertIn("Retry-After", answered.headers)
         self.assertIn("e2", answered.body["detail"])
-        got = self.small.operate("GET", url).body
+        got = self.system.call_operators("GET", url).body
         self.assertEqual((got["body"], got["fresh"]), ("weight: 2\n", False))
         self.store_up()
-        again = self.small.operate("PUT", url, change)
+        again = self.system.call_operators("PUT", url, change)
         self.assertEqual(again.status, 200)
         self.assertGreater(again.body["revision"], revision)
 
     def test_lost_answer(self):
         """A change for which the store's answer is lost is accepted exactly once."""
-        self.small.store.store.lose_answers = 1
+        self.system.store.store.lose_answers = 1
         url = "/v1/config/team/turners"
-        answered = self.small.operate("PUT", url, make_change(0, "weight: 2\n", "f1"))
+        answered = self.system.call_operators("PUT", url, make_change(0, "weight: 2\n", "f1"))
         self.assertEqual((answered.status, answered.body.get("status")), (200, "accepted"))
-        history = self.small.operate("GET", url + "/history").body["changes"]
+        history = self.system.call_operators("GET", url + "/history").body["changes"]
         self.assertEqual([row["change_id"] for row in history], ["f1"])
 
     def test_decisions_by_id(self):
         """Any entry returns the decisions of any process by id."""
-        ticket = self.small.ticket()
-        self.small.put(ticket, [TASK])
-        rows = self.small.operate("GET", f"/v1/jobs/{ticket}/decisions").body["decisions"]
+        ticket = self.system.ticket()
+        self.system.submit(ticket, [TASK])
+        rows = self.system.call_operators("GET", f"/v1/jobs/{ticket}/decisions").body["decisions"]
         self.assertEqual(len({row["id"].split("-")[1] for row in rows}), 2)
         for row in rows:
             for entry in (0, 1):
                 with self.subTest(code=row["code"], entry=entry):
-                    answered = self.small.operate("GET", f"/v1/decisions/{row['id']}", entry=entry)
+                    answered = self.system.call_operators(
+                        "GET", f"/v1/decisions/{row['id']}", entry=entry
+                    )
                     self.assertEqual(answered.body, {"decisions": [row]})
             gone = row["id"].rpartition("-")[0] + "-999999999"
             self.assert_problem(
-                self.small.operate("GET", f"/v1/decisions/{gone}"), 404, "not_found"
+                self.system.call_operators("GET", f"/v1/decisions/{gone}"), 404, "not_found"
             )
 
     def test_decision_id_in_a_refusal(self):
         """The decision id in a problem can be looked up."""
-        ticket = self.small.ticket()
-        self.small.call("DELETE", f"/v1/jobs/{ticket}")
-        named = self.small.put(ticket, [TASK]).body["decision"]
-        answered = self.small.operate("GET", f"/v1/decisions/{named}")
+        ticket = self.system.ticket()
+        self.system.call("DELETE", f"/v1/jobs/{ticket}")
+        named = self.system.submit(ticket, [TASK]).body["decision"]
+        answered = self.system.call_operators("GET", f"/v1/decisions/{named}")
         codes = [row["code"] for row in answered.body.get("decisions", [])]
         self.assertIn("job_cancelled", codes, answered)
 
     def test_jobs_for_operators(self):
         """Operators can query and cancel jobs with their token."""
-        ticket = self.small.ticket()
-        caller = eventlet.spawn(self.small.put, ticket, [make_task(1, 60_000)])
-        wait_until(lambda: self.small.running() == 1)
+        ticket = self.system.ticket()
+        caller = eventlet.spawn(self.system.submit, ticket, [make_task(1, 60_000)])
+        wait_until(lambda: self.system.running() == 1)
         url = f"/v1/jobs/{ticket}"
-        self.assertEqual(self.small.operate("GET", url, entry=1).body["state"], "running")
-        answered = self.small.operate("DELETE", url, entry=1)
+        self.assertEqual(self.system.call_operators("GET", url, entry=1).body["state"], "running")
+        answered = self.system.call_operators("DELETE", url, entry=1)
         self.assertEqual(answered.body["outcome"], "may_have_run")
         self.assertEqual(caller.wait().body["code"], "job_cancelled")
 
@@ -253,45 +261,47 @@
 
     def setUp(self):
         """Start a separate system, since the test stops its processes."""
-        self.small = Small()
-        self.addCleanup(self.small.stop)
+        self.system = SmallSystem()
+        self.addCleanup(self.system.stop)
 
     def test_drain_of_an_agent(self):
         """After an agent left, its archive answers for its jobs and nothing runs again."""
-        done, unused = self.small.ticket(0), self.small.ticket(0)
-        results = self.small.put(done, [TASK]).body["results"]
-        address = self.small.agents[0].ready_line()["inbox"]
+        done, unused = self.system.ticket(0), self.system.ticket(0)
+        results = self.system.submit(done, [TASK]).body["results"]
+        address = self.system.agents[0].ready_line()["inbox"]
         order = {"address": address, "who": "tester", "why": "new kernel"}
-        answered = self.small.operate("POST", "/v1/drain", order, entry=1)
+        answered = self.system.call_operators("POST", "/v1/drain", order, entry=1)
         self.assertEqual((answered.status, answered.body["state"]), (202, "asked"))
-        self.small.leave(0)
-        starts = self.small.starts()
+        self.system.drain_agent(0)
+        starts = self.system.starts()
         for entry in (0, 1):
-            kept = self.small.call("GET", f"/v1/jobs/{done}", entry=entry)
+            kept = self.system.call("GET", f"/v1/jobs/{done}", entry=entry)
             self.assertEqual(kept.body.get("results"), results, kept)
-            again = self.small.put(done, [TASK], entry)
+            again = self.system.submit(done, [TASK], entry)
             self.assertEqual(again.body.get("results"), results, again)
-            other = self.small.put(done, [make_task("other")], entry)
+            other = self.system.submit(done, [make_task("other")], entry)
             self.assertEqual((other.status, other.body["code"]), (409, "job_conflict"))
-            never = self.small.put(unused, [TASK], entry)
+            never = self.system.submit(unused, [TASK], entry)
             self.assertEqual(never.body["outcome"], "not_run", never)
             self.assertEqual(never.body["code"], "job_never_submitted")
-            reason = self.small.operate("GET", f"/v1/decisions/{never.body.get('decision')}")
+            reason = self.system.call_operators(
+                "GET", f"/v1/decisions/{never.body.get('decision')}"
+            )
             self.assertEqual(reason.status, 200, never)
-        self.assertEqual(self.small.starts(), starts)
-        fresh = self.small.call("POST", "/v1/tickets", {"service": SERVICE, "team": TEAM})
-        after = self.small.put(fresh.body["tickets"][0], [TASK])
+        self.assertEqual(self.system.starts(), starts)
+        fresh = self.system.call("POST", "/v1/tickets", {"service": SERVICE, "team": TEAM})
+        after = self.system.submit(fresh.body["tickets"][0], [TASK])
         self.assertEqual(after.status, 200)
-        rows = self.small.operate("GET", "/v1/status").body["domains"]
+        rows = self.system.call_operators("GET", "/v1/status").body["domains"]
         self.assertEqual(sum(row["agents"] for row in rows), 1)
 
     def test_drain_of_entries(self):
         """An entry exits on a drain request sent to itself or to another entry."""
         for through, target in ((0, 1), (0, 0)):
-            address = self.small.entries[target].ready_line()["inbox"]
+            address = self.system.entries[target].ready_line()["inbox"]
             order = {"address": address, "who": "tester", "why": "a test"}
-            self.small.operate("POST", "/v1/drain", order, entry=through)
-            wait_until(lambda target=target: self.small.entries[target].exit_requested)
+            self.system.call_operators("POST", "/v1/drain", order, entry=through)
+            wait_until(lambda target=target: self.system.entries[target].exit_requested)
 
 
 class CommandsTest(OperatorsCase):
@@ -299,8 +309,8 @@
 
     def setUp(self):
         """Configure the commands to use the first entry."""
-        address = self.small.entries[0].ready_line()["operators"]
-        point_commands(self, address, TOKEN)
+        address = self.system.entries[0].ready_line()["operators"]
+        direct_commands_to(self, address, TOKEN)
 
     def run_command(self, *argv, expected=exit_codes.EXIT_OK):
         """Run a command with ``--json``; return its output, or its errors if it has none."""
@@ -327,7 +337,7 @@
         status = self.run_command("status")
         self.assertEqual(status["entry"]["domain"], "north")
         roster = self.run_command("roster")
-        self.assertEqual(roster, self.small.operate("GET", "/v1/roster").body)
+        self.assertEqual(roster, self.system.call_operators("GET", "/v1/roster").body)
         self.run_command("status", "--token", "wrong", expected=exit_codes.EXIT_UNAUTHORIZED)
 
     def test_config(self):
@@ -355,16 +365,16 @@
 
     def test_jobs(self):
         """The commands ``job``, ``why`` and ``cancel`` show and cancel jobs."""
-        ticket = self.small.ticket()
+        ticket = self.system.ticket()
         self.run_command("job", ticket, expected=exit_codes.EXIT_NOT_FOUND)
-        self.small.put(ticket, [TASK])
+        self.system.submit(ticket, [TASK])
         self.assertEqual(self.run_command("job", ticket)["outcome"], "complete")
         rows = self.run_command("why", ticket)["decisions"]
         self.assertEqual(rows[-1]["code"], "job_complete")
         one = self.run_command("why", rows[0]["id"])["decisions"]
         self.assertEqual(one, rows[:1])
         self.run_command("why", "d-1-1", expected=exit_codes.EXIT_NOT_FOUND)
-        unused = self.small.ticket()
+        unused = self.system.ticket()
         self.assertEqual(self.run_command("cancel", unused)["outcome"], "not_run")
         self.run_command("job", "A" * 60, expected=exit_codes.EXIT_INVALID)
 
@@ -372,7 +382,7 @@
         """A drain of an unknown address is refused; a known process is asked to drain."""
         flags = ("--who", "tester", "--why", "a test")
         self.run_command("drain", "tcp://127.0.0.1:1", *flags, expected=exit_codes.EXIT_NOT_FOUND)
-        entry = self.small.entries[1]
+        entry = self.system.entries[1]
         answer = self.run_command("drain", entry.ready_line()["inbox"], *flags)
         self.assertEqual(answer["state"], "asked")
         wait_until(lambda: entry.exit_requested)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -19,7 +19,7 @@
 from geraniumspool.idempotency import parse_key
 from geraniumspool.settings import AgentSettings, EntrySettings, check_file
 from geraniumspool.submission import parse_submission, parse_ticket_order
-from tests.small import point_commands
+from tests.small import direct_commands_to
 
 ROOT = Path(__file__).parent.parent
 EXAMPLES = ROOT / "examples"
@@ -113,7 +113,7 @@
         before = os.getcwd()
         os.chdir(EXAMPLES / "batbayar")
         self.addCleanup(os.chdir, before)
-        point_commands(self, "h:1", "t")
+        direct_commands_to(self, "h:1", "t")
 
     def test_commands_in_code_blocks_parse(self):
         checked = 0
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -10,7 +10,7 @@
 from geraniumspool.platform.store import KeyValueStore
 from tests.platform_standin import StoreStandin
 from tests.small import serve
-from tests.test_store import HISTORY_LIMIT, StoreContract, take
+from tests.test_store import HISTORY_LIMIT, StoreContract, next_changes
 
 TIMEOUT_MS = 300.0
 
@@ -31,24 +31,24 @@
         """A pending watch call returns when a key is written, and fails if the store is down."""
         watch = self.store.watch("p/", 1)
         for number in range(3):
-            waiting = eventlet.spawn(take, watch, 1)
+            waiting = eventlet.spawn(next_changes, watch, 1)
             eventlet.sleep(0.05)
             written = self.store.swap(f"p/{number}", 0, b"x")
             self.assertEqual(waiting.wait(), [Change(f"p/{number}", b"x", written.revision)])
         self.backing.down = True
         with self.assertRaises(StoreUnavailable):
-            take(watch, 1)
+            next_changes(watch, 1)
 
     def test_compaction(self):
         for number in range(HISTORY_LIMIT + 1):
             self.store.swap(f"p/{number}", 0, b"x")
         with self.assertRaises(CompactedRevision):
-            take(self.store.watch("p/", 1), 1)
-        changes = take(self.store.watch("p/", 2), HISTORY_LIMIT)
+            next_changes(self.store.watch("p/", 1), 1)
+        changes = next_changes(self.store.watch("p/", 2), HISTORY_LIMIT)
         self.assertEqual([change.revision for change in changes], list(range(3, 11)))
         self.backing.compact()
         with self.assertRaises(CompactedRevision):
-            take(self.store.watch("p/", 9), 1)
+            next_changes(self.store.watch("p/", 9), 1)
 
     def test_calls_are_counted(self):
         self.store.swap("a", 0, b"1")
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -88,8 +88,8 @@
 
 def duplicate(kind, late_ms):
     def inject(network):
-        network.double_delay_ms = late_ms
-        network.double_kinds.add(kind.__name__)
+        network.duplicate_delay_ms = late_ms
+        network.duplicated_kinds.add(kind.__name__)
 
     return inject
 
@@ -170,7 +170,7 @@
 
 def cut_link(one, other):
     def inject(world, actors):
-        world.network.part(actors[one].peer.address, actors[other].peer.address)
+        world.network.partition(actors[one].peer.address, actors[other].peer.address)
 
     return inject
 
@@ -380,11 +380,11 @@
                         world.submit(world.entries[0], job)
                         world.run(moment_ms)
                     if fault == "runner cut off":
-                        world.network.part(home.peer.address, runner.peer.address)
+                        world.network.partition(home.peer.address, runner.peer.address)
                     elif fault == "runner frozen":
                         world.freeze(runner)
                     elif fault == "revokes lost":
-                        world.network.lose_kinds.add("Revoke")
+                        world.network.dropped_kinds.add("Revoke")
                     world.cancel(world.entries[1], job)
                     world.run(3_000.0)
                     world.submit(world.entries[1], job)
@@ -405,9 +405,9 @@
                 if fault == "cut off":
                     holders = [one for one in others if one.minion.starts]
                     for holder in holders:
-                        world.network.part(home.peer.address, holder.peer.address)
+                        world.network.partition(home.peer.address, holder.peer.address)
                 elif fault == "revokes lost":
-                    world.network.lose_kinds.add("Revoke")
+                    world.network.dropped_kinds.add("Revoke")
                 draining = eventlet.spawn(home.application.drain)
                 world.run(6_000.0)
                 self.assertTrue(draining.dead)
@@ -591,8 +591,8 @@
                     if fault == "heartbeats lost":
                         world.network.lose_first.update(Heartbeat=6, ShortHeartbeat=6)
                     elif fault == "heartbeats doubled late":
-                        world.network.double_delay_ms = 900.0
-                        world.network.double_kinds |= {"Heartbeat", "ShortHeartbeat"}
+                        world.network.duplicate_delay_ms = 900.0
+                        world.network.duplicated_kinds |= {"Heartbeat", "ShortHeartbeat"}
                     self.assertGreater(sum(leaver.minion.starts.values()), 0)
                     if way == "minion leaves":
                         leaver.application.runner.leave()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -50,7 +50,7 @@
         service = "fitting" if role == "agent" else ""
         incarnation = incarnation or (1 << 60) + number
         self.member = Member(address, incarnation, domain, role, "ready", service)
-        self.me = peer_of(self.member)
+        self.local_peer = peer_of(self.member)
         self.paused = False
         self.demand = (("opticians", 1.0, 2.0),)
         self.roster = Roster(network.clock, domain)
@@ -69,10 +69,10 @@
             self.component = Heartbeater(
                 *common, lambda: self.member, self.configuration, PERIOD_MS
             )
-        network.processes[self.me] = self
+        network.processes[self.local_peer] = self
 
     def send(self, peer, message):
-        data = messages.encode(self.me, peer.incarnation, message)
+        data = messages.encode(self.local_peer, peer.incarnation, message)
         self.network.queue.append((self, peer, data))
         return True
 
@@ -93,7 +93,7 @@
             self.component.handle_digest(delivery.sender, delivery.message)
 
     def get_state(self, process):
-        member = self.roster.get(process.me)
+        member = self.roster.get(process.local_peer)
         return member.state if member else None
 
 
@@ -112,11 +112,11 @@
         while self.queue:
             source, peer, data = self.queue.pop(0)
             target = self.processes.get(peer)
-            self.bytes[source.me] += len(data)
-            self.count[source.me] += 1
+            self.bytes[source.local_peer] += len(data)
+            self.count[source.local_peer] += 1
             domains = frozenset({source.member.domain, target.member.domain}) if target else None
             if target and not target.paused and domains not in self.partitions:
-                self.bytes[target.me] += len(data)
+                self.bytes[target.local_peer] += len(data)
                 target.receive(messages.decode(data))
 
     def run(self, rounds):
@@ -154,14 +154,14 @@
     def check_states(self, process, expected):
         for other in self.running_processes():
             if other is not process:
-                self.assertEqual(other.get_state(process), expected, other.me.address)
+                self.assertEqual(other.get_state(process), expected, other.local_peer.address)
 
     def entry_of(self, agent):
         return self.network.processes[agent.component.target]
 
     def test_all_processes_know_all_others(self):
         for process in self.running_processes():
-            others = {agent.me for agent in self.agents} - {process.me}
+            others = {agent.local_peer for agent in self.agents} - {process.local_peer}
             self.assertEqual(set(map(peer_of, process.roster.agents("fitting"))), others)
             self.assertEqual(len(process.roster.entries()), 4)
 
@@ -178,7 +178,7 @@
 
     def test_new_incarnation_at_an_old_address(self):
         old = self.agents[0]
-        del self.network.processes[old.me]
+        del self.network.processes[old.local_peer]
         new = self.add(10, "north", "agent", incarnation=5)
         self.network.introduce()
         self.network.run(4)
@@ -225,7 +225,7 @@
             self.network.run(rounds)
             for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
-                self.assertEqual(near == {process.member.domain}, known, process.me.address)
+                self.assertEqual(near == {process.member.domain}, known, process.local_peer.address)
         self.network.partitions.clear()
         self.network.run(FAR_ROUNDS + 1)
         self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
@@ -235,9 +235,9 @@
         self.network.partitions.add(frozenset({"north", "south"}))
         self.network.run(330)
         for process in self.running_processes():
-            others = {other.me for other in self.running_processes()} - {process.me}
+            others = {other.local_peer for other in self.running_processes()} - {process.local_peer}
             ready = {peer_of(m) for m in process.roster.members() if m.state == "ready"}
-            self.assertEqual(ready - {process.me}, others)
+            self.assertEqual(ready - {process.local_peer}, others)
         self.agents[5].member = self.agents[5].member._replace(state="ejected")
         self.network.run(2)
         self.assertEqual(self.agents[0].get_state(self.agents[5]), "ready")
@@ -307,7 +307,9 @@
         self.network.run(5)
         self.assertEqual([p.roster.version for p in self.running_processes()], versions)
         for process in self.running_processes():
-            loads = [m.load for m in process.roster.agents("fitting") if peer_of(m) != process.me]
+            loads = [
+                m.load for m in process.roster.agents("fitting") if peer_of(m) != process.local_peer
+            ]
             self.assertEqual(set(loads), {load})
 
     def test_configuration_reaches_all_and_is_reported(self):
@@ -338,7 +340,7 @@
         agent.step()
         self.network.deliver()
         self.assertEqual(agent.configuration.revision, len(documents))
-        self.assertEqual(self.network.count[agent.me], len(documents) // 2)
+        self.assertEqual(self.network.count[agent.local_peer], len(documents) // 2)
 
     def test_configuration_is_pushed_without_waiting_for_heartbeats(self):
         for entry in self.entries[:2]:
@@ -376,14 +378,16 @@
                 self.network.partitions.clear()
                 self.network.run(rounds)
                 told = {report.entry: report.demand for report in first.component.peers_demand()}
-                self.assertEqual(told[second.me], demand)
+                self.assertEqual(told[second.local_peer], demand)
 
     def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
         self.network.count.clear()
         self.network.run(10)
         for agent in self.agents:
-            self.assertEqual(self.network.count[agent.me], 10)
-        digests = sum(self.network.count[e.me] for e in self.entries) - 10 * len(self.agents)
+            self.assertEqual(self.network.count[agent.local_peer], 10)
+        digests = sum(self.network.count[e.local_peer] for e in self.entries) - 10 * len(
+            self.agents
+        )
         self.assertEqual(digests, 10 * 4 + 10 // FAR_ROUNDS * 2)
 
 
@@ -400,7 +404,7 @@
             load = Load(8, generator.randrange(9), generator.randrange(3), generator.random())
             entry.roster.apply_indirect(agent._replace(load=load))
         agents = [p for p in network.processes.values() if p.member.domain == "north"][1:]
-        network.processes = {process.me: process for process in [entry, *agents]}
+        network.processes = {process.local_peer: process for process in [entry, *agents]}
         network.introduce()
         network.run(1)
         period_ms = entry.component.period_ms
@@ -414,7 +418,7 @@
             changed_agent = agents[round_number]
             changed_agent.member = changed_agent.member._replace(state="ejected")
             network.run(1)
-        worst = max(network.bytes[agent.me] for agent in agents) / 3
+        worst = max(network.bytes[agent.local_peer] for agent in agents) / 3
         self.assertLess(worst / (PERIOD_MS / 1_000), BUDGET_BYTES_PER_S)
 
 
--- a/tests/test_run_certainty.py
+++ b/tests/test_run_certainty.py
@@ -67,7 +67,7 @@
         incarnation = self.minion.incarnation
         self.executor.handle_minion_report(incarnation)
         self.executor.handle_minion_departure(incarnation.instance, incarnation.started_unix_ms)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def test_active_runs_of_departed_minion_are_not_reported_as_over(self):
         self.start_runs(1)
@@ -114,7 +114,7 @@
         before = self.minion.incarnation
         self.leave(300.0)
         self.executor.handle_minion_report(before._replace(sequence=before.sequence + 9))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertFalse(self.executor.state().accepts)
 
     def test_next_minion_is_adopted_once_the_departed_one_has_exited(self):
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -26,8 +26,8 @@
 class Outbox:
     """A messenger that records the messages sent."""
 
-    def __init__(self, me: Peer):
-        self.me = me
+    def __init__(self, local_peer: Peer):
+        self.local_peer = local_peer
         self.sent = []
 
     def send(self, peer, message) -> bool:
@@ -68,11 +68,11 @@
 
     def offer(self, *tasks, floor=1, more=False, home=HOME):
         self.runner.handle_offer(home, Offer(floor, tasks, more))
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def revoke(self, *offers, floor=1, stop=False, home=HOME) -> Revoked:
         self.runner.handle_revoke(home, Revoke(floor, offers, stop))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         return self.outbox.take(Revoked)[-1]
 
     def results(self) -> list[list[int]]:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -30,7 +30,7 @@
 TEST_TIMEOUT_S = 10
 
 
-def take(changes, count):
+def next_changes(changes, count):
     """Return the next ``count`` changes of a watch, skipping the None items."""
     found = []
     with eventlet.Timeout(TEST_TIMEOUT_S):
@@ -131,13 +131,13 @@
         for revision, skipped in ((1, 0), (2, 1), (4, 2), (6, 4)):
             with self.subTest(revision=revision):
                 watch = self.store.watch("p/", revision)
-                self.assertEqual(take(watch, 6 - skipped), expected[skipped:])
+                self.assertEqual(next_changes(watch, 6 - skipped), expected[skipped:])
                 watch.close()
 
     def test_watch_is_woken_and_costs_one_call(self):
         watch = self.store.watch("p/", 1)
         for number in range(3):
-            waiting = eventlet.spawn(take, watch, 1)
+            waiting = eventlet.spawn(next_changes, watch, 1)
             eventlet.sleep(0)
             written = self.store.swap(f"p/{number}", 0, b"x")
             self.assertEqual(waiting.wait(), [Change(f"p/{number}", b"x", written.revision)])
@@ -146,7 +146,7 @@
         self.backing.down = True
         self.backing.down = False
         with self.assertRaises(StoreUnavailable), eventlet.Timeout(TEST_TIMEOUT_S):
-            take(watch, 1)
+            next_changes(watch, 1)
         self.assertEqual(self.counters.get("store_failures", kind="watch"), 1)
 
     def test_watch_without_changes_yields_none(self):
@@ -162,12 +162,12 @@
         for number in range(HISTORY_LIMIT + 1):
             self.store.swap(f"p/{number}", 0, b"x")
         with self.assertRaises(CompactedRevision):
-            take(self.store.watch("p/", 1), 1)
-        changes = take(self.store.watch("p/", 2), HISTORY_LIMIT)
+            next_changes(self.store.watch("p/", 1), 1)
+        changes = next_changes(self.store.watch("p/", 2), HISTORY_LIMIT)
         self.assertEqual([change.revision for change in changes], list(range(3, 11)))
         self.backing.compact()
         with self.assertRaises(CompactedRevision):
-            take(self.store.watch("p/", 9), 1)
+            next_changes(self.store.watch("p/", 9), 1)
         self.assertEqual(self.counters.get("store_failures", kind="watch"), 0)
 
     def test_lease(self):
@@ -328,10 +328,10 @@
     def test_watch_fails_when_its_stream_is_closed(self):
         self.store.swap("a", 0, b"1")
         watch = self.store.watch("", 1)
-        take(watch, 1)
+        next_changes(watch, 1)
         self.standin.stop()
         with self.assertRaises(StoreUnavailable):
-            take(watch, 1)
+            next_changes(watch, 1)
 
 
 class GatewayAnswersTest(unittest.TestCase):
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -52,7 +52,7 @@
             storm.world.agents.pop()
 
         def lose_all_submits(storm):
-            storm.world.network.lose_kinds.add("Submit")
+            storm.world.network.dropped_kinds.add("Submit")
             storm.world.network.clear = lambda: None
 
         cases = (
--- a/tests/test_unheard_holder.py
+++ b/tests/test_unheard_holder.py
@@ -42,7 +42,7 @@
     def partition(self):
         """Lose all messages between the holder and the other dispatchers."""
         for other in self.others:
-            self.world.network.part(self.holder.address, other.address)
+            self.world.network.partition(self.holder.address, other.address)
 
     def lose_messages(self):
         self.start_job()
@@ -69,7 +69,7 @@
         self.partition()
         for worker in self.holder.peers.owned:
             for other in self.others:
-                self.world.network.part(worker, other.address)
+                self.world.network.partition(worker, other.address)
 
     def unlist_worker(self):
         """Let a worker's key in the store expire, while the holder still reaches the worker."""
@@ -117,7 +117,7 @@
                 worker.minion.is_silent = fault == "silent"
                 for dispatcher in world.dispatchers:
                     dispatcher.kill()
-                    world.network.part(worker.address, dispatcher.address)
+                    world.network.partition(worker.address, dispatcher.address)
                 world.dispatchers[:] = [
                     SimulatedDispatcher(world, f"h{index}", incarnation=2) for index in range(3)
                 ]
--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -45,7 +45,7 @@
     for one in world.processes:
         for other in world.processes:
             if one.domain == domain != other.domain:
-                world.network.part(one.peer.address, other.peer.address)
+                world.network.partition(one.peer.address, other.peer.address)
     return world.network.heal
 
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -13,7 +13,7 @@
 from geraniumspool.errors import Finding, InvalidInput, LinkDown
 from geraniumspool.reply import reply_json, retry_after_s
 from geraniumspool.routes import Route
-from geraniumspool.web import Application
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 MAX_BODY = 1000
@@ -51,7 +51,7 @@
 def make_server(clock, *routes, **options):
     counters = FakeCounters()
     logger = logging.getLogger("tests.web")
-    application = Application(routes, MAX_BODY, counters, logger)
+    application = WebApplication(routes, MAX_BODY, counters, logger)
     server = WebServer(application, "127.0.0.1:0", clock, max_header_bytes=MAX_HEAD, **options)
     server.start()
     return server, counters
--- a/tests/world.py
+++ b/tests/world.py
@@ -26,7 +26,7 @@
 from geraniumspool.minion import MemoryMinionClient
 from geraniumspool.settings import AgentSettings, EntrySettings
 from geraniumspool.ticket import Keyring
-from geraniumspool.web import Application as WebApplication
+from geraniumspool.web import WebApplication
 from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN
 
 STARTUP_MS = 3_500.0
@@ -39,7 +39,7 @@
 
     MAX_ROUNDS = 2_000
 
-    def settle(self) -> None:
+    def run_ready_threads(self) -> None:
         hub = hubs.get_hub()
         for _ in range(self.MAX_ROUNDS):
             eventlet.sleep(0)
@@ -71,8 +71,8 @@
     def now(self) -> float:
         return self._world.now()
 
-    def wall(self) -> int:
-        return self._world.wall()
+    def wall_ms(self) -> int:
+        return self._world.wall_ms()
 
     def after(self, delay_ms, callback) -> Timer:
         timer = Timer(callback)
@@ -117,8 +117,8 @@
 class ProcessMessenger(MemoryMessenger):
     """Messenger that sends nothing once its process is dead."""
 
-    def __init__(self, network, me, counters, clock: ProcessClock):
-        super().__init__(network, me, counters)
+    def __init__(self, network, local_peer, counters, clock: ProcessClock):
+        super().__init__(network, local_peer, counters)
         self._clock = clock
 
     def send(self, peer, message) -> bool:
@@ -176,7 +176,7 @@
         self.delay_kinds: dict[str, float] = {}
         self.storm: random.Random | None = None
 
-    def carry(self, sender, receiver, message) -> None:
+    def transmit(self, sender, receiver, message) -> None:
         kind = type(message).__name__
         if self.storm is not None:
             self._carry_in_storm(sender, receiver, message)
@@ -185,16 +185,16 @@
             self.lose_first[kind] -= 1
             self.sent.append((sender, receiver, message))
             return
-        if kind in self.delay_kinds and (sender.address, receiver.address) not in self.cut:
+        if kind in self.delay_kinds and (sender.address, receiver.address) not in self.partitioned:
             self.sent.append((sender, receiver, message))
             self._carry_late(sender, receiver, message, self.delay_kinds[kind])
             return
-        super().carry(sender, receiver, message)
+        super().transmit(sender, receiver, message)
 
     def _carry_in_storm(self, sender, receiver, message) -> None:
         self.sent.append((sender, receiver, message))
         draw = self.storm.random()
-        if draw < self.STORM_LOSS_SHARE or (sender.address, receiver.address) in self.cut:
+        if draw < self.STORM_LOSS_SHARE or (sender.address, receiver.address) in self.partitioned:
             return
         copies = 2 if draw < self.STORM_LOSS_SHARE + self.STORM_DUPLICATE_SHARE else 1
         for _ in range(copies):
@@ -210,12 +210,12 @@
         """End every fault and thaw every frozen address."""
         self.storm = None
         self.heal()
-        self.lose_kinds.clear()
-        self.double_kinds.clear()
+        self.dropped_kinds.clear()
+        self.duplicated_kinds.clear()
         self.lose_first.clear()
         self.delay_kinds.clear()
-        for address in list(self.frozen):
-            self.thaw(address)
+        for address in list(self.held_messages):
+            self.resume(address)
 
     def count(self, kind: type, receiver: Peer | None = None) -> int:
         """Return how many messages of a type were sent, lost ones included.
@@ -317,7 +317,7 @@
         settings = EntrySettings(domain, TOKEN, (TICKET_KEY,), ("http://127.0.0.1:1",))
         entry = Entry(settings, messenger, self.store, clock, metrics)
         entry.callers._homes._random = random.Random(self._random.randrange(1 << 30))
-        process = Process(entry, clock, messenger.me, domain, None)
+        process = Process(entry, clock, messenger.local_peer, domain, None)
         self.entries.append(process)
         return self._start(process)
 
@@ -334,7 +334,7 @@
         )
         agent = Agent(settings, messenger, self.store, minion, clock, metrics)
         agent.home._placer._placement._random = random.Random(self._random.randrange(1 << 30))
-        process = Process(agent, clock, messenger.me, domain, minion)
+        process = Process(agent, clock, messenger.local_peer, domain, minion)
         self.agents.append(process)
         return self._start(process)
 
@@ -347,7 +347,7 @@
     def _start(self, process: Process) -> Process:
         self.processes.append(process)
         process.application.start()
-        self.clock.settle()
+        self.clock.run_ready_threads()
         return process
 
     def run(self, delay_ms: float) -> None:
@@ -363,7 +363,7 @@
         for group in (self.entries, self.agents, self.processes):
             if process in group:
                 group.remove(process)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def replace(self, process: Process) -> Process:
         """Kill a process, start another one at the same address and return it."""
@@ -374,14 +374,14 @@
     def freeze(self, process: Process) -> None:
         """Suspend a process as SIGSTOP does."""
         process.clock.freeze()
-        self.network.freeze(process.peer.address)
+        self.network.pause(process.peer.address)
 
     def thaw(self, process: Process) -> None:
         """Resume a frozen process: overdue timers fire first, then its messages arrive."""
         if process.clock.frozen:
             process.clock.thaw()
-            self.network.thaw(process.peer.address)
-            self.clock.settle()
+            self.network.resume(process.peer.address)
+            self.clock.run_ready_threads()
 
     def job(self, home: Process | None, runs=(100.0, 100.0, 100.0), deadline_ms=8_000.0) -> Job:
         """Return a job with one task for each run time.
@@ -391,7 +391,7 @@
         """
         ticket = ""
         if home is not None:
-            ticket = self.keyring.issue(home.peer, SERVICE, self.clock.wall())
+            ticket = self.keyring.issue(home.peer, SERVICE, self.clock.wall_ms())
         return Job(f"job{next(self._names)}", ticket, tuple(runs), deadline_ms)
 
     def submit(self, entry: Process, job: Job, key: str = "") -> Call:
@@ -407,7 +407,7 @@
         body = {"service": SERVICE, "team": TEAM, "deadline_ms": job.deadline_ms, "tasks": tasks}
         method, path = ("PUT", f"/v1/jobs/{job.ticket}") if job.ticket else ("POST", "/v1/jobs")
         if key:
-            key = self._keys.setdefault(key, make_key(self.clock.wall()))
+            key = self._keys.setdefault(key, make_key(self.clock.wall_ms()))
         return self.request(entry, job, method, path, json.dumps(body).encode(), key)
 
     def cancel(self, entry: Process, job: Job) -> Call:
@@ -417,7 +417,7 @@
         call = Call(job, entry, self.clock.now())
         self.calls.append(call)
         call.task = eventlet.spawn(self._exchange, call, method, path, body, key)
-        self.clock.settle()
+        self.clock.run_ready_threads()
         return call
 
     def _exchange(self, call: Call, method: str, path: str, body: bytes, key: str) -> None:
