--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -39,7 +39,7 @@
 )
 from geraniumspool.records import Records
 from geraniumspool.settings import AgentSettings
-from geraniumspool.ticket import Keyring, read_ticket
+from geraniumspool.ticket import Keyring, decode_unverified
 
 JOB_SIZES = (1, 8, 40, 340)
 WORKER_COUNTS = (11, 100, 551)
@@ -314,7 +314,7 @@
         text = keyring.issue(home, SERVICE, 1_790_000_000_000)
         results = tuple(bytes(bytearray(RESULT)) for _ in range(tasks))
         answer = Answer(1, text, "complete", results=results)
-        records.add(read_ticket(text), Record(text, bytes(bytearray(b"d" * 16)), answer))
+        records.add(decode_unverified(text), Record(text, bytes(bytearray(b"d" * 16)), answer))
     return records
 
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -244,7 +244,7 @@
         body = json.dumps({"weight": weight}).encode()
         expected = held.revision if held else 0
         try:
-            receipt = application.desk.propose(
+            receipt = application.configuration_changes.apply_change(
                 CONFIGURATION_KEY, body, expected, name, "nomin", "storm"
             )
         except DispatchError as error:
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -60,7 +60,7 @@
 from geraniumspool.runner import Runner
 from geraniumspool.scope import make_scope_classifier
 from geraniumspool.settings import AgentSettings
-from geraniumspool.submission import collect
+from geraniumspool.submission import collect_findings
 from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
@@ -386,7 +386,7 @@
     :param body: JSON object with the fields of ``Announcement``
     :raises InvalidInput: if the body is anything else or a value is out of range
     """
-    with collect("announcement") as findings:
+    with collect_findings("announcement") as findings:
         try:
             sent_fields = msgspec.json.decode(body, type=dict[str, str | int | float])
             fields = Announcement._field_defaults | sent_fields
@@ -395,7 +395,7 @@
             )
         except msgspec.MsgspecError as error:
             findings.add("", str(error))
-            raise InvalidInput(findings.all) from error
+            raise InvalidInput(findings.findings) from error
         if announcement.slots < 1:
             findings.add("slots", "must be at least 1")
         if announcement.connections < 1:
--- a/geraniumspool/archive.py
+++ b/geraniumspool/archive.py
@@ -5,7 +5,7 @@
 
 from geraniumspool.messages import STATE_MAY_HAVE_RUN, STATE_NOT_RUN, Answer, Handover, Peer, Record
 from geraniumspool.records import Watermark
-from geraniumspool.ticket import Ticket, read_ticket
+from geraniumspool.ticket import Ticket, decode_unverified
 
 # Limits on the archives kept; the oldest are dropped first.
 MAX_ARCHIVES = 200
@@ -50,7 +50,7 @@
         if handover.last:
             self.last_batch = handover.batch
         for record in handover.records:
-            self.records[read_ticket(record.ticket).job] = record
+            self.records[decode_unverified(record.ticket).job] = record
             self.size_bytes += sum(len(body) for body in record.answer.results)
 
     def proves_not_run(self, ticket: Ticket) -> bool:
--- a/geraniumspool/audit.py
+++ b/geraniumspool/audit.py
@@ -15,8 +15,8 @@
 CONFIG_PREFIX = "config/"
 AUDIT_PREFIX = "audit/"
 MAX_RECORDS = 1_000
-KEPT_RECORDS = 50
-KEPT_KEYS = 1_000
+MAX_CACHED_RECORDS = 50
+MAX_CACHED_KEYS = 1_000
 REVISION_DIGITS = 20
 
 
@@ -122,7 +122,7 @@
         self._cached_records: dict[str, tuple[AuditRecord, ...]] = {}
         self.last_read_ms: float | None = None
 
-    def settle(self, key: str) -> None:
+    def record_latest(self, key: str) -> None:
         """Write the audit record of a key's latest change if it is missing.
 
         :param key: key of a document
@@ -158,7 +158,7 @@
         """
         limit = max(0, min(limit, MAX_RECORDS))
         try:
-            self.settle(key)
+            self.record_latest(key)
             records = self._read(key)
         except StoreError:
             return History(self._cached_records.get(key, ())[:limit], fresh=False)
@@ -189,9 +189,9 @@
         if not records:
             return
         self._cached_records.pop(key, None)
-        if len(self._cached_records) >= KEPT_KEYS:
+        if len(self._cached_records) >= MAX_CACHED_KEYS:
             del self._cached_records[next(iter(self._cached_records))]
-        self._cached_records[key] = records[:KEPT_RECORDS]
+        self._cached_records[key] = records[:MAX_CACHED_RECORDS]
 
 
 def _make_record(key: str, revision: int, envelope: ChangeEnvelope) -> AuditRecord:
--- a/geraniumspool/binding.py
+++ b/geraniumspool/binding.py
@@ -5,7 +5,7 @@
 
 from geraniumspool.contracts import Clock, Store
 from geraniumspool.errors import DispatchError, LeaseExpired, StoreError, StoreUnknown
-from geraniumspool.idempotency import IdempotencyKey, invalid_key
+from geraniumspool.idempotency import IdempotencyKey, make_invalid_key_error
 
 PREFIX = "idempotency/"
 LEASE_MS = 900_000.0
@@ -15,7 +15,7 @@
 MAX_KEY_AGE_MS = 480_000.0
 MAX_KEY_AHEAD_MS = 30_000.0
 CLOCK_SKEW_MS = 60_000.0
-RETRY_MS = 1_000.0
+STORE_RETRY_AFTER_MS = 1_000.0
 
 
 class BindingUnavailable(DispatchError):
@@ -64,18 +64,20 @@
         :raises InvalidInput: if the key's timestamp lies too far in the future
         """
         self._check_age(key)
-        bound = self._read_or_write(name_binding(team, key.text), ticket)
+        bound = self._read_or_write(make_binding_key(team, key.text), ticket)
         # An earlier binding may have expired while this process waited for the store.
         self._check_age(key)
         return bound
 
     def _check_age(self, key: IdempotencyKey) -> None:
-        age_ms = self._clock.wall_ms() - key.made_ms
+        age_ms = self._clock.wall_ms() - key.created_ms
         if age_ms < -MAX_KEY_AHEAD_MS:
-            raise invalid_key("was made in the future; set the clock of the caller's host")
+            raise make_invalid_key_error(
+                "was made in the future; set the clock of the caller's host"
+            )
         if age_ms > MAX_KEY_AGE_MS:
             raise KeyExpired(f"the key is older than {MAX_KEY_AGE_MS:.0f} ms")
-        if key.made_ms <= self._refused_until_ms:
+        if key.created_ms <= self._refused_until_ms:
             raise KeyExpired("the store dropped bindings since the key was made")
 
     def _read_or_write(self, name: str, ticket: str) -> str:
@@ -118,10 +120,12 @@
 
 
 def _make_unavailable(detail: str) -> BindingUnavailable:
-    return BindingUnavailable(f"{detail}; repeat the request with the same key", RETRY_MS)
+    return BindingUnavailable(
+        f"{detail}; repeat the request with the same key", STORE_RETRY_AFTER_MS
+    )
 
 
-def name_binding(team: str, key: str) -> str:
+def make_binding_key(team: str, key: str) -> str:
     """Return the key in the store under which a team's idempotency key is bound."""
     digest = hashlib.blake2b(f"{team}\0{key}".encode(), digest_size=18).digest()
     return PREFIX + base64.urlsafe_b64encode(digest).decode()
--- a/geraniumspool/callers.py
+++ b/geraniumspool/callers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from geraniumspool.binding import Bindings, BindingUnavailable, KeyExpired
-from geraniumspool.calls import Calls, NoAnswer
+from geraniumspool.calls import HomeRequests, NoAnswer
 from geraniumspool.configuration import Configuration
 from geraniumspool.contracts import Clock
 from geraniumspool.decisions import (
@@ -17,11 +17,11 @@
     SERVICE_UNSERVED,
     TICKET_HOME_GONE,
     DecisionLog,
-    describe,
+    to_document,
 )
 from geraniumspool.errors import ForeignService, JobConflict
 from geraniumspool.homes import Homes, NoHome
-from geraniumspool.idempotency import HEADER, IdempotencyKey, parse_key
+from geraniumspool.idempotency import IDEMPOTENCY_KEY_HEADER, IdempotencyKey, parse_key
 from geraniumspool.messages import (
     STATE_COMPLETE,
     STATE_CONFLICT,
@@ -38,21 +38,26 @@
 from geraniumspool.quota import QuotaRefusal, Quotas
 from geraniumspool.reply import Reply, reply_json, reply_problem
 from geraniumspool.routes import Request, Route
-from geraniumspool.submission import Submission, check_limits, parse_submission, parse_ticket_order
+from geraniumspool.submission import (
+    Submission,
+    check_limits,
+    parse_submission,
+    parse_ticket_request,
+)
 from geraniumspool.ticket import Keyring, Ticket
 
 _LOG = logging.getLogger(__name__)
 
 # Longest wait for a home's answer to a query.
-ASK_LIMIT_MS = 2_000.0
+QUERY_TIMEOUT_MS = 2_000.0
 OVERLOAD_RETRY_MS = 250.0
 HTTP_CREATED = 201
-STATUS_OF_CODE = {
+HTTP_STATUS_BY_CODE = {
     JOB_REFUSED_QUOTA: 429,
     JOB_REFUSED_NO_CAPACITY: 422,
     "job_cancelled": 409,
 }
-STATUS_OF_OUTCOME = {STATE_NOT_RUN: 503, STATE_MAY_HAVE_RUN: 502}
+HTTP_STATUS_BY_OUTCOME = {STATE_NOT_RUN: 503, STATE_MAY_HAVE_RUN: 502}
 CODE_HOME_GONE = "home_gone"
 PROMETHEUS_TEXT = "text/plain; version=0.0.4"
 
@@ -67,7 +72,7 @@
         self,
         keyring: Keyring,
         homes: Homes,
-        calls: Calls,
+        home_requests: HomeRequests,
         quotas: Quotas,
         bindings: Bindings,
         configuration: Configuration,
@@ -85,7 +90,7 @@
         """
         self._keyring = keyring
         self._homes = homes
-        self._calls = calls
+        self._home_requests = home_requests
         self._quotas = quotas
         self._bindings = bindings
         self._configuration = configuration
@@ -113,35 +118,37 @@
     def get_job(self, request: Request) -> Reply:
         """Return a job's state, or its recorded answer when it has ended."""
         text, ticket = self._read_ticket(request)
-        return self._query(text, ticket, Inquire(self._calls.next_number(), text))
+        return self._query(text, ticket, Inquire(self._home_requests.next_number(), text))
 
     def delete_job(self, request: Request) -> Reply:
         """Cancel a job at its home and return the resulting state."""
         text, ticket = self._read_ticket(request)
-        peer = self._homes.find(ticket).peer
+        peer = self._homes.find_route(ticket).peer
         if peer is None:
             return self._reply_home_gone(text, ticket)
-        cancel = Cancel(self._calls.next_number(), text)
-        answer = self._calls.submit(peer, cancel, ASK_LIMIT_MS)
+        cancel = Cancel(self._home_requests.next_number(), text)
+        answer = self._home_requests.submit(peer, cancel, QUERY_TIMEOUT_MS)
         return self._reply(text, ticket, peer, answer)
 
     def get_decisions(self, request: Request) -> Reply:
         """Return the decisions on a job that this entry and the job's home still keep."""
         text, ticket = self._read_ticket(request)
-        peer = self._homes.find(ticket).peer
-        local = self._decisions.about(f"{ticket.job:x}")
-        rows = [describe(decision) for decision in local]
+        peer = self._homes.find_route(ticket).peer
+        local = self._decisions.list_by_subject(f"{ticket.job:x}")
+        rows = [to_document(decision) for decision in local]
         if peer is not None:
-            inquire = Inquire(self._calls.next_number(), text, True)
-            answer = self._calls.ask(peer, inquire, ASK_LIMIT_MS)
+            inquire = Inquire(self._home_requests.next_number(), text, True)
+            answer = self._home_requests.query(peer, inquire, QUERY_TIMEOUT_MS)
             if isinstance(answer, Answer):
                 rows.extend(msgspec.json.decode(answer.decisions or b"[]"))
         rows.sort(key=lambda row: row["at_ms"])
         return reply_json(200, {"job": text, "decisions": rows})
 
     def _post_tickets(self, request: Request) -> Reply:
-        order = parse_ticket_order(request.body)
-        tickets = [self._homes.issue(order.service) for _ in range(order.count)]
+        ticket_request = parse_ticket_request(request.body)
+        tickets = [
+            self._homes.issue_ticket(ticket_request.service) for _ in range(ticket_request.count)
+        ]
         return reply_json(HTTP_CREATED, {"tickets": tickets})
 
     def _put_job(self, request: Request) -> Reply:
@@ -153,7 +160,7 @@
         key = _parse_idempotency_key(request)
         submission = self._read_submission(request)
         try:
-            text = self._homes.issue(submission.service)
+            text = self._homes.issue_ticket(submission.service)
         except NoHome as error:
             return self._reply_no_home(request, submission.service, error)
         if key:
@@ -223,7 +230,7 @@
         """
         if submission.service != ticket.service:
             raise ForeignService(f"the ticket is for service {ticket.service!r}")
-        peer, is_archive = self._homes.find(ticket)
+        peer, is_archive = self._homes.find_route(ticket)
         if peer is None:
             return self._reply_home_gone(text, ticket)
         if is_archive:
@@ -232,10 +239,12 @@
         if refusal is not None:
             code, detail, retry_ms = refusal
             self._record_refusal(ticket, code, detail, retry_ms)
-            number = self._calls.next_number()
+            number = self._home_requests.next_number()
             decline = Decline(number, text, submission.digest, code, detail, retry_ms)
             limit_ms = self._effective_deadline_ms(submission)
-            return self._reply(text, ticket, peer, self._calls.submit(peer, decline, limit_ms))
+            return self._reply(
+                text, ticket, peer, self._home_requests.submit(peer, decline, limit_ms)
+            )
         try:
             return self._send(text, ticket, peer, submission)
         finally:
@@ -244,7 +253,7 @@
     def _send(self, text: str, ticket: Ticket, peer: Peer, submission: Submission) -> Reply:
         deadline_ms = self._effective_deadline_ms(submission)
         submit = Submit(
-            self._calls.next_number(),
+            self._home_requests.next_number(),
             text,
             submission.service,
             submission.team,
@@ -252,9 +261,9 @@
             submission.digest,
             submission.tasks,
         )
-        self._homes.note_routed(peer, len(submission.tasks))
+        self._homes.record_routed_tasks(peer, len(submission.tasks))
         self._decisions.record(HOME_CHOSEN, f"{ticket.job:x}", home=peer.address)
-        answer = self._calls.submit(peer, submit, deadline_ms)
+        answer = self._home_requests.submit(peer, submit, deadline_ms)
         if isinstance(answer, NoAnswer):
             answer = self._query_archive(ticket, peer, submit) or answer
         return self._reply(text, ticket, peer, answer)
@@ -264,15 +273,15 @@
 
         :returns: its answer, or None if there is no such process or it did not answer
         """
-        route = self._homes.find(ticket)
+        route = self._homes.find_route(ticket)
         if not route.is_archive or route.peer in (None, home):
             return None
-        resubmit = submit._replace(request=self._calls.next_number(), tasks=())
-        answer = self._calls.submit(route.peer, resubmit, ASK_LIMIT_MS)
+        resubmit = submit._replace(request=self._home_requests.next_number(), tasks=())
+        answer = self._home_requests.submit(route.peer, resubmit, QUERY_TIMEOUT_MS)
         return None if isinstance(answer, NoAnswer) else answer
 
     def _find_refusal(self, submission: Submission) -> tuple[str, str, float] | None:
-        if len(self._calls) >= self._max_running_jobs:
+        if len(self._home_requests) >= self._max_running_jobs:
             return JOB_REFUSED_OVERLOAD, "too many jobs are in flight here", OVERLOAD_RETRY_MS
         refusal: QuotaRefusal | None = self._quotas.charge(submission.team, len(submission.tasks))
         if refusal is not None:
@@ -302,22 +311,24 @@
         return text, self._keyring.verify(text)
 
     def _query(self, text: str, ticket: Ticket, message: Inquire | Cancel) -> Reply:
-        peer = self._homes.find(ticket).peer
+        peer = self._homes.find_route(ticket).peer
         if peer is None:
             return self._reply_home_gone(text, ticket)
-        return self._reply(text, ticket, peer, self._calls.ask(peer, message, ASK_LIMIT_MS))
+        return self._reply(
+            text, ticket, peer, self._home_requests.query(peer, message, QUERY_TIMEOUT_MS)
+        )
 
     def _reply(self, text: str, ticket: Ticket, peer: Peer, answer: Answer | NoAnswer) -> Reply:
         if isinstance(answer, NoAnswer):
             return self._reply_no_answer(text, ticket, answer)
         if answer.request:
-            self._homes.note_load(peer, answer.load)
+            self._homes.record_load(peer, answer.load)
         if answer.state == STATE_COMPLETE:
             return self._reply_complete(text, ticket, answer)
         if answer.state == STATE_CONFLICT:
             detail = "another job was submitted under this ticket; it is untouched"
             return reply_problem(409, answer.code or JobConflict.code, detail)
-        if answer.state not in STATUS_OF_OUTCOME:
+        if answer.state not in HTTP_STATUS_BY_OUTCOME:
             return reply_json(200, {"job": text, "state": answer.state})
         return self._reply_failed(text, ticket, answer)
 
@@ -330,7 +341,7 @@
         return reply_json(200, value)
 
     def _reply_failed(self, text: str, ticket: Ticket, answer: Answer) -> Reply:
-        status = STATUS_OF_CODE.get(answer.code, STATUS_OF_OUTCOME[answer.state])
+        status = HTTP_STATUS_BY_CODE.get(answer.code, HTTP_STATUS_BY_OUTCOME[answer.state])
         can_retry = answer.state == STATE_NOT_RUN
         decision = answer.decision or self._decisions.record(
             TICKET_HOME_GONE, f"{ticket.job:x}", home=ticket.home.address, reason=answer.code
@@ -366,7 +377,7 @@
 
     def _next_ticket(self, service: str) -> str | None:
         try:
-            return self._homes.issue(service)
+            return self._homes.issue_ticket(service)
         except NoHome:
             return None
 
@@ -383,5 +394,5 @@
 
 
 def _parse_idempotency_key(request: Request) -> IdempotencyKey | None:
-    text = request.header(HEADER)
+    text = request.header(IDEMPOTENCY_KEY_HEADER)
     return parse_key(text) if text else None
--- a/geraniumspool/calls.py
+++ b/geraniumspool/calls.py
@@ -23,12 +23,12 @@
 # First delay as a multiple of the average response time, within the limits above.
 PROBE_FACTOR = 4.0
 # Weight of a new response time in the moving average.
-LEARNING_RATE = 0.1
+RESPONSE_TIME_WEIGHT = 0.1
 # A request fails after this time without an answer; sooner if the peer is considered dead.
-SILENCE_MS = 4_000.0
-SUSPECT_SILENCE_MS = 500.0
+NO_ANSWER_TIMEOUT_MS = 4_000.0
+DEAD_PEER_TIMEOUT_MS = 500.0
 # Time past a job's deadline for the home's answer to arrive.
-GRACE_MS = 2_000.0
+ANSWER_GRACE_MS = 2_000.0
 
 
 class NoAnswer(NamedTuple):
@@ -62,7 +62,7 @@
         return answer
 
 
-class Calls:
+class HomeRequests:
     """Outstanding requests of this entry.
 
     To recover from lost messages, an entry queries the job's state at growing
@@ -75,19 +75,19 @@
         messenger: Messenger,
         clock: Clock,
         counters: Counters,
-        is_suspect: Callable[[Peer], bool],
+        is_dead: Callable[[Peer], bool],
     ):
         """Store the collaborators.
 
         :param messenger: sends the requests
         :param clock: source of time
         :param counters: counters for dropped answers and repeated requests
-        :param is_suspect: returns whether the membership considers a peer dead
+        :param is_dead: returns whether the membership considers a peer dead
         """
         self._messenger = messenger
         self._clock = clock
         self._counters = counters
-        self._is_suspect = is_suspect
+        self._is_dead = is_dead
         self._numbers = itertools.count(1)
         self._calls: dict[int, _Call] = {}
         self._average_response_ms = MIN_PROBE_MS
@@ -105,7 +105,7 @@
 
         :param peer: the home
         :param message: has a ``request`` number from :meth:`next_number` and a ``ticket``
-        :param limit_ms: longest wait in milliseconds, to which ``GRACE_MS`` is added
+        :param limit_ms: longest wait in milliseconds, to which ``ANSWER_GRACE_MS`` is added
         :returns: the final answer, or the reason why there is none
         """
         call = self._open(peer, message)
@@ -114,7 +114,7 @@
         finally:
             del self._calls[message.request]
 
-    def ask(self, peer: Peer, message: Message, limit_ms: float) -> Answer | NoAnswer:
+    def query(self, peer: Peer, message: Message, limit_ms: float) -> Answer | NoAnswer:
         """Send a request and return the first answer, whether final or not.
 
         The request is sent a second time if no answer arrives within half of ``limit_ms``.
@@ -154,7 +154,7 @@
                 call.gone = True
                 call.wake()
 
-    def wake(self, peer: Peer) -> None:
+    def recheck_peer(self, peer: Peer) -> None:
         """Wake the requests to a peer that may be dead, so that they apply the shorter timeout."""
         for call in self._calls.values():
             if call.peer == peer:
@@ -167,7 +167,7 @@
 
     def _await_final(self, call: _Call, message: Message, limit_ms: float) -> Answer | NoAnswer:
         start_ms = last_answer_ms = self._clock.now()
-        end_ms = start_ms + limit_ms + GRACE_MS
+        end_ms = start_ms + limit_ms + ANSWER_GRACE_MS
         delay_ms = self._first_probe_delay()
         while True:
             now = self._clock.now()
@@ -188,10 +188,12 @@
         return min(MAX_PROBE_MS, max(MIN_PROBE_MS, PROBE_FACTOR * self._average_response_ms))
 
     def _record_response_time(self, response_ms: float) -> None:
-        self._average_response_ms += LEARNING_RATE * (response_ms - self._average_response_ms)
+        self._average_response_ms += RESPONSE_TIME_WEIGHT * (
+            response_ms - self._average_response_ms
+        )
 
     def _is_silent(self, call: _Call, silent_ms: float) -> bool:
-        timeout_ms = SUSPECT_SILENCE_MS if self._is_suspect(call.peer) else SILENCE_MS
+        timeout_ms = DEAD_PEER_TIMEOUT_MS if self._is_dead(call.peer) else NO_ANSWER_TIMEOUT_MS
         return silent_ms > timeout_ms
 
     def _send_probe(
@@ -205,7 +207,7 @@
             return min(MAX_PROBE_MS, delay_ms * 2)
         self._counters.add("inquiries_sent")
         self._messenger.send(call.peer, Inquire(message.request, message.ticket))
-        return delay_ms if self._is_suspect(call.peer) else min(MAX_PROBE_MS, delay_ms * 2)
+        return delay_ms if self._is_dead(call.peer) else min(MAX_PROBE_MS, delay_ms * 2)
 
     def _make_no_answer(self, call: _Call) -> NoAnswer:
         if call.gone:
--- a/geraniumspool/change_desk.py
+++ b/geraniumspool/change_desk.py
@@ -19,9 +19,9 @@
 from geraniumspool.errors import ChangeUnknown, Finding, InvalidInput, StaleRevision, StoreError
 from geraniumspool.messages import Document
 
-PROPOSE_ATTEMPTS = 4
-PROPOSE_FIRST_DELAY_MS = 50.0
-PROPOSE_RETRY_AFTER_MS = 2_000.0
+CHANGE_ATTEMPTS = 4
+CHANGE_FIRST_DELAY_MS = 50.0
+CHANGE_RETRY_AFTER_MS = 2_000.0
 MAX_CHANGE_ID_CHARS = 64
 MAX_WHO_CHARS = 200
 MAX_WHY_CHARS = 1_000
@@ -78,7 +78,7 @@
     text: str | None
 
 
-class ChangeDesk:
+class ConfigurationChanges:
     """Applies operators' configuration changes, each at most once per change id."""
 
     def __init__(
@@ -103,7 +103,7 @@
         self._clock = clock
         self._on_change = on_change
 
-    def propose(
+    def apply_change(
         self,
         key: str,
         body: bytes | None,
@@ -127,23 +127,23 @@
         _check_proposal(key, body, change_id, who, why)
         text = None if body is None else body.decode("utf-8-sig")
         proposal = _Proposal(key, text, expected_revision, change_id, who, why)
-        delay_ms = PROPOSE_FIRST_DELAY_MS
+        delay_ms = CHANGE_FIRST_DELAY_MS
         cause = "other changes came in between"
-        for attempt in range(PROPOSE_ATTEMPTS):
+        for attempt in range(CHANGE_ATTEMPTS):
             try:
                 receipt = self._try_change(proposal)
             except StoreError as error:
                 cause = error.detail
-                if attempt + 1 < PROPOSE_ATTEMPTS:
+                if attempt + 1 < CHANGE_ATTEMPTS:
                     self._clock.sleep(delay_ms)
                     delay_ms *= 2
                 continue
             if receipt is not None:
                 return receipt
         detail = f"change {change_id} is not known to be accepted ({cause}); repeat it as it is"
-        raise ChangeUnknown(detail, retry_after_ms=PROPOSE_RETRY_AFTER_MS)
+        raise ChangeUnknown(detail, retry_after_ms=CHANGE_RETRY_AFTER_MS)
 
-    def current(self, key: str) -> CurrentDocument:
+    def get_document(self, key: str) -> CurrentDocument:
         """Return a document from the store, or the version in force here if the store fails.
 
         :param key: a kind and a name, such as ``service/fitting``
@@ -203,7 +203,7 @@
         if snapshot.revision < applied_revision:
             # A change made now would get a revision below the one in force and never take effect.
             detail = f"the store went back from revision {applied_revision} to {snapshot.revision}"
-            raise ChangeUnknown(detail, retry_after_ms=PROPOSE_RETRY_AFTER_MS)
+            raise ChangeUnknown(detail, retry_after_ms=CHANGE_RETRY_AFTER_MS)
         matches = [pair for pair in snapshot.pairs if pair.key == CONFIG_PREFIX + key]
         return matches[0] if matches else None
 
--- a/geraniumspool/decisions.py
+++ b/geraniumspool/decisions.py
@@ -134,7 +134,7 @@
         incarnation: int,
         clock: Clock,
         logger: logging.Logger,
-        max_entries: int = 20000,
+        max_decisions: int = 20000,
         max_per_subject: int = 400,
     ):
         """Start empty.
@@ -142,14 +142,14 @@
         :param incarnation: incarnation of this process, part of every id
         :param clock: source of the time of each decision
         :param logger: logs the codes in ``LOGGED_CODES`` at info, others at debug
-        :param max_entries: maximum number of decisions kept; the oldest are dropped first
+        :param max_decisions: maximum number of decisions kept; the oldest are dropped first
         :param max_per_subject: maximum number of decisions kept per subject
         """
         self._prefix = f"d-{incarnation:x}-"
         self._incarnation = incarnation
         self._clock = clock
         self._logger = logger
-        self._max_entries = max_entries
+        self._max_decisions = max_decisions
         self._max_per_subject = max_per_subject
         self._last_number = 0
         self._entries: OrderedDict[int, Decision] = OrderedDict()
@@ -178,12 +178,12 @@
         )
         self._entries[number] = decision
         self._add_to_subject(subject, number)
-        if len(self._entries) > self._max_entries:
+        if len(self._entries) > self._max_decisions:
             self._drop_oldest()
         self._log_decision(decision)
         return decision.id
 
-    def about(self, subject: str) -> list[Decision]:
+    def list_by_subject(self, subject: str) -> list[Decision]:
         """Return the decisions kept on a subject, oldest first.
 
         :param subject: a job's random number in hex, a peer's address, a document key or a
@@ -224,7 +224,7 @@
             self._logger.log(level, decision.code, extra={"fields": fields})
 
 
-def describe(decision: Decision) -> DecisionDocument:
+def to_document(decision: Decision) -> DecisionDocument:
     """Return the JSON form of a decision."""
     return DecisionDocument(
         id=decision.id,
@@ -237,7 +237,7 @@
 
 def encode_decisions(decisions: list[Decision]) -> bytes:
     """Encode decisions as a JSON array of objects, in the given order."""
-    return msgspec.json.encode([describe(decision) for decision in decisions])
+    return msgspec.json.encode([to_document(decision) for decision in decisions])
 
 
 def decode_decisions(data: bytes) -> list[Decision]:
--- a/geraniumspool/demo.py
+++ b/geraniumspool/demo.py
@@ -32,7 +32,7 @@
 from geraniumspool.settings import AgentSettings, EntrySettings
 from geraniumspool.standin_minion import StandinMinion
 from geraniumspool.standin_store import StandinStore
-from geraniumspool.ticket import read_ticket
+from geraniumspool.ticket import decode_unverified
 from geraniumspool.workload import (
     DECLARED_EXACT,
     MAX_TASKS,
@@ -385,7 +385,7 @@
     :param starts: number of starts by task id, as counted by the minions
     """
     started = {task_id.partition(".")[0] for task_id in starts}
-    return sum(f"{read_ticket(ticket).job:x}" in started for ticket in tickets)
+    return sum(f"{decode_unverified(ticket).job:x}" in started for ticket in tickets)
 
 
 _SHARED_FIELDS = frozenset(DemoReport._fields) & frozenset(LoadReport._fields)
--- a/geraniumspool/digests.py
+++ b/geraniumspool/digests.py
@@ -20,10 +20,10 @@
 from geraniumspool.members import peer_of
 from geraniumspool.messages import MEMBER_LEAVING, Digest, Member, Peer
 from geraniumspool.replies import Replies
-from geraniumspool.reports import Demand, Reports, find_changes
-from geraniumspool.revisions import FAR_ROUNDS, Revisions
+from geraniumspool.reports import Demand, EntryReports, find_demand_changes
+from geraniumspool.revisions import FOREIGN_DIGEST_ROUNDS, Revisions
 from geraniumspool.roster import Roster
-from geraniumspool.views import View, Views
+from geraniumspool.views import MemberSelection, MemberSelections
 
 # Members in rotation per digest within the failure domain, and to other domains.
 REFRESH_PER_DIGEST = 16
@@ -37,14 +37,14 @@
 class _Contents(NamedTuple):
     """Contents of the digests to one kind of receivers, made once a round.
 
-    :param near: whether the receivers are in the failure domain of this entry
-    :param view: members to report
+    :param local: whether the receivers are in the failure domain of this entry
+    :param selection: members to report
     :param demand: demand of the teams
     :param in_force: lowest configuration revision in force, by failure domain
     """
 
-    near: bool
-    view: View
+    local: bool
+    selection: MemberSelection
     demand: Demand
     in_force: tuple[tuple[str, int], ...]
 
@@ -54,7 +54,7 @@
 
     :ivar number: sequence number of the receiver, so that digests with all demand
         do not go to all receivers in the same round
-    :ivar sent_views: roster version and reported members of the latest digests
+    :ivar sent_selections: roster version and reported members of the latest digests
     :ivar demand: demand in the latest digest
     :ivar digests: number of digests sent
     :ivar state: state at the latest digest, see ``Digests._state``
@@ -63,7 +63,7 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.sent_views: deque[tuple[int, frozenset[Peer]]] = deque(maxlen=DIGESTS_PER_CHANGE)
+        self.sent_selections: deque[tuple[int, frozenset[Peer]]] = deque(maxlen=DIGESTS_PER_CHANGE)
         self.demand: Demand = ()
         self.digests = 0
         self.state: tuple = ()
@@ -80,7 +80,7 @@
         configuration: Any,
         me: Callable[[], Member],
         replies: Replies,
-        reports: Reports,
+        reports: EntryReports,
         revisions: Revisions,
         demand: Callable[[], Demand],
     ):
@@ -103,7 +103,7 @@
         self._reports = reports
         self._revisions = revisions
         self._demand = demand
-        self._views = Views(roster, messenger.local_peer)
+        self._selections = MemberSelections(roster, messenger.local_peer)
         self._progress: dict[Peer, _Progress] = {}
         self._unreachable: frozenset[str] = frozenset()
 
@@ -112,16 +112,16 @@
         self._resend_to_reachable_domains()
         contents: dict[bool, _Contents] = {}
         for entry in list(self._list_receivers()):
-            near = entry.domain == self._roster.domain
-            if near not in contents:
-                contents[near] = self._make_contents(near)
-            if near or self._is_due(entry, contents[near]):
-                self._send(entry, contents[near])
+            local = entry.domain == self._roster.domain
+            if local not in contents:
+                contents[local] = self._make_contents(local)
+            if local or self._is_due(entry, contents[local]):
+                self._send(entry, contents[local])
 
     def answer(self, receiver: Member) -> None:
         """Answer a digest that requested one."""
-        near = receiver.domain == self._roster.domain
-        self._send(receiver, self._make_contents(near), answer=True)
+        local = receiver.domain == self._roster.domain
+        self._send(receiver, self._make_contents(local), answer=True)
 
     def request_digest(self, peer: Peer) -> None:
         """Request a digest from a process; report nothing but this entry itself."""
@@ -142,7 +142,7 @@
             for peer, progress in self._progress.items():
                 entry = self._roster.get(peer)
                 if entry and entry.domain == domain:
-                    progress.sent_views.clear()
+                    progress.sent_selections.clear()
         self._unreachable = self._roster.unreachable
 
     def _list_receivers(self) -> Iterator[Member]:
@@ -160,28 +160,30 @@
             yield min(staying, key=lambda entry: rendezvous_hash(own.address, entry.address))
 
     def _is_representative(self) -> bool:
-        near = [e.address for e in self._roster.entries() if e.domain == self._roster.domain]
+        local = [e.address for e in self._roster.entries() if e.domain == self._roster.domain]
         return self._messenger.local_peer.address <= min(
-            near, default=self._messenger.local_peer.address
+            local, default=self._messenger.local_peer.address
         )
 
-    def _make_contents(self, near: bool) -> _Contents:
-        if near:
+    def _make_contents(self, local: bool) -> _Contents:
+        if local:
             revisions = self._revisions.local()
-            return _Contents(near, self._views.local(), self._demand(), tuple(revisions.items()))
+            return _Contents(
+                local, self._selections.local(), self._demand(), tuple(revisions.items())
+            )
         is_representative = self._is_representative()
         revisions = self._revisions.foreign(is_representative)
         demand = self._sum_domain_demand() if is_representative else ()
         return _Contents(
-            near, self._views.foreign(is_representative), demand, tuple(revisions.items())
+            local, self._selections.foreign(is_representative), demand, tuple(revisions.items())
         )
 
     def _is_due(self, receiver: Member, contents: _Contents) -> bool:
         progress = self._progress.get(peer_of(receiver))
-        if progress is None or not progress.sent_views:
+        if progress is None or not progress.sent_selections:
             return True
         progress.rounds += 1
-        return progress.rounds >= FAR_ROUNDS or progress.state != self._state(contents)
+        return progress.rounds >= FOREIGN_DIGEST_ROUNDS or progress.state != self._state(contents)
 
     def _state(self, contents: _Contents) -> tuple:
         """Return the state that makes a digest due when it changes."""
@@ -190,7 +192,7 @@
     def _send(self, receiver: Member, contents: _Contents, answer: bool = False) -> None:
         peer = peer_of(receiver)
         progress = self._progress.setdefault(peer, _Progress(len(self._progress)))
-        whole = not progress.sent_views
+        whole = not progress.sent_selections
         version = self._roster.version
         report = self._reports.get(peer)
         known_revision = report.config_revision if report else None
@@ -203,26 +205,28 @@
             members=self._choose_members(progress, contents),
             demand=contents.demand
             if all_demand
-            else find_changes(progress.demand, contents.demand),
+            else find_demand_changes(progress.demand, contents.demand),
             in_force=contents.in_force,
             config_revision=self._configuration.revision,
-            documents=() if known_revision is None else self._replies.documents(known_revision),
+            documents=()
+            if known_revision is None
+            else self._replies.next_documents(known_revision),
             reply=is_behind and not answer,
             all_demand=all_demand,
         )
         if self._messenger.send(peer, digest):
-            progress.sent_views.append((version, contents.view.peers))
+            progress.sent_selections.append((version, contents.selection.peers))
             progress.demand = contents.demand
             progress.digests += 1
             progress.state, progress.rounds = self._state(contents), 0
 
     def _choose_members(self, progress: _Progress, contents: _Contents) -> tuple[Member, ...]:
-        order = contents.view.order
-        if not progress.sent_views:
+        order = contents.selection.order
+        if not progress.sent_selections:
             chosen = {peer: self._roster.get(peer) for peer in order}
         else:
-            chosen = _find_changed(progress, contents.view, self._roster)
-            size = REFRESH_PER_DIGEST if contents.near else FOREIGN_REFRESH_PER_DIGEST
+            chosen = _find_changed(progress, contents.selection, self._roster)
+            size = REFRESH_PER_DIGEST if contents.local else FOREIGN_REFRESH_PER_DIGEST
             for step in range(min(size, len(order))):
                 peer = order[(progress.digests * size + step) % len(order)]
                 chosen[peer] = self._roster.get(peer)
@@ -231,7 +235,9 @@
     def _sum_domain_demand(self) -> Demand:
         totals: dict[str, tuple[float, float]] = {}
         own = self._roster.domain
-        reported = [report.demand for _, report in self._reports.fresh() if report.domain == own]
+        reported = [
+            report.demand for _, report in self._reports.list_fresh() if report.domain == own
+        ]
         for demand in [self._demand(), *reported]:
             for team, rate, running in demand:
                 old_rate, old_running = totals.get(team, (0.0, 0.0))
@@ -239,11 +245,13 @@
         return tuple((team, *total) for team, total in totals.items())
 
 
-def _find_changed(progress: _Progress, view: View, roster: Roster) -> dict[Peer, Member]:
-    """Return the members that changed or entered the view during the latest digests."""
-    version, peers = progress.sent_views[0]
+def _find_changed(
+    progress: _Progress, selection: MemberSelection, roster: Roster
+) -> dict[Peer, Member]:
+    """Return the members that changed or entered the selection during the latest digests."""
+    version, peers = progress.sent_selections[0]
     changed = {peer_of(member): member for member in roster.changes_since(version)}
-    chosen = {peer: member for peer, member in changed.items() if peer in view.peers}
-    for peer in view.peers - peers if view.peers is not peers else ():
+    chosen = {peer: member for peer, member in changed.items() if peer in selection.peers}
+    for peer in selection.peers - peers if selection.peers is not peers else ():
         chosen[peer] = roster.get(peer)
     return chosen
--- a/geraniumspool/documents.py
+++ b/geraniumspool/documents.py
@@ -12,9 +12,9 @@
 MAX_DOCUMENT_BYTES = 16 * 1024
 DOMAIN_KIND = "domain"
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}\Z"
-DURATION: Mapping[str, Any] = {"type": "integer", "minimum": 1, "maximum": MAX_DURATION_MS}
-BYTES: Mapping[str, Any] = {"type": "integer", "minimum": 1, "maximum": 1 << 30}
-COUNT: Mapping[str, Any] = {"type": "integer", "minimum": 1, "maximum": 1_000_000}
+DURATION_SCHEMA: Mapping[str, Any] = {"type": "integer", "minimum": 1, "maximum": MAX_DURATION_MS}
+BYTES_SCHEMA: Mapping[str, Any] = {"type": "integer", "minimum": 1, "maximum": 1 << 30}
+COUNT_SCHEMA: Mapping[str, Any] = {"type": "integer", "minimum": 1, "maximum": 1_000_000}
 
 
 class ServiceDocument(NamedTuple):
@@ -70,10 +70,10 @@
     "type": "object",
     "additionalProperties": False,
     "properties": {
-        "run_limit_ms": DURATION,
-        "deadline_ms": DURATION,
+        "run_limit_ms": DURATION_SCHEMA,
+        "deadline_ms": DURATION_SCHEMA,
         "max_tasks": {"type": "integer", "minimum": 1, "maximum": MAX_JOB_TASKS},
-        "max_task_bytes": BYTES,
+        "max_task_bytes": BYTES_SCHEMA,
         "ejection_failure_share": _SHARE,
         "ejection_domain_share": _SHARE,
         "narrow_tasks": {"type": "integer", "minimum": 0, "maximum": MAX_JOB_TASKS},
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -6,8 +6,8 @@
 from geraniumspool.audit import AuditTrail
 from geraniumspool.binding import Bindings
 from geraniumspool.callers import Callers
-from geraniumspool.calls import Calls
-from geraniumspool.change_desk import ChangeDesk
+from geraniumspool.calls import HomeRequests
+from geraniumspool.change_desk import ConfigurationChanges
 from geraniumspool.clock import SystemClock
 from geraniumspool.configuration import Configuration
 from geraniumspool.configuration_watcher import ConfigurationWatcher
@@ -80,7 +80,7 @@
         self.decisions = DecisionLog(messenger.local_peer.incarnation, clock, _LOG)
         self.roster = Roster(clock, settings.domain)
         self.configuration = Configuration(clock, metrics)
-        self.calls = Calls(messenger, clock, metrics, self.roster.is_gone)
+        self.home_requests = HomeRequests(messenger, clock, metrics, self.roster.is_gone)
         self._create_membership(store, clock)
         self._create_configuration(store, clock)
         self._create_web_servers(store, clock)
@@ -148,7 +148,7 @@
         self.quotas = Quotas(
             clock,
             self.configuration,
-            self.registry.peers_demand,
+            self.registry.get_peer_demand,
             lambda: len(self.roster.entries()),
         )
         self._registrar = Registrar(
@@ -159,7 +159,7 @@
         self.watcher = ConfigurationWatcher(
             store, self.configuration, clock, self._configuration_changed
         )
-        self.desk = ChangeDesk(
+        self.configuration_changes = ConfigurationChanges(
             store,
             self.configuration,
             AuditTrail(store, clock),
@@ -174,7 +174,7 @@
         self.callers = Callers(
             keyring,
             homes,
-            self.calls,
+            self.home_requests,
             self.quotas,
             Bindings(store, clock),
             self.configuration,
@@ -191,8 +191,8 @@
             self.registry,
             self.configuration,
             self.watcher,
-            self.desk,
-            self.calls,
+            self.configuration_changes,
+            self.home_requests,
             self.decisions,
             self.metrics,
             clock,
@@ -217,7 +217,7 @@
 
     def _make_handlers(self) -> dict:
         return {
-            Answer: self.calls.handle_answer,
+            Answer: self.home_requests.handle_answer,
             Heartbeat: self.registry.handle_heartbeat,
             ShortHeartbeat: self.registry.handle_short_heartbeat,
             Digest: self._handle_digest,
@@ -240,12 +240,12 @@
         self._messenger.send(sender, answer)
 
     def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        self.calls.handle_wrong_incarnation(sender, rejection.meant)
+        self.home_requests.handle_wrong_incarnation(sender, rejection.meant)
         self.registry.handle_wrong_incarnation(sender, rejection.meant)
 
     def _member_changed(self, member: Member) -> None:
         if is_final(member):
-            self.calls.wake(peer_of(member))
+            self.home_requests.recheck_peer(peer_of(member))
 
     def _configuration_changed(self, documents: list[Document]) -> None:
         for document in documents:
--- a/geraniumspool/home.py
+++ b/geraniumspool/home.py
@@ -50,7 +50,7 @@
 from geraniumspool.records import Records, Watermark
 from geraniumspool.roster import Roster
 from geraniumspool.runner import Runner
-from geraniumspool.ticket import Ticket, read_ticket
+from geraniumspool.ticket import Ticket, decode_unverified
 from geraniumspool.worker import OpenOffer, Worker
 
 # Largest part of its deadline that a large job is put off by in favour of smaller ones.
@@ -308,7 +308,7 @@
             sent or the request joined a running job
         """
         try:
-            ticket = read_ticket(text)
+            ticket = decode_unverified(text)
         except MalformedTicket as error:
             self._send(waiter, Answer(0, text, STATE_CONFLICT, error.code, error.detail))
             return None
@@ -342,7 +342,7 @@
 
     def _look_up(self, text: str) -> Answer:
         try:
-            ticket = read_ticket(text)
+            ticket = decode_unverified(text)
         except MalformedTicket:
             return Answer(0, text, STATE_UNKNOWN)
         if ticket.job in self._jobs:
@@ -354,7 +354,7 @@
 
     def _find_job(self, text: str) -> Job | None:
         try:
-            return self._jobs.get(read_ticket(text).job)
+            return self._jobs.get(decode_unverified(text).job)
         except MalformedTicket:
             return None
 
@@ -363,17 +363,17 @@
         if decision is not None:
             return encode_decisions([decision])
         with contextlib.suppress(MalformedTicket):
-            ticket = read_ticket(subject)
+            ticket = decode_unverified(subject)
             record = self.archives.find(ticket)
             if record is not None:
                 return record.answer.decisions
             subject = f"{ticket.job:x}"
-        return encode_decisions(self._decisions.about(subject))
+        return encode_decisions(self._decisions.list_by_subject(subject))
 
     def _with_decisions(self, record: Record) -> Record:
         """Return a record with the latest decisions on its job added."""
-        subject = f"{read_ticket(record.ticket).job:x}"
-        rows = encode_decisions(self._decisions.about(subject)[-MAX_RECORD_DECISIONS:])
+        subject = f"{decode_unverified(record.ticket).job:x}"
+        rows = encode_decisions(self._decisions.list_by_subject(subject)[-MAX_RECORD_DECISIONS:])
         return record._replace(answer=record.answer._replace(decisions=rows))
 
     def _join(self, waiter: Waiter, job: Job, digest: bytes | None) -> None:
--- a/geraniumspool/homes.py
+++ b/geraniumspool/homes.py
@@ -16,9 +16,9 @@
 
 MAX_ARCHIVE_HOPS = 8
 # Delay after which a caller may retry when no agent serves the service.
-RETRY_MS = 1_000.0
+NO_HOME_RETRY_AFTER_MS = 1_000.0
 # Assumed run time of each task sent to a home beyond its free slots.
-ROUTED_TASK_MS = 100.0
+ASSUMED_TASK_MS = 100.0
 
 
 class NoHome(DispatchError):
@@ -28,7 +28,7 @@
     status = 503
 
 
-class Route(NamedTuple):
+class JobRoute(NamedTuple):
     """The process that answers for a job.
 
     :param peer: the process to send requests to, or None if none is left
@@ -67,14 +67,14 @@
         self._tasks_since_report: Counter[Peer] = Counter()
         roster.subscribe(self._member_changed)
 
-    def issue(self, service: str) -> str:
+    def issue_ticket(self, service: str) -> str:
         """Return a ticket for a home chosen by load.
 
         :raises NoHome: if no ready agent serves the service
         """
-        return self._keyring.issue(self.choose(service), service, self._clock.wall_ms())
+        return self._keyring.issue(self.choose_home(service), service, self._clock.wall_ms())
 
-    def choose(self, service: str) -> Peer:
+    def choose_home(self, service: str) -> Peer:
         """Return the less loaded of two agents sampled at random.
 
         Agents of other failure domains are considered only if the own one has none.
@@ -83,11 +83,11 @@
         """
         members = self._roster.agents(service, self._domain) or self._roster.agents(service)
         if not members:
-            raise NoHome(f"no ready agent serves {service!r}", RETRY_MS)
+            raise NoHome(f"no ready agent serves {service!r}", NO_HOME_RETRY_AFTER_MS)
         sampled = self._random.sample(members, min(2, len(members)))
         return peer_of(min(sampled, key=self._rank_by_load))
 
-    def find(self, ticket: Ticket) -> Route:
+    def find_route(self, ticket: Ticket) -> JobRoute:
         """Return the process that answers for a ticket's job.
 
         A home that left names the process that took over its records; such
@@ -97,13 +97,13 @@
         member = self._roster.get(peer)
         while member is not None and member.state == MEMBER_LEFT:
             if not member.archive or hops >= MAX_ARCHIVE_HOPS:
-                return Route(None, True)
+                return JobRoute(None, True)
             peer = Peer(member.archive, member.archive_incarnation)
             member = self._roster.get(peer)
             hops += 1
-        return Route(peer, hops > 0)
+        return JobRoute(peer, hops > 0)
 
-    def note_routed(self, peer: Peer, tasks: int) -> None:
+    def record_routed_tasks(self, peer: Peer, tasks: int) -> None:
         """Count tasks sent to a home since it last reported its load.
 
         :param peer: the home
@@ -111,7 +111,7 @@
         """
         self._tasks_since_report[peer] += tasks
 
-    def note_load(self, peer: Peer, load: Load) -> None:
+    def record_load(self, peer: Peer, load: Load) -> None:
         """Store the load that a home reported in an answer and reset its count of sent tasks."""
         self._loads[peer] = load
         self._tasks_since_report.pop(peer, None)
@@ -122,7 +122,9 @@
         slots = max(1, load.slots)
         excess = max(0, self._tasks_since_report[peer] - load.free)
         wait_ms = load.wait_ms + load.backlog_ms / slots
-        return wait_ms + excess * ROUTED_TASK_MS / slots, self._tasks_since_report[peer] - load.free
+        return wait_ms + excess * ASSUMED_TASK_MS / slots, self._tasks_since_report[
+            peer
+        ] - load.free
 
     def _member_changed(self, member: Member) -> None:
         peer = peer_of(member)
--- a/geraniumspool/idempotency.py
+++ b/geraniumspool/idempotency.py
@@ -6,7 +6,7 @@
 
 from geraniumspool.errors import Finding, InvalidInput
 
-HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 KEY_VERSION = 7
 RANDOM_BITS = 74
 
@@ -21,20 +21,20 @@
     """A parsed idempotency key.
 
     :param text: the UUID in canonical lower-case form
-    :param made_ms: creation time by the caller's clock, milliseconds since the epoch
+    :param created_ms: creation time by the caller's clock, milliseconds since the epoch
     """
 
     text: str
-    made_ms: int
+    created_ms: int
 
 
-def make_key(made_ms: int) -> str:
+def make_key(created_ms: int) -> str:
     """Return a new key; a caller sends the same key with every retry of one request.
 
-    :param made_ms: current time by the caller's clock, milliseconds since the epoch
+    :param created_ms: current time by the caller's clock, milliseconds since the epoch
     """
     high, low = divmod(secrets.randbits(RANDOM_BITS), 1 << _LOW_RANDOM_BITS)
-    time_and_version = made_ms << _TIME_SHIFT | KEY_VERSION << _VERSION_SHIFT
+    time_and_version = created_ms << _TIME_SHIFT | KEY_VERSION << _VERSION_SHIFT
     return str(uuid.UUID(int=time_and_version | high << _HIGH_RANDOM_SHIFT | _VARIANT | low))
 
 
@@ -49,13 +49,15 @@
     except ValueError:
         value = None
     if value is None or str(value) != text.lower() or value.version != KEY_VERSION:
-        raise invalid_key("must be a UUID of version 7, made when the request was first meant")
+        raise make_invalid_key_error(
+            "must be a UUID of version 7, made when the request was first meant"
+        )
     return IdempotencyKey(str(value), value.int >> _TIME_SHIFT)
 
 
-def invalid_key(text: str) -> InvalidInput:
+def make_invalid_key_error(text: str) -> InvalidInput:
     """Return the error for an invalid idempotency key.
 
     :param text: what is wrong with the key
     """
-    return InvalidInput([Finding("headers", 0, HEADER, text)])
+    return InvalidInput([Finding("headers", 0, IDEMPOTENCY_KEY_HEADER, text)])
--- a/geraniumspool/operators.py
+++ b/geraniumspool/operators.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from geraniumspool.calls import Calls
-from geraniumspool.change_desk import ChangeDesk
+from geraniumspool.calls import HomeRequests
+from geraniumspool.change_desk import ConfigurationChanges
 from geraniumspool.configuration import Configuration
 from geraniumspool.configuration_watcher import ConfigurationWatcher
 from geraniumspool.contracts import Clock, Messenger
-from geraniumspool.decisions import DecisionLog, describe, parse_decision_id
+from geraniumspool.decisions import DecisionLog, parse_decision_id, to_document
 from geraniumspool.documents import check_key
 from geraniumspool.errors import InvalidInput, NotFound, Unauthorized
 from geraniumspool.members import ROLE_AGENT, is_final, peer_of
@@ -22,12 +22,12 @@
 from geraniumspool.roster import Roster
 from geraniumspool.routes import Request, Route
 from geraniumspool.status import REACHABLE, UNREACHABLE, DomainStatus
-from geraniumspool.submission import Findings
+from geraniumspool.submission import FindingCollector
 
 _LOG = logging.getLogger(__name__)
 
 # Longest wait for another process's answer to a query.
-ASK_LIMIT_MS = 2_000.0
+QUERY_TIMEOUT_MS = 2_000.0
 BEARER = "Bearer "
 HTTP_ACCEPTED = 202
 
@@ -73,8 +73,8 @@
         registry: Registry,
         configuration: Configuration,
         watcher: ConfigurationWatcher,
-        desk: ChangeDesk,
-        calls: Calls,
+        configuration_changes: ConfigurationChanges,
+        home_requests: HomeRequests,
         decisions: DecisionLog,
         metrics: Metrics,
         clock: Clock,
@@ -93,8 +93,8 @@
         self._registry = registry
         self._configuration = configuration
         self._watcher = watcher
-        self._desk = desk
-        self._calls = calls
+        self._configuration_changes = configuration_changes
+        self._calls = home_requests
         self._decisions = decisions
         self._metrics = metrics
         self._clock = clock
@@ -155,7 +155,7 @@
         )
 
     def _describe_domains(self) -> list[DomainStatus]:
-        revisions = self._registry.in_force()
+        revisions = self._registry.get_revisions_in_force()
         return [
             self._describe_domain(domain, revisions.get(domain, 0))
             for domain in self._roster.domains()
@@ -211,7 +211,7 @@
 
     def _get_document(self, request: Request) -> Reply:
         key = "/".join(request.parameters)
-        document = self._desk.current(key)
+        document = self._configuration_changes.get_document(key)
         if not document.body and not document.revision:
             raise NotFound(f"there is no document {key!r}")
         return reply_json(
@@ -228,7 +228,7 @@
         key = "/".join(request.parameters)
         change = _parse_body(request.body, ChangeRequest, "change")
         body = None if change.body is None else change.body.encode()
-        receipt = self._desk.propose(
+        receipt = self._configuration_changes.apply_change(
             key, body, change.expected_revision, change.change_id, change.who, change.why
         )
         return reply_json(200, {"status": receipt.status, "revision": receipt.revision})
@@ -238,7 +238,7 @@
         findings = check_key(key)
         if findings:
             raise InvalidInput(findings)
-        history = self._desk.history(key)
+        history = self._configuration_changes.history(key)
         rows = [
             {
                 "revision": record.revision,
@@ -254,7 +254,7 @@
         return reply_json(200, {"changes": rows, "fresh": history.fresh})
 
     def _get_config_status(self, _request: Request) -> Reply:
-        revisions = self._registry.in_force()
+        revisions = self._registry.get_revisions_in_force()
         rows = [{"domain": domain, "revision": revisions[domain]} for domain in sorted(revisions)]
         return reply_json(200, {"newest": self._configuration.revision, "domains": rows})
 
@@ -288,7 +288,7 @@
             raise NotFound(f"{name!r} is no decision's id")
         if incarnation == self._messenger.local_peer.incarnation:
             decision = self._decisions.get(name)
-            rows = [] if decision is None else [describe(decision)]
+            rows = [] if decision is None else [to_document(decision)]
         else:
             rows = self._fetch_decision(incarnation, name)
         if not rows:
@@ -301,7 +301,7 @@
             return []
         inquire = Inquire(self._calls.next_number(), name, True)
         peer = Peer(member.address, member.incarnation)
-        answer = self._calls.ask(peer, inquire, ASK_LIMIT_MS)
+        answer = self._calls.query(peer, inquire, QUERY_TIMEOUT_MS)
         if not isinstance(answer, Answer):
             return []
         return msgspec.json.decode(answer.decisions or b"[]")
@@ -311,6 +311,6 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError as error:
-        findings = Findings(place)
+        findings = FindingCollector(place)
         findings.add("", str(error))
-        raise InvalidInput(findings.all) from error
+        raise InvalidInput(findings.findings) from error
--- a/geraniumspool/quota.py
+++ b/geraniumspool/quota.py
@@ -77,17 +77,17 @@
         self,
         clock: Clock,
         configuration: Configuration,
-        peers_demand: Callable[[], list[PeerDemand]],
+        get_peer_demand: Callable[[], list[PeerDemand]],
         entries: Callable[[], int],
     ):
         """Start without usage.
 
-        :param peers_demand: returns the demand reported by the other entries
+        :param get_peer_demand: returns the demand reported by the other entries
         :param entries: returns the number of living entries, this one included
         """
         self._clock = clock
         self._configuration = configuration
-        self._peers_demand = peers_demand
+        self._get_peer_demand = get_peer_demand
         self._entries = entries
         self._teams: dict[str, _Usage] = {}
         self._summed: list[Demand] = []
@@ -186,7 +186,7 @@
 
         The sums are cached until a report changes.
         """
-        demands = [report.demand for report in self._peers_demand()]
+        demands = [report.demand for report in self._get_peer_demand()]
         previous = self._summed
         if len(demands) != len(previous) or any(
             a is not b for a, b in zip(demands, previous, strict=True)
--- a/geraniumspool/registry.py
+++ b/geraniumspool/registry.py
@@ -22,7 +22,7 @@
 from geraniumspool.members import ROLE_ENTRY, is_final, peer_of
 from geraniumspool.messages import MEMBER_DEAD, Digest, Heartbeat, Member, Peer, ShortHeartbeat
 from geraniumspool.replies import Replies
-from geraniumspool.reports import Demand, PeerDemand, Reports
+from geraniumspool.reports import Demand, EntryReports, PeerDemand
 from geraniumspool.revisions import Revisions
 from geraniumspool.roster import Roster
 from geraniumspool.sighting import ReportOrigin
@@ -30,10 +30,10 @@
 # Target rate of heartbeats at one entry; with more agents, their period is made longer.
 HEARTBEATS_PER_S = 120
 # A member heard by another entry counts as dead if this many full refreshes omit it.
-REFRESH_TURNS = 3
+MISSED_REFRESHES = 3
 # Rounds between requests to dead entries of this domain, and between removals of old members.
-PROBE_ROUNDS = 5
-FORGET_ROUNDS = 10
+DEAD_ENTRY_PROBE_ROUNDS = 5
+REMOVE_MEMBERS_ROUNDS = 10
 
 _LOG = logging.getLogger(__name__)
 
@@ -80,13 +80,13 @@
             lambda: self.period_ms,
             generator or random.Random(messenger.local_peer.address),
         )
-        self._reports = Reports(clock, heartbeat_timeout_ms)
+        self._reports = EntryReports(clock, heartbeat_timeout_ms)
         self._revisions = Revisions(
             roster,
             clock,
             configuration,
             self._reports,
-            self._replies.served_revisions,
+            self._replies.lowest_agent_revisions,
             heartbeat_period_ms,
         )
         self._digests = Digests(
@@ -99,8 +99,10 @@
             self._revisions,
             demand,
         )
-        self.peers_demand: Callable[[], list[PeerDemand]] = self._reports.demand
-        self.in_force: Callable[[], dict[str, int]] = self._revisions.in_force
+        self.get_peer_demand: Callable[[], list[PeerDemand]] = self._reports.list_demand
+        self.get_revisions_in_force: Callable[[], dict[str, int]] = (
+            self._revisions.get_revisions_in_force
+        )
         roster.apply_indirect(me(), revive=True)
 
     @property
@@ -129,12 +131,12 @@
         self._watch_unreported()
         for member in self._roster.expire_silent(self.timeout_ms, self._relayed_timeout_ms()):
             _LOG.info("%s %s timed out and counts as dead", member.role, member.address)
-        if self._rounds % FORGET_ROUNDS == 0:
+        if self._rounds % REMOVE_MEMBERS_ROUNDS == 0:
             self._forget()
         self._prune()
-        self._revisions.watch()
+        self._revisions.update_unreachable()
         self._digests.send_all()
-        if self._rounds % PROBE_ROUNDS == 0:
+        if self._rounds % DEAD_ENTRY_PROBE_ROUNDS == 0:
             self._probe_dead_entries()
 
     def handle_heartbeat(self, sender: Peer, heartbeat: Heartbeat) -> None:
@@ -150,17 +152,17 @@
             self._handle_copy(heartbeat)
             return
         self._roster.apply_direct(member)
-        self._replies.send(sender, heartbeat)
+        self._replies.reply(sender, heartbeat)
 
     def handle_short_heartbeat(self, sender: Peer, heartbeat: ShortHeartbeat) -> None:
         """Handle a heartbeat without the agent's state; request the state if it is not known."""
         load = heartbeat.load.round_up()
         member = self._roster.apply_direct_load(sender, heartbeat.version, load)
         if member is None:
-            self._replies.ask_again(sender)
+            self._replies.request_full_state(sender)
             return
         known = (self._messenger.local_peer.incarnation, heartbeat.roster_version)
-        self._replies.send(sender, Heartbeat(member, *known, heartbeat.config_revision))
+        self._replies.reply(sender, Heartbeat(member, *known, heartbeat.config_revision))
 
     def handle_digest(self, sender: Peer, digest: Digest) -> None:
         """Apply another entry's digest; send one back if it asks for that."""
@@ -173,8 +175,8 @@
         for member in digest.members:
             if concerns_other_process(member, self._messenger.local_peer):
                 self._roster.apply_relayed(member, sender)
-        self._reports.take(sender, digest)
-        self._revisions.take(digest)
+        self._reports.update(sender, digest)
+        self._revisions.update(digest)
         if digest.documents:
             self._configuration.apply(digest.documents)
         if digest.reply:
@@ -199,7 +201,7 @@
     def push_configuration(self) -> None:
         """Send new configuration to other entries at once and to agents in small batches."""
         self._digests.send_all()
-        self._replies.push()
+        self._replies.push_configuration()
 
     def _handle_copy(self, heartbeat: Heartbeat) -> None:
         followed_entry = self._roster.find_incarnation(heartbeat.roster_entry)
@@ -224,13 +226,13 @@
 
     def _relayed_timeout_ms(self) -> float:
         turns = 1 + math.ceil(len(self._roster.members()) / REFRESH_PER_DIGEST)
-        return self.timeout_ms + REFRESH_TURNS * turns * self._min_period_ms
+        return self.timeout_ms + MISSED_REFRESHES * turns * self._min_period_ms
 
     def _forget(self) -> None:
         known = len(self._roster.members())
         self._roster.forget_final()
         if len(self._roster.members()) != known:
-            self._replies.forget_rings()
+            self._replies.reset_windows()
 
     def _prune(self) -> None:
         self._replies.prune()
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -27,7 +27,7 @@
     Peer,
 )
 from geraniumspool.roster import Roster
-from geraniumspool.windows import Windows
+from geraniumspool.windows import ForeignWindows
 
 DOCUMENT_BYTES = 16_384
 PUSHES_AT_ONCE = 16
@@ -66,7 +66,7 @@
         self._clock = clock
         self._configuration = configuration
         self._period_ms = period_ms
-        self._windows = Windows(roster)
+        self._windows = ForeignWindows(roster)
         self._hints = Hints(roster, clock, generator)
         self._agents: dict[Peer, _AgentView] = {}
         self._push_timer = Timer(lambda: None)
@@ -80,15 +80,15 @@
         """The agents that send heartbeats to this entry."""
         return list(self._agents)
 
-    def send(self, sender: Peer, heartbeat: Heartbeat) -> None:
+    def reply(self, sender: Peer, heartbeat: Heartbeat) -> None:
         """Reply to a heartbeat."""
         self._messenger.send(sender, self._reply(sender, heartbeat))
 
-    def ask_again(self, sender: Peer) -> None:
+    def request_full_state(self, sender: Peer) -> None:
         """Ask an agent to send a heartbeat with its full state."""
         self._messenger.send(sender, self._make(again=True))
 
-    def push(self) -> None:
+    def push_configuration(self) -> None:
         """Send new configuration to the agents in small batches.
 
         This does not block: a timer sends the batches after the first.
@@ -96,13 +96,13 @@
         self._push_timer.cancel()
         self._push(deque(self._agents))
 
-    def documents(self, revision: int) -> tuple[Document, ...]:
+    def next_documents(self, revision: int) -> tuple[Document, ...]:
         """Return the next documents for a process whose configuration is at a revision."""
         if revision >= self._configuration.revision:
             return ()
         return tuple(self._configuration.documents_after(revision, DOCUMENT_BYTES))
 
-    def served_revisions(self) -> dict[str, int]:
+    def lowest_agent_revisions(self) -> dict[str, int]:
         """Return the lowest configuration revision of this entry's agents, per failure domain."""
         lowest: dict[str, int] = {}
         for peer, view in self._agents.items():
@@ -123,7 +123,7 @@
             if self._roster.is_gone(peer) or not self._roster.origin(peer).is_direct:
                 del self._agents[peer]
 
-    def forget_rings(self) -> None:
+    def reset_windows(self) -> None:
         """Discard the hash rings, which still contain members that the roster has removed."""
         self._windows.clear()
 
@@ -134,7 +134,7 @@
             view = self._agents.get(peer)
             if view is None or view.config_revision >= self._configuration.revision:
                 continue
-            documents = self.documents(view.config_revision)
+            documents = self.next_documents(view.config_revision)
             self._messenger.send(peer, self._make(documents=documents))
             sent += 1
         if remaining:
@@ -146,7 +146,7 @@
         version = heartbeat.roster_version
         whole = heartbeat.roster_entry == 0 or not self._roster.covers(version)
         is_leaving = is_final(member) or member.state == MEMBER_LEAVING
-        documents = self.documents(heartbeat.config_revision)
+        documents = self.next_documents(heartbeat.config_revision)
         if whole and is_leaving:
             return self._make(documents=documents)
         old_window = frozenset() if whole else view.known_window
--- a/geraniumspool/reports.py
+++ b/geraniumspool/reports.py
@@ -20,7 +20,7 @@
     demand: Demand
 
 
-class Report(NamedTuple):
+class EntryReport(NamedTuple):
     """The last report of one entry.
 
     :param domain: the entry's failure domain
@@ -37,7 +37,7 @@
     config_revision: int
 
 
-class Reports:
+class EntryReports:
     """Stores the last report of each other entry."""
 
     def __init__(self, clock: Clock, timeout_ms: float):
@@ -48,32 +48,32 @@
         """
         self._clock = clock
         self._timeout_ms = timeout_ms
-        self._reports: dict[Peer, Report] = {}
+        self._reports: dict[Peer, EntryReport] = {}
 
-    def take(self, sender: Peer, digest: Digest) -> None:
+    def update(self, sender: Peer, digest: Digest) -> None:
         """Update the sender's report from a digest."""
         report = self._reports.get(sender)
         known = report.demand if report and not digest.all_demand else ()
-        self._reports[sender] = Report(
+        self._reports[sender] = EntryReport(
             digest.sender.domain,
             self._clock.now(),
-            merge(known, digest.demand),
+            apply_demand_changes(known, digest.demand),
             digest.in_force,
             digest.config_revision,
         )
 
-    def get(self, peer: Peer) -> Report | None:
+    def get(self, peer: Peer) -> EntryReport | None:
         """Return an entry's last report, or None if there is none."""
         return self._reports.get(peer)
 
-    def fresh(self) -> list[tuple[Peer, Report]]:
+    def list_fresh(self) -> list[tuple[Peer, EntryReport]]:
         """Return the reports that are not older than the timeout, with their senders."""
         limit_ms = self._clock.now() - self._timeout_ms
         return [(peer, r) for peer, r in self._reports.items() if r.heard_ms >= limit_ms]
 
-    def demand(self) -> list[PeerDemand]:
+    def list_demand(self) -> list[PeerDemand]:
         """Return the demand in the fresh reports of other entries."""
-        return [PeerDemand(peer, report.demand) for peer, report in self.fresh()]
+        return [PeerDemand(peer, report.demand) for peer, report in self.list_fresh()]
 
     def prune(self, living: set[Peer]) -> None:
         """Remove the reports of entries that are gone.
@@ -84,7 +84,7 @@
             del self._reports[peer]
 
 
-def merge(known: Demand, changes: Demand) -> Demand:
+def apply_demand_changes(known: Demand, changes: Demand) -> Demand:
     """Apply changes to a demand and return the result.
 
     :param known: demand before the changes
@@ -96,14 +96,14 @@
     return tuple(row for row in rows.values() if any(row[1:]))
 
 
-def find_changes(told: Demand, demand: Demand) -> Demand:
+def find_demand_changes(reported: Demand, demand: Demand) -> Demand:
     """Return the changes that turn the demand reported last into the current one.
 
-    :param told: demand that the receiver has
+    :param reported: demand that the receiver has
     :param demand: current demand
     """
-    if told is demand:
+    if reported is demand:
         return ()
-    before = {row[0]: row for row in told}
+    before = {row[0]: row for row in reported}
     changes = [row for row in demand if before.pop(row[0], None) != row]
     return (*changes, *((team, 0, 0) for team in before))
--- a/geraniumspool/revisions.py
+++ b/geraniumspool/revisions.py
@@ -11,16 +11,16 @@
 
 from geraniumspool.contracts import Clock
 from geraniumspool.messages import Digest
-from geraniumspool.reports import Reports
+from geraniumspool.reports import EntryReports
 from geraniumspool.roster import Roster
 
 # Without changes, digests to other failure domains are sent every second round.
-FAR_ROUNDS = 2
-TOLD_ROUNDS = FAR_ROUNDS + 1
+FOREIGN_DIGEST_ROUNDS = 2
+FORWARDED_ROUNDS = FOREIGN_DIGEST_ROUNDS + 1
 # One lost digest must not make a domain unreachable.
-SILENT_ROUNDS = 2 * FAR_ROUNDS + 1
-# Entries of this domain repeat what they heard directly in every round, for TOLD_ROUNDS.
-NEAR_SILENT_ROUNDS = 3
+UNREACHABLE_ROUNDS = 2 * FOREIGN_DIGEST_ROUNDS + 1
+# Entries of this domain repeat what they heard directly in every round, for FORWARDED_ROUNDS.
+LOCAL_UNREACHABLE_ROUNDS = 3
 
 _LOG = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
         roster: Roster,
         clock: Clock,
         configuration: Any,
-        reports: Reports,
+        reports: EntryReports,
         served: Callable[[], dict[str, int]],
         period_ms: float,
     ):
@@ -60,15 +60,15 @@
         self._started_ms = clock.now()
         self._foreign: dict[str, _ForeignRevision] = {}
 
-    def take(self, digest: Digest) -> None:
+    def update(self, digest: Digest) -> None:
         """Store the revisions of other failure domains that a digest reports."""
         direct = digest.sender.domain != self._roster.domain
         for domain, revision in digest.in_force:
             if domain != self._roster.domain and (direct or not self._is_forwarded(domain)):
                 self._foreign[domain] = _ForeignRevision(revision, self._clock.now(), direct)
-        self.watch()
+        self.update_unreachable()
 
-    def watch(self) -> None:
+    def update_unreachable(self) -> None:
         """Update the roster's set of unreachable failure domains and log changes."""
         before = self._roster.unreachable
         self._roster.set_unreachable(filter(self._is_silent, self._roster.domains()))
@@ -76,14 +76,14 @@
             state = "unreachable" if domain in self._roster.unreachable else "reachable"
             _LOG.warning("failure domain %s is %s", domain, state)
 
-    def in_force(self) -> dict[str, int]:
+    def get_revisions_in_force(self) -> dict[str, int]:
         """Return the lowest revision in force per failure domain.
 
         For an unreachable domain this is the last reported one.
         """
         own_domain = self._roster.domain
         lowest = self._get_served_revisions()
-        for _, report in self._reports.fresh():
+        for _, report in self._reports.list_fresh():
             reported = [revision for domain, revision in report.in_force if domain == own_domain]
             if report.domain == own_domain:
                 reported.append(report.config_revision)
@@ -106,7 +106,7 @@
         served = self._get_served_revisions()
         own_domain = self._roster.domain
         if is_representative:
-            served[own_domain] = self.in_force()[own_domain]
+            served[own_domain] = self.get_revisions_in_force()[own_domain]
         else:
             del served[own_domain]
         return served
@@ -119,18 +119,18 @@
     def _is_forwarded(self, domain: str) -> bool:
         """Return whether this entry forwards a domain's revision to entries of its domain.
 
-        It does so for ``TOLD_ROUNDS`` after it last heard of the domain directly.
+        It does so for ``FORWARDED_ROUNDS`` after it last heard of the domain directly.
         """
         known = self._foreign.get(domain)
         if known is None or not known.direct:
             return False
-        return self._clock.now() - known.heard_ms <= TOLD_ROUNDS * self._period_ms
+        return self._clock.now() - known.heard_ms <= FORWARDED_ROUNDS * self._period_ms
 
     def _is_silent(self, domain: str) -> bool:
         if domain == self._roster.domain:
             return False
         known = self._foreign.get(domain)
         heard_ms = known.heard_ms if known else self._started_ms
-        rounds = NEAR_SILENT_ROUNDS if known and not known.direct else SILENT_ROUNDS
+        rounds = LOCAL_UNREACHABLE_ROUNDS if known and not known.direct else UNREACHABLE_ROUNDS
         is_late = self._clock.now() - heard_ms > rounds * self._period_ms
         return is_late and domain not in self._get_agent_revisions()
--- a/geraniumspool/settings.py
+++ b/geraniumspool/settings.py
@@ -7,9 +7,9 @@
 from jsonschema import Draft202012Validator
 
 from geraniumspool.contracts import Announcement
-from geraniumspool.documents import BYTES, COUNT, DURATION, NAME_PATTERN
+from geraniumspool.documents import BYTES_SCHEMA, COUNT_SCHEMA, DURATION_SCHEMA, NAME_PATTERN
 from geraniumspool.errors import Finding, InvalidInput
-from geraniumspool.yamldoc import Reading, make_validator, normalize, read_yaml, show_path
+from geraniumspool.yamldoc import ParseResult, format_path, make_validator, normalize, read_yaml
 
 ENTRY = "entry"
 AGENT = "agent"
@@ -117,9 +117,9 @@
         "maxItems": 16,
         "uniqueItems": True,
     },
-    "store_timeout_ms": DURATION,
-    "heartbeat_period_ms": DURATION,
-    "drain_limit_ms": DURATION,
+    "store_timeout_ms": DURATION_SCHEMA,
+    "heartbeat_period_ms": DURATION_SCHEMA,
+    "drain_limit_ms": DURATION_SCHEMA,
     "log_level": {"enum": ["debug", "info", "warning", "error"]},
 }
 _ENTRY_PROPERTIES = _COMMON | {
@@ -133,12 +133,12 @@
         "maxItems": MAX_TICKET_KEYS,
         "uniqueItems": True,
     },
-    "registration_ttl_ms": DURATION,
-    "heartbeat_timeout_ms": DURATION,
-    "max_body_bytes": BYTES,
-    "max_running_jobs": COUNT,
+    "registration_ttl_ms": DURATION_SCHEMA,
+    "heartbeat_timeout_ms": DURATION_SCHEMA,
+    "max_body_bytes": BYTES_SCHEMA,
+    "max_running_jobs": COUNT_SCHEMA,
     "max_header_bytes": {"type": "integer", "minimum": 1_024, "maximum": 1 << 20},
-    "default_deadline_ms": DURATION,
+    "default_deadline_ms": DURATION_SCHEMA,
 }
 _MINION_SCHEMA = {
     "type": "object",
@@ -160,10 +160,10 @@
         "maxItems": 64,
         "uniqueItems": True,
     },
-    "announcement_timeout_ms": DURATION,
-    "peer_timeout_ms": DURATION,
+    "announcement_timeout_ms": DURATION_SCHEMA,
+    "peer_timeout_ms": DURATION_SCHEMA,
     "max_record_bytes": {"type": "integer", "minimum": 1 << 10, "maximum": 1 << 40},
-    "max_record_age_ms": DURATION,
+    "max_record_age_ms": DURATION_SCHEMA,
     "queue_per_slot": {"type": "integer", "minimum": 0, "maximum": 1_000},
     "placement": {"enum": ["late", "random", "least", "two"]},
     "ahead_per_slot": {"type": "number", "minimum": 0, "maximum": 1_000},
@@ -257,18 +257,18 @@
     validator = make_validator(
         {"type": "object", "properties": {"role": {"enum": [ENTRY, AGENT]}}, "required": ["role"]}
     )
-    reading = read_yaml(str(path), data, validator)
-    if not isinstance(reading.value, dict) or reading.value.get("role") not in (ENTRY, AGENT):
-        return reading.findings
-    return _validate(str(path), data, _ROLES[reading.value["role"]]).findings
+    parsed = read_yaml(str(path), data, validator)
+    if not isinstance(parsed.value, dict) or parsed.value.get("role") not in (ENTRY, AGENT):
+        return parsed.findings
+    return _validate(str(path), data, _ROLES[parsed.value["role"]]).findings
 
 
 def _load(path: str, role_name: str) -> Any:
     role = _ROLES[role_name]
-    reading = _validate(str(path), _read(path), role)
-    if reading.findings:
-        raise InvalidInput(reading.findings)
-    values = {name: normalize(value) for name, value in reading.value.items() if name != "role"}
+    parsed = _validate(str(path), _read(path), role)
+    if parsed.findings:
+        raise InvalidInput(parsed.findings)
+    values = {name: normalize(value) for name, value in parsed.value.items() if name != "role"}
     if "minion" in values:
         values["minion"] = Announcement(**_normalize_all(values["minion"]))
     return role.settings(**values)
@@ -286,31 +286,31 @@
         raise InvalidInput([Finding(str(path), 0, "", text)]) from error
 
 
-def _validate(place: str, data: bytes, role: _RoleSchema) -> Reading:
-    reading = read_yaml(place, data, role.validator)
-    if not isinstance(reading.value, dict):
-        return reading
+def _validate(place: str, data: bytes, role: _RoleSchema) -> ParseResult:
+    parsed = read_yaml(place, data, role.validator)
+    if not isinstance(parsed.value, dict):
+        return parsed
     defaults = role.settings._field_defaults
-    findings = list(reading.findings)
+    findings = list(parsed.findings)
     for order in role.orders:
-        findings += _check_order_rule(place, reading, order, defaults)
+        findings += _check_order_rule(place, parsed, order, defaults)
     findings.sort(key=lambda finding: (finding.line, finding.path))
-    return reading._replace(findings=findings)
+    return parsed._replace(findings=findings)
 
 
 def _check_order_rule(
-    place: str, reading: Reading, order: _OrderRule, defaults: Mapping[str, Any]
+    place: str, parsed: ParseResult, order: _OrderRule, defaults: Mapping[str, Any]
 ) -> list[Finding]:
-    lower = _look_up(reading.value, order.lower, defaults)
-    higher = _look_up(reading.value, order.higher, defaults)
+    lower = _look_up(parsed.value, order.lower, defaults)
+    higher = _look_up(parsed.value, order.higher, defaults)
     if lower is None or higher is None:
         return []
     if higher > lower or (higher == lower and not order.strict):
         return []
-    reported_path = order.higher if order.higher in reading.lines else order.lower
+    reported_path = order.higher if order.higher in parsed.lines else order.lower
     relation = "more than" if order.strict else "at least"
-    text = f"{show_path(order.higher)} must be {relation} {show_path(order.lower)}"
-    return [Finding(place, reading.lines[reported_path], show_path(reported_path), text)]
+    text = f"{format_path(order.higher)} must be {relation} {format_path(order.lower)}"
+    return [Finding(place, parsed.lines[reported_path], format_path(reported_path), text)]
 
 
 def _look_up(value: Any, path: Iterable[str], defaults: Mapping[str, Any]) -> float | None:
--- a/geraniumspool/submission.py
+++ b/geraniumspool/submission.py
@@ -41,7 +41,7 @@
     digest: bytes
 
 
-class TicketOrder(NamedTuple):
+class TicketRequest(NamedTuple):
     """A request to issue tickets.
 
     :param count: number of tickets to issue
@@ -52,7 +52,7 @@
     count: int
 
 
-class Findings:
+class FindingCollector:
     """Collects the validation errors of one document, at most ``MAX_FINDINGS``."""
 
     def __init__(self, place: str):
@@ -61,7 +61,7 @@
         :param place: name of the document, used as the place of each finding
         """
         self._place = place
-        self.all: list[Finding] = []
+        self.findings: list[Finding] = []
 
     def add(self, path: str, text: str) -> None:
         """Add a finding, unless the limit is reached.
@@ -69,21 +69,21 @@
         :param path: path of the invalid field, such as ``tasks[0].size``
         :param text: what is wrong with it
         """
-        if len(self.all) < MAX_FINDINGS:
-            self.all.append(Finding(self._place, 0, path, text))
+        if len(self.findings) < MAX_FINDINGS:
+            self.findings.append(Finding(self._place, 0, path, text))
 
 
 @contextmanager
-def collect(place: str) -> Iterator[Findings]:
+def collect_findings(place: str) -> Iterator[FindingCollector]:
     """Return a context that collects findings and raises them together when it exits.
 
     :param place: name of the document
     :raises InvalidInput: if there is at least one finding
     """
-    findings = Findings(place)
+    findings = FindingCollector(place)
     yield findings
-    if findings.all:
-        raise InvalidInput(findings.all)
+    if findings.findings:
+        raise InvalidInput(findings.findings)
 
 
 def parse_submission(body: bytes) -> Submission:
@@ -92,7 +92,7 @@
     :param body: JSON object as UTF-8
     :raises InvalidInput: with all findings, if the body is invalid
     """
-    with collect("job") as findings:
+    with collect_findings("job") as findings:
         fields = _read_object(body, "", findings, _JOB_FIELDS)
         service = _read_name(fields, "service", findings)
         team = _read_name(fields, "team", findings)
@@ -100,23 +100,23 @@
         if deadline_ms > MAX_DEADLINE_MS:
             findings.add("deadline_ms", f"must be at most {MAX_DEADLINE_MS:.0f}")
         tasks = _read_tasks(fields, findings)
-    return Submission(service, team, deadline_ms, tasks, digest_job(service, team, tasks))
+    return Submission(service, team, deadline_ms, tasks, hash_job(service, team, tasks))
 
 
-def parse_ticket_order(body: bytes) -> TicketOrder:
+def parse_ticket_request(body: bytes) -> TicketRequest:
     """Parse the body of a request for tickets.
 
     :param body: JSON object as UTF-8
     :raises InvalidInput: with all findings, if the body is invalid
     """
-    with collect("tickets") as findings:
+    with collect_findings("tickets") as findings:
         fields = _read_object(body, "", findings, _TICKET_FIELDS)
         service = _read_name(fields, "service", findings)
         team = _read_name(fields, "team", findings)
         count = _read_number(fields, "count", "count", findings, default=1)
         if count != int(count) or not 1 <= count <= MAX_TICKETS:
             findings.add("count", f"must be a whole number from 1 to {MAX_TICKETS}")
-    return TicketOrder(service, team, int(count))
+    return TicketRequest(service, team, int(count))
 
 
 def check_limits(submission: Submission, service: ServiceDocument) -> None:
@@ -126,7 +126,7 @@
     :param service: document of the job's service
     :raises InvalidInput: with all findings, if a limit is exceeded
     """
-    with collect("job") as findings:
+    with collect_findings("job") as findings:
         if len(submission.tasks) > service.max_tasks:
             findings.add("tasks", f"the service takes at most {service.max_tasks} tasks a job")
         for index, task in enumerate(submission.tasks):
@@ -135,28 +135,28 @@
                 findings.add(f"tasks[{index}].payload", limit)
 
 
-def digest_job(service: str, team: str, tasks: tuple[Task, ...]) -> bytes:
+def hash_job(service: str, team: str, tasks: tuple[Task, ...]) -> bytes:
     """Return a hash that reveals a different job submitted under the same ticket."""
     data = msgspec.msgpack.encode((service, team, tasks))
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
 def _read_object(
-    body: bytes, path: str, findings: Findings, known: frozenset[str]
+    body: bytes, path: str, findings: FindingCollector, known: frozenset[str]
 ) -> dict[str, msgspec.Raw]:
     try:
         str(body, "utf-8")
         fields = _OBJECT.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         findings.add(path, f"is not a JSON object: {error}")
-        raise InvalidInput(findings.all) from error
+        raise InvalidInput(findings.findings) from error
     for name in fields:
         if name not in known:
             findings.add(f"{path}{name}", "is not a known field")
     return fields
 
 
-def _read_name(fields: dict[str, msgspec.Raw], name: str, findings: Findings) -> str:
+def _read_name(fields: dict[str, msgspec.Raw], name: str, findings: FindingCollector) -> str:
     if name not in fields:
         findings.add(name, "is missing")
         return ""
@@ -171,7 +171,11 @@
 
 
 def _read_number(
-    fields: dict[str, msgspec.Raw], name: str, path: str, findings: Findings, default: float = 0.0
+    fields: dict[str, msgspec.Raw],
+    name: str,
+    path: str,
+    findings: FindingCollector,
+    default: float = 0.0,
 ) -> float:
     if name not in fields:
         return default
@@ -186,7 +190,7 @@
     return value
 
 
-def _read_tasks(fields: dict[str, msgspec.Raw], findings: Findings) -> tuple[Task, ...]:
+def _read_tasks(fields: dict[str, msgspec.Raw], findings: FindingCollector) -> tuple[Task, ...]:
     if "tasks" not in fields:
         findings.add("tasks", "is missing")
         return ()
@@ -201,7 +205,7 @@
     return tuple(_read_task(item, index, findings) for index, item in enumerate(items))
 
 
-def _read_task(item: msgspec.Raw, index: int, findings: Findings) -> Task:
+def _read_task(item: msgspec.Raw, index: int, findings: FindingCollector) -> Task:
     path = f"tasks[{index}]."
     try:
         fields = _OBJECT.decode(item)
--- a/geraniumspool/ticket.py
+++ b/geraniumspool/ticket.py
@@ -98,7 +98,7 @@
     return data
 
 
-def read_ticket(text: str) -> Ticket:
+def decode_unverified(text: str) -> Ticket:
     """Return the contents of a ticket without verifying its signature.
 
     For processes that receive tickets from entries, which have verified them.
--- a/geraniumspool/views.py
+++ b/geraniumspool/views.py
@@ -13,7 +13,7 @@
 _CacheKey = tuple[int, int, bool]
 
 
-class View(NamedTuple):
+class MemberSelection(NamedTuple):
     """The members to report to entries of this domain, or to those of other domains.
 
     :param order: the members, in the order of their last change
@@ -24,7 +24,7 @@
     peers: frozenset[Peer]
 
 
-class Views:
+class MemberSelections:
     """The members to report inside and outside this entry's failure domain."""
 
     def __init__(self, roster: Roster, me: Peer):
@@ -35,16 +35,16 @@
         """
         self._roster = roster
         self._me = me
-        self._cache: dict[bool, tuple[_CacheKey, View]] = {}
+        self._cache: dict[bool, tuple[_CacheKey, MemberSelection]] = {}
 
-    def local(self) -> View:
+    def local(self) -> MemberSelection:
         """Return the members to report to entries of this domain.
 
         These are the members heard directly and those reported by other domains.
         """
         return self._get_cached(True, False)
 
-    def foreign(self, is_representative: bool) -> View:
+    def foreign(self, is_representative: bool) -> MemberSelection:
         """Return the members to report to entries of other domains.
 
         These are agents of other domains heard directly, which have no entry of their own.
@@ -53,20 +53,20 @@
         """
         return self._get_cached(False, is_representative)
 
-    def _get_cached(self, near: bool, is_representative: bool) -> View:
+    def _get_cached(self, local: bool, is_representative: bool) -> MemberSelection:
         key = (self._roster.version, self._roster.source_changes, is_representative)
-        cached_key, view = self._cache.get(near, (None, None))
-        if view is None or cached_key != key:
+        cached_key, selection = self._cache.get(local, (None, None))
+        if selection is None or cached_key != key:
             is_reported = (
-                self._is_reported_to_own_domain if near else self._is_reported_to_other_domains
+                self._is_reported_to_own_domain if local else self._is_reported_to_other_domains
             )
             members = ((m, self._roster.origin(peer_of(m))) for m in self._roster.members())
             order = tuple(
                 peer_of(m) for m, origin in members if is_reported(m, origin, is_representative)
             )
-            view = View(order, frozenset(order))
-            self._cache[near] = (key, view)
-        return view
+            selection = MemberSelection(order, frozenset(order))
+            self._cache[local] = (key, selection)
+        return selection
 
     def _is_reported_to_own_domain(
         self, member: Member, origin: ReportOrigin, _is_representative: bool
--- a/geraniumspool/windows.py
+++ b/geraniumspool/windows.py
@@ -24,7 +24,7 @@
     windows: dict[str, frozenset[str]]
 
 
-class Windows:
+class ForeignWindows:
     """Windows of agents of other failure domains.
 
     One hash ring per domain is cached until a member on it changes.
--- a/geraniumspool/yamldoc.py
+++ b/geraniumspool/yamldoc.py
@@ -108,7 +108,7 @@
     return Draft202012Validator(schema, format_checker=_FORMAT_CHECKER)
 
 
-class Reading(NamedTuple):
+class ParseResult(NamedTuple):
     """Result of parsing and validating a YAML text.
 
     :param value: the parsed value, or None if the text could not be parsed
@@ -163,14 +163,14 @@
             self.visit(value, inner, line)
 
     def _add(self, line: int, path: Path, text: str) -> None:
-        self.findings.append(Finding(self._place, line, show_path(path), text))
+        self.findings.append(Finding(self._place, line, format_path(path), text))
 
 
 def _get_line(node: yaml.Node) -> int:
     return node.start_mark.line + 1
 
 
-def show_path(path: Iterable[str | int]) -> str:
+def format_path(path: Iterable[str | int]) -> str:
     """Format a path as text, such as ``minion.slots`` or ``ticket_keys[1]``."""
     text = ""
     for step in path:
@@ -178,7 +178,7 @@
     return text.removeprefix(".")
 
 
-def read_yaml(place: str, data: bytes, validator: Draft202012Validator) -> Reading:
+def read_yaml(place: str, data: bytes, validator: Draft202012Validator) -> ParseResult:
     """Parse and validate one YAML or JSON text.
 
     :param place: file name or document key, used as the place of each finding
@@ -189,40 +189,40 @@
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
-        return Reading(None, {}, [Finding(place, line, "", "is not UTF-8 text")])
+        return ParseResult(None, {}, [Finding(place, line, "", "is not UTF-8 text")])
     if text.lstrip().startswith("{"):
         # JSON allows tabs in places where YAML rejects them.
         text = text.replace("\t", " ")
     try:
         return _read_text(place, text, validator)
     except yaml.YAMLError as error:
-        return Reading(None, {}, [_describe_yaml_error(place, text, error)])
+        return ParseResult(None, {}, [_describe_yaml_error(place, text, error)])
     except RecursionError:
-        return Reading(None, {}, [Finding(place, 1, "", "is nested too deeply")])
+        return ParseResult(None, {}, [Finding(place, 1, "", "is nested too deeply")])
 
 
-def _read_text(place: str, text: str, validator: Draft202012Validator) -> Reading:
+def _read_text(place: str, text: str, validator: Draft202012Validator) -> ParseResult:
     loader = _Loader(text)
     try:
         node = loader.get_single_node()
         if node is None:
-            return Reading(None, {}, [Finding(place, 1, "", "is empty")])
+            return ParseResult(None, {}, [Finding(place, 1, "", "is empty")])
         visitor = _NodeVisitor(place)
         visitor.visit(node, (), _get_line(node))
         if not visitor.constructible:
-            return Reading(None, visitor.lines, _sort(visitor.findings))
+            return ParseResult(None, visitor.lines, _sort(visitor.findings))
         try:
             value = loader.construct_document(node)
         except _CONSTRUCTION_ERRORS:
             finding = Finding(place, 1, "", "has a value that does not fit its type tag")
-            return Reading(None, visitor.lines, _sort([*visitor.findings, finding]))
+            return ParseResult(None, visitor.lines, _sort([*visitor.findings, finding]))
     finally:
         loader.dispose()
     findings = visitor.findings
     findings += _find_infinite(place, value, (), visitor.lines)
     for error in validator.iter_errors(value):
         findings += _convert_schema_error(place, error, visitor.lines)
-    return Reading(value, visitor.lines, _sort(findings))
+    return ParseResult(value, visitor.lines, _sort(findings))
 
 
 def _sort(findings: list[Finding]) -> list[Finding]:
@@ -241,7 +241,7 @@
     place: str, value: object, path: Path, lines: Mapping[Path, int]
 ) -> list[Finding]:
     if isinstance(value, float) and not math.isfinite(value):
-        return [Finding(place, lines.get(path, 0), show_path(path), "must be a finite number")]
+        return [Finding(place, lines.get(path, 0), format_path(path), "must be a finite number")]
     if isinstance(value, dict):
         steps = value.items()
     elif isinstance(value, list):
@@ -262,15 +262,15 @@
     if error.validator == "additionalProperties":
         unknown = [key for key in error.instance if key not in error.schema["properties"]]
         return [
-            Finding(place, lines.get((*path, key), line), show_path((*path, key)), "is unknown")
+            Finding(place, lines.get((*path, key), line), format_path((*path, key)), "is unknown")
             for key in unknown
         ]
     if error.validator == "required":
         # jsonschema gives the name of the missing key only in the message.
         missing = re.match(r"'(.*)' is a required property", error.message)
         inner = (*path, missing.group(1)) if missing else path
-        return [Finding(place, line, show_path(inner), "is missing")]
-    return [Finding(place, line, show_path(path), _describe_rule(error))]
+        return [Finding(place, line, format_path(inner), "is missing")]
+    return [Finding(place, line, format_path(path), _describe_rule(error))]
 
 
 def _describe_rule(error: ValidationError) -> str:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -50,15 +50,15 @@
         self.change(1, 0)
         self.store.lose_answers = 1
         with self.assertRaises(StoreError):
-            self.audit.settle(KEY)
-        self.audit.settle(KEY)
+            self.audit.record_latest(KEY)
+        self.audit.record_latest(KEY)
         self.assertEqual(1, self.count_stored_records())
 
     def test_newest_first_and_limited(self):
         revision = 0
         for number in range(12):
             revision = self.change(number, revision)
-            self.audit.settle(KEY)
+            self.audit.record_latest(KEY)
         records = self.audit.list(KEY, 3).records
         self.assertEqual(["c11", "c10", "c9"], [record.change_id for record in records])
         self.assertEqual(revision, records[0].revision)
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -49,7 +49,9 @@
         """A key is a UUID of version 7 with a timestamp; any other text is refused."""
         text = make_key(1_700_000_000_123)
         self.assertEqual(parse_key(text.upper()), (text, 1_700_000_000_123))
-        self.assertEqual(parse_key("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").made_ms, 0x17F22E279B0)
+        self.assertEqual(
+            parse_key("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").created_ms, 0x17F22E279B0
+        )
         self.assertNotEqual(make_key(0), make_key(0))
         foreign = "c" * 36, "1ec9414c-232a-6b00-b3c8-9f6bdeced846", "{" + text + "}", "k" * 300
         for wrong in ("order-17", "", text[:-1], text.replace("-", ""), *foreign):
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -5,7 +5,7 @@
 from geraniumspool.binding import MAX_KEY_AGE_MS, MAX_KEY_AHEAD_MS
 from geraniumspool.idempotency import make_key, parse_key
 from geraniumspool.messages import Peer
-from geraniumspool.ticket import Keyring, Ticket, read_ticket
+from geraniumspool.ticket import Keyring, Ticket, decode_unverified
 from tests.small import (
     ALL_SLOTS,
     SERVICE,
@@ -41,7 +41,7 @@
     def bad_requests(self):
         """Return a name, a request, the expected status and code, and the path of a finding."""
         ticket = self.system.ticket()
-        contents = read_ticket(ticket)
+        contents = decode_unverified(ticket)
         forged = Keyring(["another-key-than-theirs-01"]).sign(contents)
         swapped = ticket[:30] + ("A" if ticket[30] != "A" else "B") + ticket[31:]
         other = Keyring([TICKET_KEY]).issue(contents.home, "sawing", contents.issued_ms)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 from eventlet.event import Event
 
 from geraniumspool.audit import CONFIG_PREFIX, AuditTrail, ChangeEnvelope, encode_envelope
-from geraniumspool.change_desk import ChangeDesk
+from geraniumspool.change_desk import ConfigurationChanges
 from geraniumspool.clock import ManualClock
 from geraniumspool.configuration import Configuration
 from geraniumspool.configuration_watcher import WATCH_WAITING, WATCH_WATCHING, ConfigurationWatcher
@@ -39,12 +39,18 @@
         self.configuration = Configuration(clock, self.counters)
         self.audit = AuditTrail(store, clock)
         self.changes: list[Document] = []
-        self.desk = ChangeDesk(store, self.configuration, self.audit, clock, self.changes.extend)
+        self.configuration_changes = ConfigurationChanges(
+            store, self.configuration, self.audit, clock, self.changes.extend
+        )
         self.watcher = ConfigurationWatcher(store, self.configuration, clock, self.changes.extend)
 
     def propose(self, body: bytes | None, expected: int, change_id: str, key: str = KEY, who="ann"):
         """Propose a change as an operator; return its receipt."""
-        return self.run(lambda: self.desk.propose(key, body, expected, change_id, who, "why"))
+        return self.run(
+            lambda: self.configuration_changes.apply_change(
+                key, body, expected, change_id, who, "why"
+            )
+        )
 
     def run(self, call: Callable):
         """Run a blocking call while the clock advances by a minute; return its result."""
@@ -233,7 +239,10 @@
         self.assertEqual(("accepted", receipt.revision), receipt)
         self.assertEqual(2, self.entry.weight())
         self.assertEqual([receipt.revision], [each.revision for each in self.entry.changes])
-        self.assertEqual((KEY, receipt.revision, b"weight: 2", True), self.entry.desk.current(KEY))
+        self.assertEqual(
+            (KEY, receipt.revision, b"weight: 2", True),
+            self.entry.configuration_changes.get_document(KEY),
+        )
 
     def test_repeated_proposal_is_idempotent(self):
         first = self.entry.propose(make_body(2), 0, "c1")
@@ -242,7 +251,9 @@
         self.assertEqual(first, self.other_entry.propose(make_body(2), 0, "c1"))
         self.assertEqual(first, self.entry.propose(make_body(2), 0, "c1"))
         self.assertEqual(3, self.entry.weight())
-        self.assertEqual(b"weight: 3", self.other_entry.desk.current(KEY).body)
+        self.assertEqual(
+            b"weight: 3", self.other_entry.configuration_changes.get_document(KEY).body
+        )
         with self.assertRaises(InvalidInput) as caught:
             self.other_entry.propose(make_body(4), 0, "c1")
         self.assertEqual("change_id", caught.exception.findings[0].path)
@@ -260,7 +271,9 @@
 
         def propose(entry: EntryParts, who: str, weight: int) -> None:
             try:
-                entry.desk.propose(KEY, make_body(weight), 0, f"c-{who}", who, "sale")
+                entry.configuration_changes.apply_change(
+                    KEY, make_body(weight), 0, f"c-{who}", who, "sale"
+                )
                 outcomes[who] = "accepted"
             except StaleRevision as error:
                 outcomes[who] = error.detail
@@ -270,7 +283,9 @@
         self.clock.advance(60_000)
         self.assertEqual("accepted", outcomes["ann"])
         self.assertRegex(outcomes["bat"], "changed by ann: sale .change c-ann.")
-        stored = self.other_entry.run(lambda: self.other_entry.desk.current(KEY))
+        stored = self.other_entry.run(
+            lambda: self.other_entry.configuration_changes.get_document(KEY)
+        )
         self.assertEqual(b"weight: 2", stored.body)
 
     def test_stale_revision_is_refused(self):
@@ -285,7 +300,7 @@
         self.store.lose_answers = 1
         receipt = self.entry.propose(make_body(2), 0, "c1")
         self.assertEqual(receipt.revision, self.store.get(STORED).revision)
-        records = self.entry.desk.history(KEY).records
+        records = self.entry.configuration_changes.history(KEY).records
         self.assertEqual([("c1", receipt.revision)], [(r.change_id, r.revision) for r in records])
 
     def test_answer_lost_then_outage_then_overwritten(self):
@@ -305,28 +320,30 @@
         written = self.store.get(STORED).revision
         self.other_entry.propose(make_body(3), written, "c2")
         self.assertEqual(written, self.entry.propose(make_body(2), 0, "c1").revision)
-        history = self.other_entry.desk.history(KEY)
+        history = self.other_entry.configuration_changes.history(KEY)
         self.assertEqual(["c2", "c1"], [record.change_id for record in history.records])
 
     def test_outage(self):
         receipt = self.entry.propose(make_body(2), 0, "c1")
-        self.entry.desk.history(KEY)
+        self.entry.configuration_changes.history(KEY)
         self.store.down = True
         for change_id in ("c1", "c2"):
             with self.subTest(change_id), self.assertRaises(ChangeUnknown):
                 self.entry.propose(make_body(2), receipt.revision, change_id)
-        current = self.entry.desk.current(KEY)
+        current = self.entry.configuration_changes.get_document(KEY)
         self.assertEqual((KEY, receipt.revision, b"weight: 2", False), current)
-        history = self.entry.desk.history(KEY)
+        history = self.entry.configuration_changes.history(KEY)
         self.assertEqual((1, False), (len(history.records), history.fresh))
 
     def test_deletion_and_recreation(self):
         first = self.entry.propose(make_body(2), 0, "c1")
         second = self.entry.propose(None, first.revision, "c2")
-        self.assertEqual((KEY, second.revision, b"", True), self.entry.desk.current(KEY))
+        self.assertEqual(
+            (KEY, second.revision, b"", True), self.entry.configuration_changes.get_document(KEY)
+        )
         self.assertEqual(DEFAULT_TEAM.weight, self.entry.weight())
         third = self.other_entry.propose(make_body(3), 0, "c3")
-        records = self.other_entry.desk.history(KEY).records
+        records = self.other_entry.configuration_changes.history(KEY).records
         self.assertEqual(
             [
                 (third.revision, None, "weight: 3"),
@@ -345,7 +362,7 @@
         self.entry.configuration.apply([Document(KEY, 50, make_body(5))])
         with self.assertRaises(ChangeUnknown):
             self.entry.propose(make_body(6), 50, "c1")
-        self.assertEqual(50, self.entry.desk.current(KEY).revision)
+        self.assertEqual(50, self.entry.configuration_changes.get_document(KEY).revision)
         while self.store.revision < 60:
             self.store.swap(f"filler/{self.store.revision}", 0, b"")
         receipt = self.entry.propose(make_body(6), 50, "c1")
@@ -353,6 +370,9 @@
         self.assertEqual(6, self.entry.weight())
 
     def test_invalid_keys(self):
-        for call in (self.entry.desk.current, self.entry.desk.history):
+        for call in (
+            self.entry.configuration_changes.get_document,
+            self.entry.configuration_changes.history,
+        ):
             with self.subTest(call), self.assertRaises(DispatchError):
                 call("nothing/here")
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -27,26 +27,26 @@
         figures = (("wait_ms", 1.5), ("queued", 3))
         expected = Decision("d-ab-1", 5000, decisions.JOB_ACCEPTED, "1f", figures)
         self.assertEqual(log.get(first), expected)
-        self.assertEqual([decision.id for decision in log.about("1f")], [first, second])
-        self.assertEqual(log.about("nothing"), [])
+        self.assertEqual([decision.id for decision in log.list_by_subject("1f")], [first, second])
+        self.assertEqual(log.list_by_subject("nothing"), [])
         for unknown in ("d-ab-9", "d-ac-1", "d-ab-", "", "d-ab-1x"):
             with self.subTest(unknown=unknown):
                 self.assertIsNone(log.get(unknown))
 
     def test_limit_of_all_decisions(self):
-        log = make_log(max_entries=10, max_per_subject=4)
+        log = make_log(max_decisions=10, max_per_subject=4)
         for number in range(100):
             log.record(decisions.TASK_PLACED, f"{number // 2:x}")
         self.assertEqual(len(log), 10)
-        self.assertEqual(log.about("0"), [])
-        self.assertEqual(len(log.about("31")), 2)
+        self.assertEqual(log.list_by_subject("0"), [])
+        self.assertEqual(len(log.list_by_subject("31")), 2)
         self.assertEqual(len(log._numbers), 5)
 
     def test_limit_per_subject(self):
-        log = make_log(max_entries=10, max_per_subject=4)
+        log = make_log(max_decisions=10, max_per_subject=4)
         kept = log.record(decisions.JOB_ACCEPTED, "quiet")
         ids = [log.record(decisions.TASK_PLACED, "busy") for _ in range(50)]
-        self.assertEqual([decision.id for decision in log.about("busy")], ids[-4:])
+        self.assertEqual([decision.id for decision in log.list_by_subject("busy")], ids[-4:])
         self.assertIsNone(log.get(ids[0]))
         self.assertIsNotNone(log.get(kept))
         self.assertEqual(len(log), 5)
@@ -57,7 +57,7 @@
         decision = log.get(log.record(decisions.TASK_FAILED, "s" * 5000, **many))
         self.assertEqual(len(decision.figures), decisions.MAX_FIGURES)
         self.assertEqual(len(decision.figures[0][1]), decisions.MAX_TEXT_CHARS)
-        self.assertEqual(log.about("s" * 5000), [decision])
+        self.assertEqual(log.list_by_subject("s" * 5000), [decision])
 
     def test_only_some_codes_are_logged(self):
         log = make_log()
@@ -74,7 +74,7 @@
             decisions.JOB_FAILED, "1f", nan=float("nan"), big=2**70, yes=True, code="x", odd=None
         )
         log.record(decisions.JOB_EXPIRED, "1f")
-        kept = log.about("1f")
+        kept = log.list_by_subject("1f")
         self.assertEqual(decode_decisions(encode_decisions(kept)), kept)
         for data in (b"", b"{}", b'[{"id":1}]', b"\xff"):
             with self.subTest(data=data), self.assertRaises(MalformedMessage):
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -11,7 +11,7 @@
 from geraniumspool.demo import BROKEN, OK, DemoReport, count_false_not_run, run_demo
 from geraniumspool.messages import Peer
 from geraniumspool.standin_minion import StandinMinion
-from geraniumspool.ticket import Keyring, read_ticket
+from geraniumspool.ticket import Keyring, decode_unverified
 
 FIELDS = {
     "jobs",
@@ -103,7 +103,7 @@
         """A job counts as started if a minion started any of its tasks."""
         keyring = Keyring(["a-key-for-the-tests"])
         tickets = [keyring.issue(Peer("tcp://127.0.0.1:1", 1), "fitting", 0) for _ in range(3)]
-        started = read_ticket(tickets[1])
+        started = decode_unverified(tickets[1])
         starts = Counter({f"{started.job:x}.7": 1, "5.0": 1})
         self.assertEqual(count_false_not_run(tickets, starts), 1)
         self.assertEqual(count_false_not_run(tickets[:1], starts), 0)
--- a/tests/test_domain_evacuation.py
+++ b/tests/test_domain_evacuation.py
@@ -24,12 +24,14 @@
         self.revision = 0
 
     def change(self, domain, evacuated):
-        desk = self.world.entries[0].application.desk
+        configuration_changes = self.world.entries[0].application.configuration_changes
         body = json.dumps({"evacuated": evacuated}).encode()
         name = f"c{self.revision}"
 
         def propose():
-            receipt = desk.propose(f"domain/{domain}", body, self.revision, name, "bat", "power")
+            receipt = configuration_changes.apply_change(
+                f"domain/{domain}", body, self.revision, name, "bat", "power"
+            )
             self.revision = receipt.revision
 
         eventlet.spawn(propose)
@@ -123,13 +125,13 @@
     def test_evacuation_is_in_the_audit_trail_and_the_decisions(self):
         self.change("d0", True)
         self.change("d0", False)
-        desk = self.world.entries[1].application.desk
+        configuration_changes = self.world.entries[1].application.configuration_changes
         trail = []
-        eventlet.spawn(lambda: trail.append(desk.history("domain/d0")))
+        eventlet.spawn(lambda: trail.append(configuration_changes.history("domain/d0")))
         self.world.run(100)
         self.assertEqual(["bat", "bat"], [record.who for record in trail[0].records])
         agent = self.agents_of("d0")[0].application
-        codes = [decision.code for decision in agent.decisions.about("d0")]
+        codes = [decision.code for decision in agent.decisions.list_by_subject("d0")]
         self.assertEqual([DOMAIN_EVACUATED, DOMAIN_RESTORED], codes)
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -15,7 +15,7 @@
 
 from geraniumspool.clock import SystemClock
 from geraniumspool.idempotency import make_key
-from geraniumspool.ticket import Keyring, read_ticket
+from geraniumspool.ticket import Keyring, decode_unverified
 from tests.small import (
     ALL_SLOTS,
     SERVICE,
@@ -223,7 +223,7 @@
         done, unused = session.ticket(), session.ticket()
         session.submit(done, ["kept"])
         address = self.system.agents[0].ready_line()["inbox"]
-        self.assertEqual(read_ticket(unused).home.address, address)
+        self.assertEqual(decode_unverified(unused).home.address, address)
         order = {"address": address, "who": "tester", "why": "new kernel"}
         session.call_operators("POST", "/v1/drain", order)
         self.system.drain_agent(0)
@@ -241,7 +241,7 @@
         ticket = session.ticket()
         url = f"/v1/jobs/{ticket}"
         session.call("PUT", "/v1/jobs/none", make_job([make_task(1)]))
-        forged = Keyring(["another-key-than-theirs-01"]).sign(read_ticket(ticket))
+        forged = Keyring(["another-key-than-theirs-01"]).sign(decode_unverified(ticket))
         session.call("PUT", f"/v1/jobs/{forged}", make_job([make_task(1)]))
         session.call("PUT", url, make_job([make_task(1)], service="sawing"))
         session.call("PUT", url, {"team": 5, "tasks": [{}], "deadline_ms": -1, "odd": 1})
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -18,7 +18,7 @@
 from geraniumspool.documents import DEFAULT_SERVICE, DEFAULT_TEAM, parse_document
 from geraniumspool.idempotency import parse_key
 from geraniumspool.settings import AgentSettings, EntrySettings, check_file
-from geraniumspool.submission import parse_submission, parse_ticket_order
+from geraniumspool.submission import parse_submission, parse_ticket_request
 from tests.small import direct_commands_to
 
 ROOT = Path(__file__).parent.parent
@@ -232,7 +232,7 @@
     """Check a JSON example with the parser that its keys point to."""
     value = json.loads(text)
     if "count" in value:
-        parse_ticket_order(text.encode())
+        parse_ticket_request(text.encode())
     elif "tasks" in value:
         parse_submission(text.encode())
     elif "url" in value:
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -332,7 +332,9 @@
     def set_team(self, world, **limits):
         body = json.dumps(limits).encode()
         entry = world.entries[0].application
-        entry.desk.propose(f"team/{TEAM}", body, 0, "change-1", "nomin", "limits")
+        entry.configuration_changes.apply_change(
+            f"team/{TEAM}", body, 0, "change-1", "nomin", "limits"
+        )
         world.run(4_000.0)
 
     def refuse_all(self, world, entry):
@@ -730,8 +732,10 @@
 
     def propose_weight(self, world, entry, weight, expected, name, team=TEAM):
         body = json.dumps({"weight": weight}).encode()
-        desk = entry.application.desk
-        return desk.propose(f"team/{team}", body, expected, name, "nomin", "weights").revision
+        configuration_changes = entry.application.configuration_changes
+        return configuration_changes.apply_change(
+            f"team/{team}", body, expected, name, "nomin", "weights"
+        ).revision
 
     def weights_in_force(self, world, team):
         return {process.application.configuration.team(team).weight for process in world.processes}
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -24,11 +24,11 @@
     def add_entry(self):
         """Add an entry, to which :meth:`exchange` reports the others' demand; return its quotas."""
 
-        def peers_demand():
+        def get_peer_demand():
             return [report for sender, report in self.reports.items() if sender is not quotas]
 
         configuration = SimpleNamespace(team=lambda _name: self.limits)
-        quotas = Quotas(self.clock, configuration, peers_demand, lambda: len(self.entries))
+        quotas = Quotas(self.clock, configuration, get_peer_demand, lambda: len(self.entries))
         self.entries.append(quotas)
         return quotas
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,7 @@
 )
 from geraniumspool.registry import Registry
 from geraniumspool.replies import PUSHES_AT_ONCE
-from geraniumspool.revisions import FAR_ROUNDS, SILENT_ROUNDS, TOLD_ROUNDS
+from geraniumspool.revisions import FOREIGN_DIGEST_ROUNDS, FORWARDED_ROUNDS, UNREACHABLE_ROUNDS
 from geraniumspool.roster import Roster
 from geraniumspool.windows import FOREIGN_MEMBERS
 from tests.test_heartbeat import FakeConfiguration, RecordingMessenger
@@ -219,15 +219,15 @@
         """This includes entries that receive no digests from the other domain directly."""
         self.network.partitions.add(frozenset({"north", "south"}))
         for rounds, known in (
-            (SILENT_ROUNDS - FAR_ROUNDS, False),
-            (FAR_ROUNDS + TOLD_ROUNDS, True),
+            (UNREACHABLE_ROUNDS - FOREIGN_DIGEST_ROUNDS, False),
+            (FOREIGN_DIGEST_ROUNDS + FORWARDED_ROUNDS, True),
         ):
             self.network.run(rounds)
             for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
                 self.assertEqual(near == {process.member.domain}, known, process.local_peer.address)
         self.network.partitions.clear()
-        self.network.run(FAR_ROUNDS + 1)
+        self.network.run(FOREIGN_DIGEST_ROUNDS + 1)
         self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
 
     def test_no_member_is_declared_dead_in_a_partition_between_domains(self):
@@ -251,7 +251,7 @@
         self.network.introduce()
         self.network.run(6)
         other_entries = self.entries[2:]
-        for rounds in (1, FAR_ROUNDS, SILENT_ROUNDS, 3 * SILENT_ROUNDS):
+        for rounds in (1, FOREIGN_DIGEST_ROUNDS, UNREACHABLE_ROUNDS, 3 * UNREACHABLE_ROUNDS):
             with self.subTest(rounds=rounds):
                 self.network.partitions.add(frozenset({"north", "south"}))
                 for agent in agents:
@@ -260,7 +260,7 @@
                     agent.member = old._replace(state=state, version=old.version + 1)
                 self.network.run(rounds)
                 self.network.partitions.clear()
-                self.network.run(FAR_ROUNDS + 3)
+                self.network.run(FOREIGN_DIGEST_ROUNDS + 3)
                 for entry in other_entries:
                     known = {entry.get_state(agent) for agent in agents}
                     self.assertEqual(known, {agents[0].member.state})
@@ -314,17 +314,19 @@
 
     def test_configuration_reaches_all_and_is_reported(self):
         self.entries[3].configuration.apply([Document("team/opticians", 9, b"{}")])
-        self.assertEqual(self.entries[3].component.in_force(), {"north": 0, "south": 0})
+        self.assertEqual(
+            self.entries[3].component.get_revisions_in_force(), {"north": 0, "south": 0}
+        )
         self.network.run(6)
         for process in self.running_processes():
             self.assertEqual(process.configuration.revision, 9)
         for entry in self.entries:
-            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 9})
+            self.assertEqual(entry.component.get_revisions_in_force(), {"north": 9, "south": 9})
         self.agents[0].paused = True
         self.entries[0].configuration.apply([Document("team/opticians", 11, b"{}")])
         self.network.run(5)
         for entry in self.entries:
-            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 11})
+            self.assertEqual(entry.component.get_revisions_in_force(), {"north": 9, "south": 11})
 
     def test_starting_agent_has_all_batches_of_configuration_at_once(self):
         documents = [Document(f"team/{number}", number, b"{}") for number in range(1, 9)]
@@ -354,7 +356,7 @@
         self.network.run(6)
         totals = Counter()
         for entry in self.entries:
-            for report in entry.component.peers_demand():
+            for report in entry.component.get_peer_demand():
                 totals[report.demand] += 1
         one, both = (("opticians", 1.0, 2.0),), (("opticians", 2.0, 4.0),)
         self.assertEqual(totals[one], 4)
@@ -377,7 +379,7 @@
                 self.network.run(lost)
                 self.network.partitions.clear()
                 self.network.run(rounds)
-                told = {report.entry: report.demand for report in first.component.peers_demand()}
+                told = {report.entry: report.demand for report in first.component.get_peer_demand()}
                 self.assertEqual(told[second.local_peer], demand)
 
     def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
@@ -388,7 +390,7 @@
         digests = sum(self.network.count[e.local_peer] for e in self.entries) - 10 * len(
             self.agents
         )
-        self.assertEqual(digests, 10 * 4 + 10 // FAR_ROUNDS * 2)
+        self.assertEqual(digests, 10 * 4 + 10 // FOREIGN_DIGEST_ROUNDS * 2)
 
 
 class BudgetTest(unittest.TestCase):
--- a/tests/test_submission.py
+++ b/tests/test_submission.py
@@ -11,11 +11,11 @@
     MAX_TASKS,
     check_limits,
     parse_submission,
-    parse_ticket_order,
+    parse_ticket_request,
 )
 
 JOB = {"service": "fitting", "team": "opticians", "tasks": [{"payload": {"value": 1}}]}
-ORDER = {"service": "fitting", "team": "opticians"}
+TICKET_REQUEST = {"service": "fitting", "team": "opticians"}
 
 
 def encode(value):
@@ -105,18 +105,18 @@
 
     def test_ticket_order(self):
         """The count is an integer from 1 to 100 and defaults to 1."""
-        self.assertEqual(parse_ticket_order(encode(ORDER)).count, 1)
-        self.assertEqual(parse_ticket_order(encode(ORDER | {"count": 100})).count, 100)
+        self.assertEqual(parse_ticket_request(encode(TICKET_REQUEST)).count, 1)
+        self.assertEqual(parse_ticket_request(encode(TICKET_REQUEST | {"count": 100})).count, 100)
         for value, paths in (
             ({}, ["service", "team"]),
-            (ORDER | {"count": 0}, ["count"]),
-            (ORDER | {"count": 101}, ["count"]),
-            (ORDER | {"count": 1.5}, ["count"]),
-            (ORDER | {"count": "1"}, ["count"]),
-            (ORDER | {"tasks": []}, ["tasks"]),
+            (TICKET_REQUEST | {"count": 0}, ["count"]),
+            (TICKET_REQUEST | {"count": 101}, ["count"]),
+            (TICKET_REQUEST | {"count": 1.5}, ["count"]),
+            (TICKET_REQUEST | {"count": "1"}, ["count"]),
+            (TICKET_REQUEST | {"tasks": []}, ["tasks"]),
         ):
             with self.subTest(value=value):
-                self.assert_paths(parse_ticket_order, value, *paths)
+                self.assert_paths(parse_ticket_request, value, *paths)
 
     def test_limits_of_the_service(self):
         """Violations of a service's limits are reported with their paths."""
--- a/tests/test_ticket.py
+++ b/tests/test_ticket.py
@@ -5,7 +5,14 @@
 
 from geraniumspool.errors import ForgedTicket, MalformedTicket
 from geraniumspool.messages import Peer
-from geraniumspool.ticket import MAX_KEYS, SIGNATURE_BYTES, Keyring, Ticket, _sign, read_ticket
+from geraniumspool.ticket import (
+    MAX_KEYS,
+    SIGNATURE_BYTES,
+    Keyring,
+    Ticket,
+    _sign,
+    decode_unverified,
+)
 
 OLD, NEW = "an-old-key-of-tickets", "a-new-key-of-tickets"
 HOME = Peer("tcp://127.0.0.1:7000", 2**63)
@@ -24,7 +31,7 @@
         text = Keyring([NEW]).issue(HOME, "fitting", 123)
         ticket = Keyring([NEW]).verify(text)
         self.assertEqual(ticket[:3], (HOME, "fitting", 123))
-        self.assertEqual(read_ticket(text), ticket)
+        self.assertEqual(decode_unverified(text), ticket)
         self.assertRegex(text, r"\A[A-Za-z0-9_-]+\Z")
 
     def test_unique(self):
@@ -61,7 +68,7 @@
         keyring = Keyring([NEW])
         for text in ("", "A", "A" * 513, "no ticket", "é" * 40, "A" * 20 + "\0", "AAAA" * 5):
             with self.subTest(text=text):
-                for read in (keyring.verify, read_ticket):
+                for read in (keyring.verify, decode_unverified):
                     with self.assertRaises(MalformedTicket):
                         read(text)
 
@@ -70,7 +77,7 @@
         for body in (b"\xc0", b"\x91\x01", b"\x94\x01\x02\x03\x04", b"\x94\x92\xa1\xff\x01\xa0"):
             text = encode(_sign(NEW.encode(), body) + body)
             with self.subTest(body=body):
-                for read in (Keyring([NEW]).verify, read_ticket):
+                for read in (Keyring([NEW]).verify, decode_unverified):
                     with self.assertRaises(MalformedTicket):
                         read(text)
 
