--- a/benchmarks/experiment_base.py
+++ b/benchmarks/experiment_base.py
@@ -102,12 +102,12 @@
     :ivar work_ms: total run time of the tasks of all jobs in milliseconds
     """
 
-    def __init__(self, trip_ms: float):
+    def __init__(self, one_way_delay_ms: float):
         """Start empty.
 
-        :param trip_ms: one-way latency between client and entries in milliseconds
+        :param one_way_delay_ms: one-way latency between client and entries in milliseconds
         """
-        self._trip_ms = trip_ms
+        self._one_way_delay_ms = one_way_delay_ms
         self._ratios = HdrHistogram(1, MAX_RATIO, 3)
         self._narrow = HdrHistogram(1, MAX_RATIO, 3)
         self._middle = HdrHistogram(1, MAX_RATIO, 3)
@@ -119,7 +119,7 @@
         self.work_ms = 0.0
         self.jobs: list[Job] = []
 
-    def note(self, outcome: JobOutcome) -> None:
+    def record(self, outcome: JobOutcome) -> None:
         """Record the outcome of one job."""
         plan = outcome.plan
         self.work_ms += plan.work_ms
@@ -128,7 +128,7 @@
         self.jobs.append(Job(outcome.ticket, outcome.outcome, len(plan.tasks)))
         if outcome.outcome == OUTCOME_COMPLETE:
             self.late += outcome.response_ms > plan.deadline_ms
-            ideal = ideal_ms(plan, SLOTS, self._trip_ms)
+            ideal = ideal_ms(plan, SLOTS, self._one_way_delay_ms)
             ratio = min(MAX_RATIO, max(1, round(outcome.response_ms / ideal * SCALE)))
             self._ratios.record_value(ratio)
             self._by_width(plan).record_value(ratio)
@@ -175,19 +175,24 @@
     """Measurement of one policy in an experiment, in slices of load on one system."""
 
     def __init__(
-        self, system: ProcessSystem, experiment: str, policy: str, chosen: bool, trip_ms: float
+        self,
+        system: ProcessSystem,
+        experiment: str,
+        policy: str,
+        chosen: bool,
+        one_way_delay_ms: float,
     ):
         """Start without results.
 
         :param chosen: whether the policy is the one in use
-        :param trip_ms: one-way latency between client and entries in milliseconds
+        :param one_way_delay_ms: one-way latency between client and entries in milliseconds
         """
         self.system = system
         self._experiment = experiment
         self._policy = policy
         self._chosen = chosen
-        self._trip_ms = trip_ms
-        self.tally = Tally(trip_ms)
+        self._one_way_delay_ms = one_way_delay_ms
+        self.tally = Tally(one_way_delay_ms)
         self.counts = NO_COUNTS
         self.meter: Meter | None = None
         self.wrong_answers = 0
@@ -214,15 +219,19 @@
         :param on_end: called after the last answer, before starts are counted
         :param options: fields of :class:`geraniumspool.load.LoadOptions`
         """
-        options = {"slots": SLOTS, "trip_ms": self._trip_ms, "team": TEAM} | options
+        options = {
+            "slots": SLOTS,
+            "one_way_delay_ms": self._one_way_delay_ms,
+            "team": TEAM,
+        } | options
         self.meter = Meter(self.system)
         before = self.system.sum_starts()["starts"]
         first = len(self.tally.jobs)
         samples: list[int] = []
         sampler = eventlet.spawn(self._sample, samples, seconds) if watch else None
-        entries = options.pop("entries", None) or self.system.callers()
+        entries = options.pop("entries", None) or self.system.caller_addresses()
         chosen = LoadOptions(entries=entries, service=SERVICE, seconds=seconds, **options)
-        load = Load(chosen, observer=self.tally.note)
+        load = Load(chosen, observer=self.tally.record)
         on_start(load.stop)
         report = load.run()
         on_end()
@@ -404,7 +413,7 @@
 
 def measure_trip(system: ProcessSystem) -> float:
     """Return half the median round-trip time to an entry, in milliseconds."""
-    url = f"http://{system.callers()[0]}/healthz"
+    url = f"http://{system.caller_addresses()[0]}/healthz"
     times = []
     for _ in range(TRIP_SAMPLES):
         begin = time.perf_counter()
--- a/benchmarks/experiment_faults.py
+++ b/benchmarks/experiment_faults.py
@@ -91,12 +91,12 @@
     """Measure one faulty minion out of eleven, with and without ejection."""
     trials, turns = [], []
     with open_systems({}, {}) as systems:
-        trip_ms = measure_trip(systems[0])
+        one_way_delay_ms = measure_trip(systems[0])
         configure(systems[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
         for bad, minion_index in zip(BAD_MINIONS, BAD_MINION_INDICES, strict=True):
             for system, name in zip(systems, ("ejection", "no ejection"), strict=True):
                 chosen = system is systems[0]
-                trial = Trial(system, "minions", f"{bad.name}, {name}", chosen, trip_ms)
+                trial = Trial(system, "minions", f"{bad.name}, {name}", chosen, one_way_delay_ms)
                 run = functools.partial(_run_with_bad_minion, trial, minion_index, bad)
                 trials.append(trial)
                 turns.append(Turn(system, MINION_S, run))
@@ -143,9 +143,9 @@
     )
     rows = []
     with open_systems({}) as (system,):
-        trip_ms = measure_trip(system)
+        one_way_delay_ms = measure_trip(system)
         for name, fault in cases:
-            trial = Trial(system, "unknown", name, True, trip_ms)
+            trial = Trial(system, "unknown", name, True, one_way_delay_ms)
             task = eventlet.spawn(_inject_after_delay, fault, trial)
             options = {"mix": FAULT_MIX, "load_share": FAULT_SHARE}
             trial.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
@@ -194,9 +194,9 @@
     )
     rows = []
     with open_systems({}) as (system,):
-        trip_ms = measure_trip(system)
+        one_way_delay_ms = measure_trip(system)
         for number, (name, faults, down_s, seconds) in enumerate(cases):
-            trial = Trial(system, "store", name, True, trip_ms)
+            trial = Trial(system, "store", name, True, one_way_delay_ms)
             notes: dict[str, float] = {}
             task = eventlet.spawn(_change_later, system, number, faults, down_s, notes)
             trial.run(seconds, mix=FAULT_MIX, load_share=STORE_SHARE)
@@ -284,7 +284,7 @@
         self.resubmissions = 0
         self.failures: list[str] = []
         self.done: list[Job] = []
-        self._client = Client(system.callers(), SERVICE, TEAM)
+        self._client = Client(system.caller_addresses(), SERVICE, TEAM)
         self._number = number
         self._is_stopped = False
 
--- a/benchmarks/experiment_limits.py
+++ b/benchmarks/experiment_limits.py
@@ -94,21 +94,21 @@
 def measure_quotas() -> list[Row]:
     """Exceed a team's quota through one entry, then through all entries."""
     with open_systems({}) as (system,):
-        trip_ms = measure_trip(system)
+        one_way_delay_ms = measure_trip(system)
         configure(system, f"team/{RATE_TEAM}", f"rate_tasks_per_s: {RATE_TASKS_PER_S}\n")
         configure(system, f"team/{RUNNING_TEAM}", f"running_tasks: {RUNNING_TASKS}\n")
-        return [_measure_rate(system, trip_ms), _measure_running(system, trip_ms)]
+        return [_measure_rate(system, one_way_delay_ms), _measure_running(system, one_way_delay_ms)]
 
 
 def _job_rate(tasks_per_s: float) -> float:
     return OFFERED_TO_QUOTA * tasks_per_s / SHORT_NARROW.widths.mean
 
 
-def _measure_rate(system: ProcessSystem, trip_ms: float) -> Row:
-    trial = Trial(system, "quotas", "60 tasks a second", True, trip_ms)
+def _measure_rate(system: ProcessSystem, one_way_delay_ms: float) -> Row:
+    trial = Trial(system, "quotas", "60 tasks a second", True, one_way_delay_ms)
     options = {"team": RATE_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(RATE_TASKS_PER_S)}
     seconds = []
-    for entries in (system.callers()[:1], system.callers()):
+    for entries in (system.caller_addresses()[:1], system.caller_addresses()):
         counts: list[int] = []
         sampler = eventlet.spawn(_sample_starts, system, counts, QUOTA_S)
         trial.run(QUOTA_S, entries=entries, **options)
@@ -134,12 +134,12 @@
     return round(value / quota, 3)
 
 
-def _measure_running(system: ProcessSystem, trip_ms: float) -> Row:
-    trial = Trial(system, "quotas", "24 running tasks", True, trip_ms)
+def _measure_running(system: ProcessSystem, one_way_delay_ms: float) -> Row:
+    trial = Trial(system, "quotas", "24 running tasks", True, one_way_delay_ms)
     tasks_per_s = RUNNING_TASKS * 1_000 / SHORT_TIMES.mean_ms
     options = {"team": RUNNING_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(tasks_per_s)}
     peaks, means = [], []
-    for entries in (system.callers()[:1], system.callers()):
+    for entries in (system.caller_addresses()[:1], system.caller_addresses()):
         samples: list[int] = []
         sampler = eventlet.spawn(_sample_running, system, samples)
         trial.run(QUOTA_S, entries=entries, **options)
@@ -163,21 +163,21 @@
 def measure_fairness() -> list[Row]:
     """Measure a team with light load while another team overloads the system."""
     with open_systems({}) as (system,):
-        trip_ms = measure_trip(system)
-        alone = Trial(system, "fairness", "light team alone", True, trip_ms)
+        one_way_delay_ms = measure_trip(system)
+        alone = Trial(system, "fairness", "light team alone", True, one_way_delay_ms)
         options = {"mix": "narrow", "load_share": LIGHT_SHARE, "team": LIGHT_TEAM}
         alone.run(FAIR_S, seed=2, **options)
-        flood = Trial(system, "fairness", "flood beside a light team", True, trip_ms)
-        light = Tally(trip_ms)
+        flood = Trial(system, "fairness", "flood beside a light team", True, one_way_delay_ms)
+        light = Tally(one_way_delay_ms)
         light_load = eventlet.spawn(
             run_load,
-            system.callers(),
+            system.caller_addresses(),
             SERVICE,
             seconds=FAIR_S,
             seed=2,
-            observer=light.note,
+            observer=light.record,
             slots=SLOTS,
-            trip_ms=trip_ms,
+            one_way_delay_ms=one_way_delay_ms,
             **options,
         )
         flood.run(FAIR_S, mix="brief", load_share=FLOOD_SHARE, team=FLOOD_TEAM)
@@ -198,8 +198,8 @@
 def measure_cancellation() -> list[Row]:
     """Cancel all jobs in flight at once at three times the capacity."""
     with open_systems({}) as (system,):
-        trip_ms = measure_trip(system)
-        trial = Trial(system, "cancellation", "all jobs in flight", True, trip_ms)
+        one_way_delay_ms = measure_trip(system)
+        trial = Trial(system, "cancellation", "all jobs in flight", True, one_way_delay_ms)
         notes: dict[str, float | None] = {}
         watcher = eventlet.spawn(_watch_wave, trial, notes)
         wave = CancelWave(WAVE_DELAY_S * 1_000, 1.0)
--- a/benchmarks/experiment_load.py
+++ b/benchmarks/experiment_load.py
@@ -54,9 +54,9 @@
 ) -> list[Row]:
     """Measure policies on parallel fleets, each with the same slices of load in turn."""
     with open_systems(*(policy.settings for policy in policies)) as systems:
-        trip_ms = measure_trip(systems[0])
+        one_way_delay_ms = measure_trip(systems[0])
         trials = [
-            Trial(system, experiment, policy.name, policy.chosen, trip_ms)
+            Trial(system, experiment, policy.name, policy.chosen, one_way_delay_ms)
             for system, policy in zip(systems, policies, strict=True)
         ]
         take_turns(
@@ -64,7 +64,7 @@
             for seed in range(1, slices + 1)
             for trial in trials
         )
-        return [trial.row(trip_ms=round(trip_ms, 3)) for trial in trials]
+        return [trial.row(trip_ms=round(one_way_delay_ms, 3)) for trial in trials]
 
 
 def measure_light() -> list[Row]:
@@ -90,9 +90,9 @@
     """Compare exact, wrong and no declared run times."""
     kinds = (DECLARED_EXACT, DECLARED_WRONG, DECLARED_NONE)
     with open_systems({}, {}, {}) as systems:
-        trip_ms = measure_trip(systems[0])
+        one_way_delay_ms = measure_trip(systems[0])
         trials = [
-            Trial(system, "declared", f"declared {kind}", True, trip_ms)
+            Trial(system, "declared", f"declared {kind}", True, one_way_delay_ms)
             for system, kind in zip(systems, kinds, strict=True)
         ]
         take_turns(
@@ -116,8 +116,8 @@
     def mean_work_ms(self) -> float:
         return self.mix.mean_work_ms
 
-    def draw(self, source: random.Random, team: str) -> JobPlan:
-        plan = self.mix.draw(source, team)
+    def draw(self, rng: random.Random, team: str) -> JobPlan:
+        plan = self.mix.draw(rng, team)
         if self.kind == DECLARED_WRONG:
             return plan
         is_exact = self.kind == DECLARED_EXACT
@@ -138,11 +138,11 @@
     burst_load = {"mix": "brief", "load_share": BURST_BASE_SHARE, "bursts": (burst,)}
     slices = (("overload", OVERLOAD_S, lasting_load), ("burst", BURST_S, burst_load))
     with open_systems(*(policy.settings for policy in policies)) as systems:
-        trip_ms = measure_trip(systems[0])
+        one_way_delay_ms = measure_trip(systems[0])
         trials, turns = [], []
         for name, seconds, options in slices:
             for system, policy in zip(systems, policies, strict=True):
-                trial = Trial(system, name, policy.name, policy.chosen, trip_ms)
+                trial = Trial(system, name, policy.name, policy.chosen, one_way_delay_ms)
                 trials.append(trial)
                 turns.append(
                     Turn(system, seconds, functools.partial(trial.run, seconds, **options))
--- a/benchmarks/pattern_loads.py
+++ b/benchmarks/pattern_loads.py
@@ -9,23 +9,71 @@
 from typing import NamedTuple
 
 from geraniumspool.clock import MS_PER_SECOND
-from geraniumspool.workload import Burst, QueueMix, SizedJob, Spread, draw_arrivals
+from geraniumspool.workload import Burst, CappedLogNormal, QueueJob, QueueMix, draw_arrivals
 
 SHORT, LONG, SMALL = "short", "long", "small"
-CPU = Spread(5_800, 0.2, 9_000)
+CPU = CappedLogNormal(5_800, 0.2, 9_000)
 # Declared run times differ from the real ones by tens of per cent.
 DECLARED_ERROR = 0.4
 MIXES = (
-    QueueMix(SHORT, 0, 0.25, Spread(8, 0.4, 32), Spread(60, 0.4, 240), CPU, DECLARED_ERROR),
-    QueueMix(LONG, 2, 0.05, Spread(4, 0.4, 16), Spread(900, 0.4, 3_600), CPU, DECLARED_ERROR),
-    QueueMix(SMALL, 1, 0.70, Spread(2, 0.4, 8), Spread(200, 0.4, 800), CPU, DECLARED_ERROR),
+    QueueMix(
+        SHORT,
+        0,
+        0.25,
+        CappedLogNormal(8, 0.4, 32),
+        CappedLogNormal(60, 0.4, 240),
+        CPU,
+        DECLARED_ERROR,
+    ),
+    QueueMix(
+        LONG,
+        2,
+        0.05,
+        CappedLogNormal(4, 0.4, 16),
+        CappedLogNormal(900, 0.4, 3_600),
+        CPU,
+        DECLARED_ERROR,
+    ),
+    QueueMix(
+        SMALL,
+        1,
+        0.70,
+        CappedLogNormal(2, 0.4, 8),
+        CappedLogNormal(200, 0.4, 800),
+        CPU,
+        DECLARED_ERROR,
+    ),
 )
 # A licence register: its jobs run twice as long as above, and the long ones are the least urgent.
-REGISTER_CPU = Spread(6_400, 0.2, 9_200)
+REGISTER_CPU = CappedLogNormal(6_400, 0.2, 9_200)
 REGISTER = (
-    QueueMix(SHORT, 0, 0.245, Spread(8, 0.4, 32), Spread(120, 0.4, 480), REGISTER_CPU, 0.4),
-    QueueMix(LONG, 2, 0.045, Spread(4, 0.4, 16), Spread(1_800, 0.4, 7_200), REGISTER_CPU, 0.4),
-    QueueMix(SMALL, 1, 0.71, Spread(2, 0.4, 8), Spread(400, 0.4, 1_600), REGISTER_CPU, 0.4),
+    QueueMix(
+        SHORT,
+        0,
+        0.245,
+        CappedLogNormal(8, 0.4, 32),
+        CappedLogNormal(120, 0.4, 480),
+        REGISTER_CPU,
+        0.4,
+    ),
+    QueueMix(
+        LONG,
+        2,
+        0.045,
+        CappedLogNormal(4, 0.4, 16),
+        CappedLogNormal(1_800, 0.4, 7_200),
+        REGISTER_CPU,
+        0.4,
+    ),
+    QueueMix(
+        SMALL,
+        1,
+        0.71,
+        CappedLogNormal(2, 0.4, 8),
+        CappedLogNormal(400, 0.4, 1_600),
+        REGISTER_CPU,
+        0.4,
+    ),
 )
 # The try-on service some months later, with fewer short jobs and more long ones.
 SHIFTED = tuple(
@@ -150,7 +198,7 @@
     """
 
     at_ms: float
-    job: SizedJob
+    job: QueueJob
     leaves: bool
     crashes: bool = False
 
@@ -161,26 +209,25 @@
     :param room_cpu: total room of all workers in thousandths of a core
     :param seed: determines all arrivals
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     work = _measure_mean_work(pattern.mixes)
     rate = pattern.load * room_cpu / MS_PER_SECOND / work
     bursts = () if pattern.only else pattern.bursts
-    arrivals = _draw_jobs(source, rate, bursts, pattern.mixes, pattern)
+    arrivals = _draw_jobs(rng, rate, bursts, pattern.mixes, pattern)
     if pattern.only:
         mixes = tuple(mix for mix in pattern.mixes if mix.queue == pattern.only)
         more = rate * mixes[0].share
-        extra = _draw_jobs(source, more, pattern.bursts, mixes, pattern)
+        extra = _draw_jobs(rng, more, pattern.bursts, mixes, pattern)
         arrivals += [arrival for arrival in extra if _is_within(arrival, pattern.bursts)]
     if pattern.crashing_share:
         arrivals = [
-            arrival._replace(crashes=source.random() < pattern.crashing_share)
-            for arrival in arrivals
+            arrival._replace(crashes=rng.random() < pattern.crashing_share) for arrival in arrivals
         ]
     return sorted(arrivals)
 
 
 def _draw_jobs(
-    source: random.Random,
+    rng: random.Random,
     rate: float,
     bursts: tuple[Burst, ...],
     mixes: tuple[QueueMix, ...],
@@ -190,10 +237,10 @@
     return [
         Arrival(
             at_ms,
-            source.choices(mixes, weights)[0].draw(source),
-            source.random() < pattern.leaving_share,
+            rng.choices(mixes, weights)[0].draw(rng),
+            rng.random() < pattern.leaving_share,
         )
-        for at_ms in draw_arrivals(rate, pattern.length_ms, source, bursts)
+        for at_ms in draw_arrivals(rate, pattern.length_ms, rng, bursts)
     ]
 
 
@@ -203,7 +250,7 @@
 
 def _measure_mean_work(mixes: tuple[QueueMix, ...], draws: int = 2_000) -> float:
     """Return the mean work of a job in core-seconds."""
-    source = random.Random(1)
+    rng = random.Random(1)
     weights = [mix.share for mix in mixes]
-    chosen = source.choices(mixes, weights, k=draws)
-    return sum(mix.draw(source).work for mix in chosen) / draws
+    chosen = rng.choices(mixes, weights, k=draws)
+    return sum(mix.draw(rng).work for mix in chosen) / draws
--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -60,7 +60,7 @@
 class InstantMinion:
     """Minion client whose tasks complete at once."""
 
-    def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def run(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         """Return a result of typical length; see :data:`RESULT`."""
         eventlet.sleep(0)
         return RESULT
--- a/benchmarks/slope_processes.py
+++ b/benchmarks/slope_processes.py
@@ -193,7 +193,7 @@
 def _send_load(system: ProcessSystem, tasks: int, seconds: float) -> int:
     end = time.monotonic() + seconds
     pool = urllib3.PoolManager(retries=False, maxsize=CONNECTIONS)
-    url = f"http://{system.callers()[0]}/v1/jobs"
+    url = f"http://{system.caller_addresses()[0]}/v1/jobs"
     rows = [{"payload": {"run_ms": RUN_MS, "value": number}} for number in range(tasks)]
     body = {"service": SERVICE, "team": TEAM, "deadline_ms": 20_000, "tasks": rows}
 
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -192,7 +192,7 @@
     def _do_late_start(self) -> None:
         minion = self._random.choice(self._surroundings.witness.minions)
         late_ms = self._random.uniform(50, 3_000)
-        minion.inject(ScriptedFault("start", self._random.choice(RANDOM_FAULTS), late_ms))
+        minion.inject_fault(ScriptedFault("start", self._random.choice(RANDOM_FAULTS), late_ms))
 
     def _do_late_call(self) -> None:
         """Lose a few calls of one kind, or execute them late."""
@@ -200,4 +200,4 @@
         call = self._random.choice(("start", "stop", "stop", "look"))
         for _ in range(self._random.randint(1, 3)):
             late_ms = self._random.uniform(5, 3_000)
-            minion.inject(ScriptedFault(call, self._random.choice(RANDOM_FAULTS), late_ms))
+            minion.inject_fault(ScriptedFault(call, self._random.choice(RANDOM_FAULTS), late_ms))
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -190,11 +190,11 @@
         self._record_act(
             f"minion of {agent.peer.address}: {fault.kind.value} x{fault.slow_factor:.0f}"
         )
-        agent.minion.inner.script(fault)
+        agent.minion.inner.inject_fault(fault)
 
     def _clear_minion_faults(self) -> None:
         for agent in self.world.agents:
-            agent.minion.inner.script(Fault())
+            agent.minion.inner.inject_fault(Fault())
 
     def _inject_store_fault(self) -> None:
         store = self.world.store
--- a/geraniumspool/arguments.py
+++ b/geraniumspool/arguments.py
@@ -11,11 +11,11 @@
 FLAG_WITHOUT_VALUE = "True"
 
 
-class UsageFault(Exception):
+class UsageError(Exception):
     """The command line is invalid; nothing was done."""
 
 
-class Target(NamedTuple):
+class OperatorFlags(NamedTuple):
     """Flags shared by all commands that send a request to an entry.
 
     :param entry: address of the entry, or empty to take it from the environment
@@ -28,106 +28,106 @@
     as_json: bool
 
 
-def read_target(entry: str, token: str, as_json: str) -> Target:
+def parse_operator_flags(entry: str, token: str, as_json: str) -> OperatorFlags:
     """Validate the flags shared by all commands that send a request to an entry.
 
     :param as_json: "True" or "False", as Fire passes it
-    :raises UsageFault: if ``--json`` has a value, or one of the others has none
+    :raises UsageError: if ``--json`` has a value, or one of the others has none
     """
     if as_json not in ("True", "False"):
-        raise UsageFault("--json takes no value")
+        raise UsageError("--json takes no value")
     if FLAG_WITHOUT_VALUE in (entry, token):
-        raise UsageFault("--entry and --token need a value")
-    return Target(entry, token, as_json == "True")
+        raise UsageError("--entry and --token need a value")
+    return OperatorFlags(entry, token, as_json == "True")
 
 
-def find_entry(target: Target) -> EntryAddress:
+def resolve_entry(target: OperatorFlags) -> EntryAddress:
     """Return the entry's address and token, from the flags or else from the environment.
 
-    :raises UsageFault: if neither gives an address
+    :raises UsageError: if neither gives an address
     """
     address = target.entry or os.environ.get(ENTRY_VARIABLE, "")
     if not address:
-        raise UsageFault(f"no entry given: add --entry HOST:PORT or set {ENTRY_VARIABLE}")
+        raise UsageError(f"no entry given: add --entry HOST:PORT or set {ENTRY_VARIABLE}")
     return EntryAddress(address, target.token or os.environ.get(TOKEN_VARIABLE, ""))
 
 
-def read_key(text: str) -> str:
+def parse_document_key(text: str) -> str:
     """Return the key of a configuration document, ``kind/name``.
 
-    :raises UsageFault: if it has another form
+    :raises UsageError: if it has another form
     """
     parts = text.split("/")
     if len(parts) != 2 or not all(parts):
-        raise UsageFault(f"{text!r} is no document key such as service/fitting")
+        raise UsageError(f"{text!r} is no document key such as service/fitting")
     return text
 
 
-def read_text(text: str, flag: str) -> str:
+def parse_text(text: str, flag: str) -> str:
     """Return the value of a flag that must not be empty.
 
-    :raises UsageFault: if it is blank, or the flag was given without a value
+    :raises UsageError: if it is blank, or the flag was given without a value
     """
     if not text.strip() or text == FLAG_WITHOUT_VALUE:
-        raise UsageFault(f"{flag} needs a text")
+        raise UsageError(f"{flag} needs a text")
     return text
 
 
-def read_whole(text: str, flag: str) -> int:
+def parse_whole_number(text: str, flag: str) -> int:
     """Return a non-negative integer.
 
     :param flag: name of the flag, for the error
-    :raises UsageFault: if the text has anything but decimal digits
+    :raises UsageError: if the text has anything but decimal digits
     """
     if not text.isascii() or not text.isdigit():
-        raise UsageFault(f"{flag} needs a whole number, not {text!r}")
+        raise UsageError(f"{flag} needs a whole number, not {text!r}")
     return int(text)
 
 
-def read_number(text: str, flag: str) -> float:
+def parse_positive_number(text: str, flag: str) -> float:
     """Return a finite number above 0.
 
     :param flag: name of the flag, for the error
-    :raises UsageFault: if it is none
+    :raises UsageError: if it is none
     """
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0.0 < value < float("inf"):
-        raise UsageFault(f"{flag} needs a number above 0, not {text!r}")
+        raise UsageError(f"{flag} needs a number above 0, not {text!r}")
     return value
 
 
-def read_address(text: str) -> tuple[str, int]:
+def parse_listen_address(text: str) -> tuple[str, int]:
     """Return the host and port to listen on.
 
     :param text: ``host:port``
-    :raises UsageFault: if it has another form
+    :raises UsageError: if it has another form
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host:
-        raise UsageFault(f"{text!r} is no address such as 127.0.0.1:0")
-    return host, read_whole(port, "--listen")
+        raise UsageError(f"{text!r} is no address such as 127.0.0.1:0")
+    return host, parse_whole_number(port, "--listen")
 
 
-def find_file(path: str) -> str:
+def require_file(path: str) -> str:
     """Return the path unchanged if it names a file.
 
-    :raises UsageFault: if there is no such file
+    :raises UsageError: if there is no such file
     """
     if not os.path.isfile(path):
-        raise UsageFault(f"there is no file {path!r}")
+        raise UsageError(f"there is no file {path!r}")
     return path
 
 
 def read_file(path: str) -> str:
     """Return the contents of a UTF-8 file.
 
-    :raises UsageFault: if it cannot be read or decoded
+    :raises UsageError: if it cannot be read or decoded
     """
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
     except (OSError, UnicodeDecodeError) as error:
-        raise UsageFault(f"cannot read {path!r}: {error}") from None
+        raise UsageError(f"cannot read {path!r}: {error}") from None
--- a/geraniumspool/cli.py
+++ b/geraniumspool/cli.py
@@ -21,17 +21,17 @@
 
 from geraniumspool import __version__, operations, tables
 from geraniumspool.arguments import (
-    Target,
-    UsageFault,
-    find_entry,
-    find_file,
-    read_address,
+    OperatorFlags,
+    UsageError,
+    parse_document_key,
+    parse_listen_address,
+    parse_operator_flags,
+    parse_positive_number,
+    parse_text,
+    parse_whole_number,
     read_file,
-    read_key,
-    read_number,
-    read_target,
-    read_text,
-    read_whole,
+    require_file,
+    resolve_entry,
 )
 from geraniumspool.entry_client import EntryClient
 from geraniumspool.errors import DispatchError, InvalidInput
@@ -40,9 +40,9 @@
     EXIT_INVALID,
     EXIT_OK,
     EXIT_USAGE,
-    choose_exit_code,
-    judge_cancel,
-    judge_job,
+    exit_code_for_cancel,
+    exit_code_for_error,
+    exit_code_for_job,
 )
 
 PROGRAM = "geraniumspool"
@@ -72,7 +72,7 @@
 
     def ask(
         self,
-        target: Target,
+        target: OperatorFlags,
         call: Callable[..., Any],
         show: Callable[[Any], str],
         *arguments: Any,
@@ -85,9 +85,9 @@
         :param show: formats the response as text, used without ``--json``
         :param arguments: passed to ``call`` after the client
         :param judge: returns the exit code for the response
-        :raises UsageFault: if neither flags nor environment name an entry
+        :raises UsageError: if neither flags nor environment name an entry
         """
-        entry = find_entry(target)
+        entry = resolve_entry(target)
 
         def run() -> int:
             answer = call(EntryClient(entry), *arguments)
@@ -108,14 +108,16 @@
     @_as_text
     def list(self, *, entry="", token="", json="False"):
         """List all documents that are currently in effect."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.config_list, tables.show_documents)
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(target, operations.config_list, tables.format_documents)
 
     @_as_text
     def get(self, key, *, entry="", token="", json="False"):
         """Print the document with the key KEY, such as service/fitting."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.config_get, tables.show_document, read_key(key))
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(
+            target, operations.config_get, tables.format_document, parse_document_key(key)
+        )
 
     @_as_text
     def apply(
@@ -138,28 +140,30 @@
         :param why: reason for the change, for the audit trail
         :param change_id: id of an earlier attempt, so that a retry is applied only once
         """
-        target = read_target(entry, token, json)
-        revision = read_whole(expected_revision, "--expected-revision")
+        target = parse_operator_flags(entry, token, json)
+        revision = parse_whole_number(expected_revision, "--expected-revision")
         arguments = (
-            read_key(key),
+            parse_document_key(key),
             read_file(file),
             revision,
-            read_text(who, "--who"),
-            read_text(why, "--why"),
+            parse_text(who, "--who"),
+            parse_text(why, "--why"),
         )
-        self._plan.ask(target, operations.config_apply, tables.show_pairs, *arguments, change_id)
+        self._plan.ask(target, operations.config_apply, tables.format_pairs, *arguments, change_id)
 
     @_as_text
     def history(self, key, *, entry="", token="", json="False"):
         """Print the audit trail of the document KEY."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.config_history, tables.show_history, read_key(key))
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(
+            target, operations.config_history, tables.format_history, parse_document_key(key)
+        )
 
     @_as_text
     def status(self, *, entry="", token="", json="False"):
         """Print the configuration revision in effect in each failure domain."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.config_status, tables.show_config_status)
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(target, operations.config_status, tables.format_config_status)
 
 
 class DomainCommands:
@@ -177,9 +181,9 @@
         :param why: reason for the change, for the audit trail
         :param change_id: id of an earlier attempt, so that a retry is applied only once
         """
-        target = read_target(entry, token, json)
-        arguments = (name, read_text(who, "--who"), read_text(why, "--why"), change_id)
-        self._plan.ask(target, operations.domain_evacuate, tables.show_pairs, *arguments)
+        target = parse_operator_flags(entry, token, json)
+        arguments = (name, parse_text(who, "--who"), parse_text(why, "--why"), change_id)
+        self._plan.ask(target, operations.domain_evacuate, tables.format_pairs, *arguments)
 
     @_as_text
     def restore(self, name, *, who, why, change_id="", entry="", token="", json="False"):
@@ -189,9 +193,9 @@
         :param why: reason for the change, for the audit trail
         :param change_id: id of an earlier attempt, so that a retry is applied only once
         """
-        target = read_target(entry, token, json)
-        arguments = (name, read_text(who, "--who"), read_text(why, "--why"), change_id)
-        self._plan.ask(target, operations.domain_restore, tables.show_pairs, *arguments)
+        target = parse_operator_flags(entry, token, json)
+        arguments = (name, parse_text(who, "--who"), parse_text(why, "--why"), change_id)
+        self._plan.ask(target, operations.domain_restore, tables.format_pairs, *arguments)
 
 
 class StandinCommands:
@@ -204,7 +208,7 @@
     @_as_text
     def store(self, *, listen="127.0.0.1:0"):
         """Run a stand-in for the store: in memory, with etcd's JSON API."""
-        self._plan.run = partial(operations.run_standin_store, *read_address(listen))
+        self._plan.run = partial(operations.run_standin_store, *parse_listen_address(listen))
 
     @_as_text
     def minion(self, *, agent, service, slots="8", connections="64", listen="127.0.0.1:0"):
@@ -212,8 +216,11 @@
 
         :param agent: base URL of the agent's listener for minions, such as http://127.0.0.1:7000
         """
-        slots, connections = read_whole(slots, "--slots"), read_whole(connections, "--connections")
-        arguments = (agent, service, slots, connections, *read_address(listen))
+        slots, connections = (
+            parse_whole_number(slots, "--slots"),
+            parse_whole_number(connections, "--connections"),
+        )
+        arguments = (agent, service, slots, connections, *parse_listen_address(listen))
         self._plan.run = partial(operations.run_standin_minion, *arguments)
 
 
@@ -235,20 +242,22 @@
     @_as_text
     def entry(self, settings):
         """Run an entry with the settings file SETTINGS."""
-        self._plan.run = partial(operations.run_entry, find_file(settings))
+        self._plan.run = partial(operations.run_entry, require_file(settings))
 
     @_as_text
     def agent(self, settings):
         """Run an agent with the settings file SETTINGS."""
-        self._plan.run = partial(operations.run_agent, find_file(settings))
+        self._plan.run = partial(operations.run_agent, require_file(settings))
 
     @_as_text
     def demo(self, *, seconds="24", progress="False"):
         """Run the whole system in one process, under load and faults, and print a summary."""
         if progress not in ("True", "False"):
-            raise UsageFault("--progress takes no value")
+            raise UsageError("--progress takes no value")
         shown = True if progress == "True" else None
-        self._plan.run = partial(operations.run_demo, read_number(seconds, "--seconds"), shown)
+        self._plan.run = partial(
+            operations.run_demo, parse_positive_number(seconds, "--seconds"), shown
+        )
 
     @_as_text
     def load(
@@ -274,56 +283,65 @@
         :param resubmit_share: share of jobs that are submitted through two entries at once
         """
         if rate and load_share:
-            raise UsageFault("give --rate or --load-share, not both")
+            raise UsageError("give --rate or --load-share, not both")
         self._plan.run = partial(
             operations.run_load,
             entries.split(","),
             service,
             team,
-            read_number(seconds, "--seconds"),
-            0.0 if load_share else read_number(rate or DEFAULT_RATE, "--rate"),
+            parse_positive_number(seconds, "--seconds"),
+            0.0 if load_share else parse_positive_number(rate or DEFAULT_RATE, "--rate"),
             mix,
-            read_whole(seed, "--seed"),
-            read_number(load_share, "--load-share") if load_share else 0.0,
-            read_whole(slots, "--slots"),
-            read_number(resubmit_share, "--resubmit-share") if resubmit_share else 0.0,
+            parse_whole_number(seed, "--seed"),
+            parse_positive_number(load_share, "--load-share") if load_share else 0.0,
+            parse_whole_number(slots, "--slots"),
+            parse_positive_number(resubmit_share, "--resubmit-share") if resubmit_share else 0.0,
         )
 
     @_as_text
     def status(self, *, entry="", token="", json="False"):
         """Print the state of an entry and of the failure domains."""
-        self._plan.ask(read_target(entry, token, json), operations.status, tables.show_status)
+        self._plan.ask(
+            parse_operator_flags(entry, token, json), operations.status, tables.format_status
+        )
 
     @_as_text
     def roster(self, *, entry="", token="", json="False"):
         """Print all processes in the membership list of an entry."""
-        self._plan.ask(read_target(entry, token, json), operations.roster, tables.show_roster)
+        self._plan.ask(
+            parse_operator_flags(entry, token, json), operations.roster, tables.format_roster
+        )
 
     @_as_text
     def drain(self, address, *, who, why, entry="", token="", json="False"):
         """Ask the process with the inbox address ADDRESS to drain and exit."""
-        arguments = (address, read_text(who, "--who"), read_text(why, "--why"))
+        arguments = (address, parse_text(who, "--who"), parse_text(why, "--why"))
         self._plan.ask(
-            read_target(entry, token, json), operations.drain, tables.show_pairs, *arguments
+            parse_operator_flags(entry, token, json),
+            operations.drain,
+            tables.format_pairs,
+            *arguments,
         )
 
     @_as_text
     def job(self, ticket, *, entry="", token="", json="False"):
         """Print the state of the job with the ticket TICKET."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.job, tables.show_pairs, ticket, judge=judge_job)
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(target, operations.job, tables.format_pairs, ticket, judge=exit_code_for_job)
 
     @_as_text
     def cancel(self, ticket, *, entry="", token="", json="False"):
         """Cancel the job with the ticket TICKET."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.cancel, tables.show_pairs, ticket, judge=judge_cancel)
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(
+            target, operations.cancel, tables.format_pairs, ticket, judge=exit_code_for_cancel
+        )
 
     @_as_text
     def why(self, subject, *, entry="", token="", json="False"):
         """Print the decisions on the job with the ticket SUBJECT, or the one with that id."""
-        target = read_target(entry, token, json)
-        self._plan.ask(target, operations.why, tables.show_decisions, subject)
+        target = parse_operator_flags(entry, token, json)
+        self._plan.ask(target, operations.why, tables.format_decisions, subject)
 
     @_as_text
     def check(self, settings):
@@ -333,7 +351,7 @@
             operations.check(path)
             return EXIT_OK
 
-        path = find_file(settings)
+        path = require_file(settings)
         self._plan.run = run
 
     @_as_text
@@ -363,7 +381,7 @@
     try:
         plan = _understand(argv)
         return EXIT_OK if plan.run is None else plan.run()
-    except UsageFault as fault:
+    except UsageError as fault:
         print(f"{PROGRAM}: {fault}", file=sys.stderr)
         return EXIT_USAGE
     except InvalidInput as error:
@@ -371,7 +389,7 @@
         return EXIT_INVALID
     except DispatchError as error:
         print(f"{PROGRAM}: {error.code}: {error.detail}", file=sys.stderr)
-        return choose_exit_code(error)
+        return exit_code_for_error(error)
     except OSError as error:
         print(f"{PROGRAM}: {error}", file=sys.stderr)
         return EXIT_FAILED
@@ -383,7 +401,7 @@
     # Fire takes arguments after "--" as flags of its own, such as --interactive. Capturing its
     # output also keeps it from starting a pager on a terminal.
     if "--" in argv:
-        raise UsageFault("-- is not understood")
+        raise UsageError("-- is not understood")
     ticket_flag = TICKET_FLAGS.get(argv[0], "") if argv else ""
     arguments = [_normalise(argument, ticket_flag) for argument in argv]
     try:
@@ -391,12 +409,12 @@
             result = fire.Fire(Commands(plan), arguments, PROGRAM)
     except FireExit as fire_exit:
         if fire_exit.code:
-            raise UsageFault(error_output.getvalue().strip()) from None
+            raise UsageError(error_output.getvalue().strip()) from None
         lines = error_output.getvalue().strip().splitlines()
         print("\n".join(line for line in lines if not line.startswith(HELP_NOTICE)).strip())
         return Plan()
     if plan.run is None and argv:
-        raise UsageFault("no command was given\n" + output.getvalue().strip())
+        raise UsageError("no command was given\n" + output.getvalue().strip())
     if result is not None:
         print(output.getvalue().strip())
     return plan
--- a/geraniumspool/client.py
+++ b/geraniumspool/client.py
@@ -29,7 +29,7 @@
 OUTCOME_MAY_HAVE_RUN = "may_have_run"
 NO_ENTRY = "no_entry"
 ANSWER_LOST = "answer_lost"
-PASSING_STATUSES = frozenset({408, 429})
+TRANSIENT_STATUSES = frozenset({408, 429})
 
 DEFAULT_TIMEOUT_MS = 10_000.0
 CONNECT_TIMEOUT_MS = 1_000.0
@@ -177,7 +177,7 @@
         """Whether the failure is transient and leaves the outcome of the job open."""
         if self.outcome in (OUTCOME_NOT_RUN, OUTCOME_MAY_HAVE_RUN):
             return False
-        return self.status >= 500 or self.status in PASSING_STATUSES
+        return self.status >= 500 or self.status in TRANSIENT_STATUSES
 
     def error(self, kind: type[JobError], ticket: str = "", attempts: int = 0) -> JobError:
         reason = str(self.document.get("code", f"http_{self.status}"))
--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -175,10 +175,10 @@
 class MinionClient(Protocol):
     """Client that a runner calls its minion with; see :mod:`geraniumspool.minion`."""
 
-    def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def run(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         """Run one task and return its result as JSON text.
 
-        :param limit_ms: longest time to wait for the response, in milliseconds
+        :param timeout_ms: longest time to wait for the response, in milliseconds
         :raises NotStarted: if the connection was refused, so that the task never started
         :raises TaskFailed: if the minion answered with an error
         :raises TaskUnknown: if no response arrived in time; the task may have run
--- a/geraniumspool/demo.py
+++ b/geraniumspool/demo.py
@@ -52,9 +52,9 @@
 
 DEFAULT_SECONDS = 24.0
 MAX_SECONDS = 24.0
-SENDING_SHARE = 0.85
+SUBMISSION_SHARE = 0.85
 DEADLINE_MS = 5_000.0
-READY_LIMIT_MS = 5_000.0
+READY_TIMEOUT_MS = 5_000.0
 POLL_MS = 50.0
 PROGRESS_MS = 1_000.0
 LOAD_SHARE = 0.35
@@ -66,7 +66,7 @@
 STORE_RETURNS_AT = 0.75
 
 OK = 0
-BROKEN = 1
+FAILED = 1
 
 
 class DemoReport(NamedTuple):
@@ -105,7 +105,7 @@
     elapsed_ms: float
 
     @property
-    def is_sound(self) -> bool:
+    def has_no_violations(self) -> bool:
         """Whether every guarantee to callers held.
 
         Each task starts at most once, no job reported as "not run" ran, and every job gets an
@@ -133,14 +133,14 @@
         wide = self.wide_share * self.wide.mean_work_ms
         return wide + (1 - self.wide_share) * self.single.mean_work_ms
 
-    def draw(self, source: random.Random, team: str) -> JobPlan:
+    def draw(self, rng: random.Random, team: str) -> JobPlan:
         """Return a random job.
 
-        :param source: random number generator
+        :param rng: random number generator
         :param team: team of the job
         """
-        mix = self.wide if source.random() < self.wide_share else self.single
-        return mix.draw(source, team)
+        mix = self.wide if rng.random() < self.wide_share else self.single
+        return mix.draw(rng, team)
 
 
 RUN_TIMES = RunTimes(50, 1_000)
@@ -202,7 +202,7 @@
             self._clock.sleep(POLL_MS)
         return True
 
-    def callers(self) -> list[str]:
+    def caller_addresses(self) -> list[str]:
         """Return the address for callers of each entry."""
         return [entry.ready_line()["callers"] for entry in self.entries]
 
@@ -279,16 +279,16 @@
         try:
             self._system.start()
             self._print_progress("store, 3 entries, 11 agents and 11 minions started")
-            if not self._system.wait_until_ready(READY_LIMIT_MS, lambda: self._is_stopped):
+            if not self._system.wait_until_ready(READY_TIMEOUT_MS, lambda: self._is_stopped):
                 return None
             return self._run_load()
         finally:
             self._system.stop()
 
     def _run_load(self) -> DemoReport:
-        sending_s = self._seconds * SENDING_SHARE
+        sending_s = self._seconds * SUBMISSION_SHARE
         options = LoadOptions(
-            self._system.callers(),
+            self._system.caller_addresses(),
             SERVICE,
             TEAM,
             sending_s,
@@ -344,7 +344,7 @@
             running = self._system.running()
             load = self._load
             self._print_progress(
-                f"{load.sent} jobs sent, {load.done} answered, {running} tasks running"
+                f"{load.submitted} jobs sent, {load.done} answered, {running} tasks running"
             )
 
     def _print_progress(self, text: str) -> None:
@@ -373,9 +373,9 @@
         report = demo.run()
     if report is None:
         print(json.dumps({"error": "the system did not come up"}), flush=True)
-        return BROKEN
+        return FAILED
     print(json.dumps(report._asdict()), flush=True)
-    return OK if report.is_sound else BROKEN
+    return OK if report.has_no_violations else FAILED
 
 
 def count_false_not_run(tickets: list[str], starts: Counter[str]) -> int:
--- a/geraniumspool/entry_client.py
+++ b/geraniumspool/entry_client.py
@@ -12,9 +12,9 @@
 
 CONNECT_TIMEOUT_MS = 3000.0
 READ_TIMEOUT_MS = 20000.0
-READ_METHODS = frozenset({"GET"})
+SAFE_METHODS = frozenset({"GET"})
 MAX_DETAIL_CHARS = 300
-FIRST_FAILURE_STATUS = 300
+MIN_ERROR_STATUS = 300
 
 ENTRY_UNREACHABLE = "entry_unreachable"
 OUTCOME_UNKNOWN = "outcome_unknown"
@@ -70,7 +70,7 @@
         url = "/".join([self._base, "v1", *(quote(part, safe="") for part in path)])
         response = self._send(method, url, body)
         answer = _decode_answer(method, response)
-        if response.status >= FIRST_FAILURE_STATUS:
+        if response.status >= MIN_ERROR_STATUS:
             raise _to_error(response.status, answer)
         return answer
 
@@ -87,13 +87,13 @@
         except urllib3.exceptions.LocationValueError as error:
             raise _unreachable(self._base, str(error)) from None
         except urllib3.exceptions.HTTPError as error:
-            if method in READ_METHODS:
+            if method in SAFE_METHODS:
                 raise _unreachable(self._base, f"it did not answer ({error})") from None
             raise _outcome_unknown(f"{self._base} did not answer; it may have acted") from None
 
 
 def _decode_answer(method: str, response: urllib3.BaseHTTPResponse) -> Any:
-    if not response.data and response.status < FIRST_FAILURE_STATUS:
+    if not response.data and response.status < MIN_ERROR_STATUS:
         return {}
     try:
         answer = msgspec.json.decode(response.data)
@@ -102,8 +102,8 @@
     if isinstance(answer, dict):
         return answer
     text = response.data[:MAX_DETAIL_CHARS].decode(errors="replace")
-    if response.status < FIRST_FAILURE_STATUS:
-        if method not in READ_METHODS:
+    if response.status < MIN_ERROR_STATUS:
+        if method not in SAFE_METHODS:
             raise _outcome_unknown(f"the answer could not be read: {text}")
         raise _make_error(ANSWER_MALFORMED, f"the answer could not be read: {text}")
     return {"detail": f"HTTP status {response.status}: {text}"}
--- a/geraniumspool/exit_codes.py
+++ b/geraniumspool/exit_codes.py
@@ -60,24 +60,24 @@
 }
 
 
-def choose_exit_code(error: DispatchError) -> int:
+def exit_code_for_error(error: DispatchError) -> int:
     """Return the exit code for an error, by its code or else by its HTTP status."""
     if error.code in EXIT_BY_CODE:
         return EXIT_BY_CODE[error.code]
     return EXIT_BY_STATUS.get(error.status, EXIT_FAILED)
 
 
-def judge_job(answer: Any) -> int:
+def exit_code_for_job(answer: Any) -> int:
     """Return the exit code for a job's state or outcome."""
     state = answer.get("outcome") or answer.get("state") or ""
     return EXIT_BY_JOB_STATE.get(state, EXIT_OK)
 
 
-def judge_cancel(answer: Any) -> int:
+def exit_code_for_cancel(answer: Any) -> int:
     """Return the exit code for the response to a cancellation.
 
     A job that was cancelled before any of its tasks ran is a success here.
     """
-    code = judge_job(answer)
+    code = exit_code_for_job(answer)
     cancelled = answer.get("code") in ("job_cancelled", "cancelled")
     return EXIT_OK if cancelled and code == EXIT_FAILED else code
--- a/geraniumspool/load.py
+++ b/geraniumspool/load.py
@@ -53,7 +53,7 @@
 # spent yielding in a loop.
 TIMER_LATENESS_MS = 1.5
 CONNECTIONS_PER_ENTRY = 2_000
-JOBS_IN_FLIGHT = 20_000
+MAX_JOBS_IN_FLIGHT = 20_000
 
 
 class CancelWave(NamedTuple):
@@ -80,8 +80,8 @@
     :param seed: seed of all random numbers
     :param load_share: offered load as a share of the capacity of all slots
     :param slots: number of slots in the whole system
-    :param trip_ms: one-way network delay between client and entries in milliseconds, part of
-        the ideal response time
+    :param one_way_delay_ms: one-way network delay between client and entries in milliseconds, part
+        of the ideal response time
     :param resubmit_share: share of jobs that are submitted a second time while in flight,
         under the same ticket and through another entry
     :param resubmit_lost: whether a job is resubmitted when its response is lost
@@ -99,7 +99,7 @@
     seed: int = 1
     load_share: float = 0.0
     slots: int = DEFAULT_SLOTS
-    trip_ms: float = 0.0
+    one_way_delay_ms: float = 0.0
     resubmit_share: float = 0.0
     resubmit_lost: bool = True
     bursts: tuple[Burst, ...] = ()
@@ -293,7 +293,7 @@
             for team in self._teams
         }
         self._in_flight: dict[str, _Job] = {}
-        self._tally = Tally(options.slots, options.trip_ms)
+        self._tally = Tally(options.slots, options.one_way_delay_ms)
         self._is_stopped = False
 
     @property
@@ -302,7 +302,7 @@
         return self._tally.outcomes.total()
 
     @property
-    def sent(self) -> int:
+    def submitted(self) -> int:
         """Number of jobs submitted so far."""
         return self._tally.jobs
 
@@ -314,7 +314,7 @@
         """Submit all jobs, wait for their outcomes and return the report."""
         for cache in self._ticket_caches.values():
             cache.fill()
-        pool = eventlet.GreenPool(JOBS_IN_FLIGHT)
+        pool = eventlet.GreenPool(MAX_JOBS_IN_FLIGHT)
         start_ms = self._clock.now()
         waves = [eventlet.spawn(self._run_cancel_wave, wave) for wave in self._options.cancel_waves]
         try:
@@ -362,7 +362,7 @@
             del self._in_flight[job.ticket]
         response_ms = reported.at_ms - job.due_ms
         outcome = JobOutcome(job.plan, job.ticket, reported.outcome, reported.code, response_ms)
-        self._tally.note(outcome, job.is_cancelled)
+        self._tally.record(outcome, job.is_cancelled)
         if self._observer:
             self._observer(outcome)
 
--- a/geraniumspool/loadreport.py
+++ b/geraniumspool/loadreport.py
@@ -21,7 +21,7 @@
 RATIO_SCALE = 1_000
 MAX_RATIO = 1_000_000
 MAX_LATENCY_MS = 600_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 
 
 class JobOutcome(NamedTuple):
@@ -112,14 +112,14 @@
     :ivar resubmitted: number of jobs submitted through two entries at once
     """
 
-    def __init__(self, slots: int, trip_ms: float):
+    def __init__(self, slots: int, one_way_delay_ms: float):
         """Create a tally without any jobs.
 
         :param slots: number of slots in the whole system
-        :param trip_ms: one-way network delay between client and entries in milliseconds
+        :param one_way_delay_ms: one-way network delay between client and entries in milliseconds
         """
         self._slots = slots
-        self._trip_ms = trip_ms
+        self._one_way_delay_ms = one_way_delay_ms
         self.jobs = 0
         self.tasks = 0
         self.outcomes: Counter[str] = Counter()
@@ -132,9 +132,9 @@
         self._ratios = _make_ratio_histogram()
         self._narrow = _make_ratio_histogram()
         self._wide = _make_ratio_histogram()
-        self._refused = HdrHistogram(1, MAX_LATENCY_MS, DIGITS)
+        self._refused = HdrHistogram(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
 
-    def note(self, job: JobOutcome, is_cancelled: bool) -> None:
+    def record(self, job: JobOutcome, is_cancelled: bool) -> None:
         """Record the outcome of one job.
 
         :param job: outcome of the job
@@ -189,7 +189,7 @@
     def _record_complete(self, plan: JobPlan, response_ms: float) -> None:
         self._work_ms += plan.work_ms
         self._deadline_missed += response_ms > plan.deadline_ms
-        ideal = ideal_ms(plan, self._slots, self._trip_ms)
+        ideal = ideal_ms(plan, self._slots, self._one_way_delay_ms)
         ratio = max(1, min(MAX_RATIO, round(response_ms / ideal * RATIO_SCALE)))
         self._ratios.record_value(ratio)
         if plan.is_narrow:
@@ -199,7 +199,7 @@
 
 
 def _make_ratio_histogram() -> HdrHistogram:
-    return HdrHistogram(1, MAX_RATIO, DIGITS)
+    return HdrHistogram(1, MAX_RATIO, SIGNIFICANT_DIGITS)
 
 
 def _get_percentile(histogram: HdrHistogram, percentile: float, scale: int = 1) -> float | None:
--- a/geraniumspool/memory_minion.py
+++ b/geraniumspool/memory_minion.py
@@ -174,7 +174,7 @@
         """Return the minion's own clock, which starts at 0 with each incarnation."""
         return self._clock.now() - self._booted_ms
 
-    def inject(self, fault: ScriptedFault) -> None:
+    def inject_fault(self, fault: ScriptedFault) -> None:
         """Inject a fault into the next call of its kind."""
         self._scripted.append(fault)
 
--- a/geraniumspool/minion.py
+++ b/geraniumspool/minion.py
@@ -21,9 +21,9 @@
 from geraniumspool.errors import NotStarted, TaskFailed, TaskUnknown
 
 DEFAULT_CONNECTIONS = 64
-STOP_LIMIT_MS = 2000.0
-ENDPOINTS_KEPT = 64
-DETAIL_BYTES = 300
+STOP_TIMEOUT_MS = 2000.0
+MAX_ENDPOINTS = 64
+MAX_DETAIL_BYTES = 300
 DEFAULT_RUN_MS = 100.0
 
 REQUESTS_METRIC = "minion_requests"
@@ -86,19 +86,19 @@
         self._clock = clock or SystemClock()
         self._endpoints: dict[str, Endpoint] = {}
 
-    def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def run(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         """Run one task and return its result as JSON text.
 
         :param minion: minion that is to run the task
         :param task_id: id of the task, sent in the header ``Task-Id``
         :param payload: JSON text to send as the request body
-        :param limit_ms: timeout of the response in milliseconds
+        :param timeout_ms: timeout of the response in milliseconds
         :raises NotStarted: if the connection was refused, so the task did not start
         :raises TaskFailed: if the minion answered with an error or without JSON
         :raises TaskUnknown: if no complete response came in time; the task may have run
         """
         try:
-            result = self._post(minion, task_id, payload, limit_ms)
+            result = self._post(minion, task_id, payload, timeout_ms)
         except (NotStarted, TaskFailed, TaskUnknown) as error:
             self._counters.add(REQUESTS_METRIC, outcome=error.code)
             raise
@@ -114,7 +114,7 @@
         """
         try:
             path = f"/tasks/{quote(task_id, safe='')}"
-            response = self._get_endpoint(minion).request("DELETE", path, STOP_LIMIT_MS)
+            response = self._get_endpoint(minion).request("DELETE", path, STOP_TIMEOUT_MS)
             stopped = response.status in (200, 204)
         except (HTTPError, OSError, ValueError):
             stopped = False
@@ -127,11 +127,11 @@
             endpoint.close()
         self._endpoints.clear()
 
-    def _post(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def _post(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         headers = {"Content-Type": "application/json", "Task-Id": task_id}
         try:
             endpoint = self._get_endpoint(minion)
-            response = endpoint.request("POST", "/tasks", limit_ms, body=payload, headers=headers)
+            response = endpoint.request("POST", "/tasks", timeout_ms, body=payload, headers=headers)
         except NewConnectionError as error:
             if isinstance(error.__cause__, ConnectionRefusedError):
                 raise NotStarted(str(error)) from error
@@ -149,7 +149,7 @@
             return existing
         if existing:
             existing.close()
-        elif len(self._endpoints) >= ENDPOINTS_KEPT:
+        elif len(self._endpoints) >= MAX_ENDPOINTS:
             self._close_idle_endpoints()
         endpoint = Endpoint(minion.url, limit, self._clock)
         self._endpoints[minion.url] = endpoint
@@ -164,7 +164,7 @@
 def _decode_result(response: urllib3.BaseHTTPResponse) -> bytes:
     body = response.data
     if response.status != 200:
-        text = body[:DETAIL_BYTES].decode(errors="replace")
+        text = body[:MAX_DETAIL_BYTES].decode(errors="replace")
         raise TaskFailed(f"status {response.status}: {text}")
     try:
         msgspec.json.decode(body)
@@ -227,7 +227,7 @@
         """Number of tasks that are running."""
         return len(self._runs)
 
-    def script(self, fault: Fault, task_id: str | None = None) -> None:
+    def inject_fault(self, fault: Fault, task_id: str | None = None) -> None:
         """Set the fault of one task, or the default for tasks without a fault of their own.
 
         :param fault: fault to inject from the next start on
@@ -238,7 +238,7 @@
         else:
             self._faults[task_id] = fault
 
-    def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def run(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         """Run one task; parameters and errors as for :meth:`HttpMinionClient.run`."""
         fault = self._faults.get(task_id, self._default_fault)
         if fault.kind is FaultKind.REFUSE:
@@ -248,8 +248,8 @@
         if fault.kind is not FaultKind.SILENT:
             run_ms = document.get("run_ms", self._default_run_ms) * fault.slow_factor
             self._clock.after(run_ms, lambda: self._end(run, fault.kind is FaultKind.FAIL))
-        if not self._clock.wait(run.done, limit_ms):
-            raise TaskUnknown(f"no answer within {limit_ms:.0f} ms")
+        if not self._clock.wait(run.done, timeout_ms):
+            raise TaskUnknown(f"no answer within {timeout_ms:.0f} ms")
         error = run.done.wait()
         if error:
             raise TaskFailed(error)
--- a/geraniumspool/standin_minion.py
+++ b/geraniumspool/standin_minion.py
@@ -23,10 +23,10 @@
 from geraniumspool.minion import DEFAULT_RUN_MS, TaskResult, parse_payload
 
 ANNOUNCE_PERIOD_MS = 2000.0
-AGENT_LIMIT_MS = 2000.0
+AGENT_TIMEOUT_MS = 2000.0
 AGENT_PATH = "/v1/minion"
 LISTEN_BACKLOG = 1024
-POOL_SIZE = 10_000
+MAX_CONNECTIONS = 10_000
 
 JSON_HEADERS = [("Content-Type", "application/json")]
 
@@ -131,7 +131,7 @@
         self._announce_period_ms = announce_period_ms
         self._runs: dict[str, list[Event]] = {}
         self._thaw_event: Event | None = None
-        self._pool = eventlet.GreenPool(POOL_SIZE)
+        self._pool = eventlet.GreenPool(MAX_CONNECTIONS)
         self._listener = None
         self._server: GreenThread | None = None
         self._announcer: _Announcer | None = None
@@ -195,7 +195,7 @@
             return False
         return self._announcer.leave()
 
-    def apply(self, faults: Faults) -> None:
+    def set_faults(self, faults: Faults) -> None:
         """Replace the injected faults.
 
         :param faults: faults to inject from now on
@@ -314,7 +314,7 @@
             faults = Faults(**msgspec.convert(document, FaultsDocument))
         except msgspec.MsgspecError as error:
             return _respond_error(start_response, "400 Bad Request", str(error))
-        self.apply(faults)
+        self.set_faults(faults)
         return _respond(start_response, "200 OK", faults._asdict())
 
     def _wait_while_frozen(self) -> None:
@@ -343,7 +343,7 @@
         self._period_ms = period_ms
         self._clock = clock
         self._http = urllib3.PoolManager(
-            retries=False, timeout=urllib3.Timeout(total=AGENT_LIMIT_MS / MS_PER_SECOND)
+            retries=False, timeout=urllib3.Timeout(total=AGENT_TIMEOUT_MS / MS_PER_SECOND)
         )
         # Held while a request is in flight, so that a delayed announcement cannot reach the agent
         # after the deregistration and register the minion again.
--- a/geraniumspool/standins.py
+++ b/geraniumspool/standins.py
@@ -5,7 +5,7 @@
 from geraniumspool.standin_minion import StandinMinion
 from geraniumspool.standin_store import StandinStore
 
-DRAIN_LIMIT_MS = 30_000.0
+DRAIN_TIMEOUT_MS = 30_000.0
 DRAIN_POLL_MS = 100.0
 
 
@@ -84,7 +84,7 @@
         :returns: whether no task is running any more
         """
         self._minion.leave()
-        deadline_ms = self._clock.now() + DRAIN_LIMIT_MS
+        deadline_ms = self._clock.now() + DRAIN_TIMEOUT_MS
         while self._minion.running and self._clock.now() < deadline_ms:
             self._clock.sleep(DRAIN_POLL_MS)
         return not self._minion.running
--- a/geraniumspool/tables.py
+++ b/geraniumspool/tables.py
@@ -41,13 +41,13 @@
     return moment.isoformat(sep=" ", timespec="milliseconds").replace("+00:00", "Z")
 
 
-def show_pairs(answer: Any) -> str:
+def format_pairs(answer: Any) -> str:
     """Return the members of an object as ``name value`` lines, or "done" if there are none."""
     rows = [(name, _format_cell(value)) for name, value in answer.items()]
     return tabulate(rows, tablefmt="plain", disable_numparse=True) or "done"
 
 
-def show_status(answer: Status) -> str:
+def format_status(answer: Status) -> str:
     """Return the state of an entry, a table of the failure domains, and the counters if any."""
     entry, store = answer["entry"], answer["store"]
     head = {
@@ -58,42 +58,42 @@
         "config revision": answer["config_revision"],
     }
     columns = list(DomainStatus.__annotations__)
-    parts = [show_pairs(head), _format_table(answer["domains"], columns)]
+    parts = [format_pairs(head), _format_table(answer["domains"], columns)]
     if answer.get("counters"):
-        parts.append(show_pairs(answer["counters"]))
+        parts.append(format_pairs(answer["counters"]))
     return "\n\n".join(parts)
 
 
-def show_roster(answer: Roster) -> str:
+def format_roster(answer: Roster) -> str:
     """Return a table of the processes in the membership list."""
     return _format_table(answer["members"], list(MemberStatus.__annotations__))
 
 
-def show_documents(answer: ConfigDocuments) -> str:
+def format_documents(answer: ConfigDocuments) -> str:
     """Return a table of configuration documents."""
     return _format_table(answer["documents"], list(ConfigDocument.__annotations__))
 
 
-def show_document(answer: ConfigDocument) -> str:
+def format_document(answer: ConfigDocument) -> str:
     """Return a heading with the key and revision of a document, then its body."""
     body = answer["body"]
     text = body if isinstance(body, str) else json.dumps(body, indent=2)
     return f"# {answer['key']} revision {answer['revision']}\n{text}"
 
 
-def show_history(answer: ConfigHistory) -> str:
+def format_history(answer: ConfigHistory) -> str:
     """Return a table of the changes to a document."""
     rows = [{**change, "at": _format_time(change["at_ms"])} for change in answer["changes"]]
     return _format_table(rows, ["revision", "at", "who", "why", "change_id", "before", "after"])
 
 
-def show_config_status(answer: ConfigStatus) -> str:
+def format_config_status(answer: ConfigStatus) -> str:
     """Return the newest configuration revision and a table of those in effect per domain."""
     columns = list(DomainRevision.__annotations__)
     return f"newest {answer['newest']}\n\n{_format_table(answer['domains'], columns)}"
 
 
-def show_decisions(answer: Decisions) -> str:
+def format_decisions(answer: Decisions) -> str:
     """Return each decision as a line, followed by the explanation of its code."""
     lines = []
     for decision in answer["decisions"]:
--- a/geraniumspool/workload.py
+++ b/geraniumspool/workload.py
@@ -72,10 +72,10 @@
     def mean_work_ms(self) -> float:
         """Mean work of a job, the sum of its tasks' run times, in milliseconds."""
 
-    def draw(self, source: random.Random, team: str) -> JobPlan:
+    def draw(self, rng: random.Random, team: str) -> JobPlan:
         """Return a random job.
 
-        :param source: random number generator
+        :param rng: random number generator
         """
 
 
@@ -85,13 +85,13 @@
     The probability of the width ``w`` is proportional to ``w ** -exponent``: exponent 0
     gives a uniform distribution, 1 a log-uniform one.
 
-    :param least: smallest width
-    :param most: largest width
+    :param min_width: smallest width
+    :param max_width: largest width
     :param exponent: exponent of the power law
     """
 
-    least: int
-    most: int
+    min_width: int
+    max_width: int
     exponent: float = 0.0
 
     @property
@@ -101,76 +101,74 @@
         total = sum(width * weight for width, weight in zip(self._range(), weights, strict=True))
         return total / sum(weights)
 
-    def draw(self, source: random.Random) -> int:
+    def draw(self, rng: random.Random) -> int:
         """Return a random width.
 
-        :param source: random number generator
+        :param rng: random number generator
         """
-        return source.choices(self._range(), cum_weights=_cumulative_weights(self))[0]
+        return rng.choices(self._range(), cum_weights=_cumulative_weights(self))[0]
 
     def _range(self) -> range:
-        return range(self.least, self.most + 1)
+        return range(self.min_width, self.max_width + 1)
 
 
 class RunTimes(NamedTuple):
     """Distribution of run times: log-uniform, with a uniform tail; all times in milliseconds.
 
-    :param least_ms: shortest run time outside the tail
-    :param most_ms: longest run time outside the tail
+    :param min_ms: shortest run time outside the tail
+    :param max_ms: longest run time outside the tail
     :param tail_share: share of tasks in the tail
-    :param tail_least_ms: shortest run time in the tail
-    :param tail_most_ms: longest run time in the tail
+    :param tail_min_ms: shortest run time in the tail
+    :param tail_max_ms: longest run time in the tail
     """
 
-    least_ms: float
-    most_ms: float
+    min_ms: float
+    max_ms: float
     tail_share: float = 0.0
-    tail_least_ms: float = 0.0
-    tail_most_ms: float = 0.0
+    tail_min_ms: float = 0.0
+    tail_max_ms: float = 0.0
 
     @property
     def mean_ms(self) -> float:
         """Mean run time in milliseconds."""
-        log_uniform_mean = self.least_ms
-        if self.most_ms > self.least_ms:
-            log_uniform_mean = (self.most_ms - self.least_ms) / math.log(
-                self.most_ms / self.least_ms
-            )
-        tail_mean = (self.tail_least_ms + self.tail_most_ms) / 2
+        log_uniform_mean = self.min_ms
+        if self.max_ms > self.min_ms:
+            log_uniform_mean = (self.max_ms - self.min_ms) / math.log(self.max_ms / self.min_ms)
+        tail_mean = (self.tail_min_ms + self.tail_max_ms) / 2
         return (1 - self.tail_share) * log_uniform_mean + self.tail_share * tail_mean
 
-    def draw(self, source: random.Random) -> float:
+    def draw(self, rng: random.Random) -> float:
         """Return a random run time in milliseconds.
 
-        :param source: random number generator
+        :param rng: random number generator
         """
-        if source.random() < self.tail_share:
-            return source.uniform(self.tail_least_ms, self.tail_most_ms)
-        return _draw_log_uniform(source, self.least_ms, self.most_ms)
+        if rng.random() < self.tail_share:
+            return rng.uniform(self.tail_min_ms, self.tail_max_ms)
+        return _draw_log_uniform(rng, self.min_ms, self.max_ms)
 
 
-class Spread(NamedTuple):
+class CappedLogNormal(NamedTuple):
     """Log-normal distribution whose values are capped.
 
     :param mean: mean of the distribution without the cap
     :param sigma: standard deviation of the logarithm
-    :param most: cap; larger values are replaced by it
+    :param cap: largest value; larger ones are replaced by it
     """
 
     mean: float
     sigma: float
-    most: float
+    cap: float
 
-    def draw(self, source: random.Random) -> float:
+    def draw(self, rng: random.Random) -> float:
         """Return a random value.
 
-        :param source: random number generator
+        :param rng: random number generator
         """
         mu = math.log(self.mean) - self.sigma**2 / 2
-        return min(self.most, source.lognormvariate(mu, self.sigma))
+        return min(self.cap, rng.lognormvariate(mu, self.sigma))
 
 
-class SizedJob(NamedTuple):
+class QueueJob(NamedTuple):
     """A job of equal tasks that each reserve a share of a CPU core.
 
     :param queue: queue to which the job belongs
@@ -201,29 +199,31 @@
     :param widths: distribution of the number of tasks of a job
     :param run_ms: distribution of the run time in milliseconds, equal for all tasks of a job
     :param cpu: distribution of the CPU that a task reserves, in thousandths of a core
-    :param declared_off: sigma of the log-normal factor between the actual and the declared run
-        time
+    :param declared_error_sigma: sigma of the log-normal factor between the actual and the declared
+        run time
     """
 
     queue: str
     priority: int
     share: float
-    widths: Spread
-    run_ms: Spread
-    cpu: Spread
-    declared_off: float
+    widths: CappedLogNormal
+    run_ms: CappedLogNormal
+    cpu: CappedLogNormal
+    declared_error_sigma: float
 
-    def draw(self, source: random.Random) -> SizedJob:
+    def draw(self, rng: random.Random) -> QueueJob:
         """Return a random job.
 
-        :param source: random number generator
+        :param rng: random number generator
         """
-        run_ms = round(self.run_ms.draw(source), 1)
-        declared_factor = Spread(1.0, self.declared_off, MAX_DECLARED_FACTOR).draw(source)
-        return SizedJob(
+        run_ms = round(self.run_ms.draw(rng), 1)
+        declared_factor = CappedLogNormal(1.0, self.declared_error_sigma, MAX_DECLARED_FACTOR).draw(
+            rng
+        )
+        return QueueJob(
             self.queue,
-            max(1, round(self.widths.draw(source))),
-            round(self.cpu.draw(source)),
+            max(1, round(self.widths.draw(rng))),
+            round(self.cpu.draw(rng)),
             run_ms,
             round(run_ms * declared_factor, 1),
         )
@@ -250,22 +250,22 @@
         """Mean work of a job, the sum of its tasks' run times, in milliseconds."""
         return self.widths.mean * self.run_times.mean_ms
 
-    def draw(self, source: random.Random, team: str) -> JobPlan:
+    def draw(self, rng: random.Random, team: str) -> JobPlan:
         """Return a random job.
 
-        :param source: random number generator
+        :param rng: random number generator
         """
-        width = self.widths.draw(source)
-        tasks = tuple(self._draw_task(source) for _ in range(width))
+        width = self.widths.draw(rng)
+        tasks = tuple(self._draw_task(rng) for _ in range(width))
         return JobPlan(tasks, team, self.deadline_ms)
 
-    def _draw_task(self, source: random.Random) -> TaskPlan:
-        run_ms = round(self.run_times.draw(source), 1)
+    def _draw_task(self, rng: random.Random) -> TaskPlan:
+        run_ms = round(self.run_times.draw(rng), 1)
         if self.declared == DECLARED_NONE:
             return TaskPlan(run_ms)
         if self.declared == DECLARED_EXACT:
             return TaskPlan(run_ms, run_ms)
-        factor = _draw_log_uniform(source, 1 / MAX_DECLARED_FACTOR, MAX_DECLARED_FACTOR)
+        factor = _draw_log_uniform(rng, 1 / MAX_DECLARED_FACTOR, MAX_DECLARED_FACTOR)
         return TaskPlan(run_ms, round(run_ms * factor, 1))
 
 
@@ -297,17 +297,17 @@
     factor: float = BURST_FACTOR
 
 
-def ideal_ms(plan: JobPlan, slots: int, trip_ms: float = 0.0) -> float:
+def ideal_ms(plan: JobPlan, slots: int, one_way_delay_ms: float = 0.0) -> float:
     """Return the ideal response time of a job, in milliseconds.
 
     It is a lower bound, as if the job had all slots to itself: the longest run time or the
     work divided by the slots, whichever is longer, plus the network delay both ways.
 
     :param slots: number of slots in the whole system
-    :param trip_ms: one-way network delay between client and system, in milliseconds
+    :param one_way_delay_ms: one-way network delay between client and system, in milliseconds
     """
     longest = max(task.run_ms for task in plan.tasks)
-    return max(longest, plan.work_ms / slots) + 2 * trip_ms
+    return max(longest, plan.work_ms / slots) + 2 * one_way_delay_ms
 
 
 def rate_for_share(mix: Mix, share: float, slots: int) -> float:
@@ -321,13 +321,13 @@
 
 
 def draw_arrivals(
-    rate: float, length_ms: float, source: random.Random, bursts: tuple[Burst, ...] = ()
+    rate: float, length_ms: float, rng: random.Random, bursts: tuple[Burst, ...] = ()
 ) -> Iterator[float]:
     """Yield the arrival times of a Poisson process, in milliseconds and in ascending order.
 
     :param rate: arrivals per second outside bursts
     :param length_ms: end of the arrivals, in milliseconds
-    :param source: random number generator
+    :param rng: random number generator
     :param bursts: periods with a higher rate; the factors of overlapping ones are multiplied
     """
     edges = {0.0, length_ms}
@@ -338,10 +338,10 @@
     # can be generated on its own.
     for begin, end in itertools.pairwise(sorted(edges)):
         span_rate = rate * _rate_factor_at(begin, bursts)
-        at_ms = begin + source.expovariate(span_rate) * MS_PER_SECOND
+        at_ms = begin + rng.expovariate(span_rate) * MS_PER_SECOND
         while at_ms < end:
             yield at_ms
-            at_ms += source.expovariate(span_rate) * MS_PER_SECOND
+            at_ms += rng.expovariate(span_rate) * MS_PER_SECOND
 
 
 def _rate_factor_at(at_ms: float, bursts: tuple[Burst, ...]) -> float:
@@ -351,9 +351,9 @@
 
 @functools.cache
 def _cumulative_weights(widths: Widths) -> list[float]:
-    weights = (width**-widths.exponent for width in range(widths.least, widths.most + 1))
+    weights = (width**-widths.exponent for width in range(widths.min_width, widths.max_width + 1))
     return list(itertools.accumulate(weights))
 
 
-def _draw_log_uniform(source: random.Random, least: float, most: float) -> float:
-    return least * (most / least) ** source.random()
+def _draw_log_uniform(rng: random.Random, least: float, most: float) -> float:
+    return least * (most / least) ** rng.random()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -168,7 +168,7 @@
             "--connections=64",
         )
 
-    def callers(self) -> list[str]:
+    def caller_addresses(self) -> list[str]:
         """Return the addresses of all entries' interfaces for callers."""
         return [entry.ready["callers"] for entry in self.entries]
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -223,12 +223,12 @@
 
     def test_failed_task(self):
         """An error of a minion fails the job with the outcome "may have run"."""
-        self.system.minions[0].apply(self.system.minions[0].faults._replace(fail_all=True))
-        self.system.minions[1].apply(self.system.minions[1].faults._replace(fail_all=True))
+        self.system.minions[0].set_faults(self.system.minions[0].faults._replace(fail_all=True))
+        self.system.minions[1].set_faults(self.system.minions[1].faults._replace(fail_all=True))
         ticket = self.system.ticket()
         answered = self.system.submit(ticket, [TASK])
         for minion in self.system.minions:
-            minion.apply(minion.faults._replace(fail_all=False))
+            minion.set_faults(minion.faults._replace(fail_all=False))
         self.assert_problem(answered, 502, "task_failed", "may_have_run")
         self.assert_problem(self.system.submit(ticket, [TASK]), 502, "task_failed", "may_have_run")
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -8,7 +8,7 @@
 import unittest
 from collections import Counter
 
-from geraniumspool.demo import BROKEN, OK, DemoReport, count_false_not_run, run_demo
+from geraniumspool.demo import FAILED, OK, DemoReport, count_false_not_run, run_demo
 from geraniumspool.messages import Peer
 from geraniumspool.standin_minion import StandinMinion
 from geraniumspool.ticket import Keyring, decode_unverified
@@ -74,7 +74,7 @@
 
     def test_violations_are_reported(self):
         code, report = self.run_demo(1, make_minion=FaultyMinion)
-        self.assertEqual(code, BROKEN)
+        self.assertEqual(code, FAILED)
         self.assertEqual(report["tasks_started_more_than_once"] * 2, report["starts"])
         self.assertGreater(report["complete"], 0)
         self.assertGreaterEqual(report["wrong_answers"], report["complete"])
@@ -90,7 +90,7 @@
         for field in DemoReport._fields:
             with self.subTest(field):
                 report = sound._replace(**{field: 1})
-                self.assertEqual(report.is_sound, field not in violations)
+                self.assertEqual(report.has_no_violations, field not in violations)
 
     def test_interrupt_ends_the_run_cleanly(self):
         before = signal.getsignal(signal.SIGINT)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -390,7 +390,7 @@
         for number, fault in enumerate(CallFault):
             with self.subTest(fault=fault):
                 for worker in self.world.workers:
-                    worker.minion.inject(ScriptedFault("start", fault))
+                    worker.minion.inject_fault(ScriptedFault("start", fault))
                 job = f"j{number}"
                 caller = self.dispatcher.submit(make_spec(job, run_ms=300), timeout_ms=8_000.0)
                 self.advance(2_500)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -208,7 +208,7 @@
         for number, fault in enumerate(CallFault, 1):
             with self.subTest(fault=fault):
                 task = f"j{number}.0.0.0"
-                self.minion.inject(ScriptedFault("start", fault))
+                self.minion.inject_fault(ScriptedFault("start", fault))
                 self.start(make_order(number, task, run_ms=400))
                 self.advance_renewing(500, number)
                 expected = RUN_DONE if fault is CallFault.LOST_AFTER else RUN_REFUSED
@@ -220,8 +220,8 @@
                 self.assertTrue(self.executor.is_idle)
 
     def test_late_executed_start_is_over_before_its_end_is_reported(self):
-        self.minion.inject(ScriptedFault("start", CallFault.LATE, late_ms=150.0))
-        self.minion.inject(ScriptedFault("look", CallFault.LOST_BEFORE))
+        self.minion.inject_fault(ScriptedFault("start", CallFault.LATE, late_ms=150.0))
+        self.minion.inject_fault(ScriptedFault("look", CallFault.LOST_BEFORE))
         self.start(make_order(1, run_ms=400))
         for _ in range(60):
             self.renew(1)
@@ -231,8 +231,8 @@
 
     def test_stop_is_repeated_until_it_is_answered(self):
         self.start(make_order(1, run_ms=2_000))
-        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
-        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.minion.inject_fault(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.minion.inject_fault(ScriptedFault("stop", CallFault.LOST_BEFORE))
         self.executor.handle_stop(DISPATCHER, StopRuns((1,)))
         self.advance_renewing(500, 1)
         self.assertEqual(RUN_STOPPED, self.outcome(1))
@@ -271,8 +271,8 @@
 
     def test_lost_polls_end_no_run(self):
         self.start(make_order(1, run_ms=600))
-        self.minion.inject(ScriptedFault("look", CallFault.LOST_BEFORE))
-        self.minion.inject(ScriptedFault("look", CallFault.LOST_AFTER))
+        self.minion.inject_fault(ScriptedFault("look", CallFault.LOST_BEFORE))
+        self.minion.inject_fault(ScriptedFault("look", CallFault.LOST_AFTER))
         self.advance_renewing(900, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
 
@@ -295,8 +295,8 @@
     def test_lost_stop_ends_no_other_run(self):
         self.start(make_order(1, "j.0.0.0", run_ms=5_000))
         self.start(make_order(1, "k.0.0.0", run_ms=5_000), dispatcher=OTHER_DISPATCHER)
-        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
-        self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.minion.inject_fault(ScriptedFault("stop", CallFault.LOST_BEFORE))
+        self.minion.inject_fault(ScriptedFault("stop", CallFault.LOST_BEFORE))
         self.advance_renewing(2_000, 1, dispatcher=OTHER_DISPATCHER)
         self.assertEqual({"k.0.0.0"}, self.minion.running)
 
@@ -426,7 +426,7 @@
     def test_new_executor_accepts_nothing_while_orphaned_runs_continue(self):
         self.minion.start(self.minion.incarnation, RunKey("old.0.0.0", 1), "8000:900", 1e9, 5)
         for _ in range(3):
-            self.minion.inject(ScriptedFault("stop", CallFault.LOST_BEFORE))
+            self.minion.inject_fault(ScriptedFault("stop", CallFault.LOST_BEFORE))
         self.executor = self.make_executor(fence=9)
         for _ in range(20):
             self.assertFalse(self.minion.running and self.executor.state().accepts)
@@ -567,6 +567,6 @@
     def test_one_refused_connection_ends_no_run(self):
         self.start(make_order(1, run_ms=400))
         self.advance_renewing(100, 1)
-        self.minion.inject(ScriptedFault("look", CallFault.REFUSED))
+        self.minion.inject_fault(ScriptedFault("look", CallFault.REFUSED))
         self.advance_renewing(400, 1)
         self.assertEqual(RUN_DONE, self.outcome(1))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -41,7 +41,7 @@
 
     def test_job_returns_all_results_in_order(self):
         """A job of many tasks returns all results in task order, with one start per task."""
-        client = Client(self.system.callers(), SERVICE, TEAM)
+        client = Client(self.system.caller_addresses(), SERVICE, TEAM)
         tasks = [TaskRequest({"run_ms": 30, "value": number}) for number in range(40)]
         result = client.run(tasks, deadline_ms=15000)
         self.assertEqual([row["value"] for row in result.results], list(range(40)))
@@ -90,7 +90,7 @@
 
     def keep_calling(self, outcomes, stopping):
         """Run jobs one after the other, with failover, until ``stopping`` is not empty."""
-        client = Client(self.system.callers(), SERVICE, TEAM)
+        client = Client(self.system.caller_addresses(), SERVICE, TEAM)
         while not stopping:
             try:
                 client.run([TaskRequest({"run_ms": 60, "value": 1})] * 6, deadline_ms=15000)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -80,7 +80,7 @@
                 world = World(domains=1, agents=agents, slots=8)
                 self.addCleanup(world.stop)
                 for process in world.agents[:bad]:
-                    process.minion.inner.script(fault)
+                    process.minion.inner.inject_fault(fault)
                 for _ in range(8):
                     for process in world.agents:
                         world.submit(world.entries[0], world.job(process, (100.0,) * 4))
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -47,11 +47,11 @@
 
     def test_ratios(self):
         """The ideal is the longest task, or the work divided by all slots, plus a round trip."""
-        tally = Tally(trip_ms=1.0)
+        tally = Tally(one_way_delay_ms=1.0)
         narrow = JobPlan((TaskPlan(98.0), TaskPlan(10.0)), "t", deadline_ms=250.0)
         wide = JobPlan((TaskPlan(88.0),) * 198, "t", deadline_ms=5_000.0)
         for plan, response_ms in ((narrow, 100.0), (narrow, 300.0), (wide, 800.0)):
-            tally.note(JobOutcome(plan, "x", OUTCOME_COMPLETE, "", response_ms))
+            tally.record(JobOutcome(plan, "x", OUTCOME_COMPLETE, "", response_ms))
         self.assertAlmostEqual(tally.narrow_ratio(50), 1.0, 2)
         self.assertAlmostEqual(tally.narrow_ratio(99), 3.0, 2)
         self.assertAlmostEqual(tally.wide_ratio(50), 4.0, 2)
@@ -64,10 +64,10 @@
         """
         tally = Tally(0.0)
         plan = JobPlan((TaskPlan(50.0),), "t")
-        tally.note(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_refused_deadline", 4.0))
-        tally.note(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_cancelled", 900.0))
-        tally.note(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_expired", 900.0))
-        tally.note(JobOutcome(plan, "x", OUTCOME_MAY_HAVE_RUN, "home_gone", 900.0))
+        tally.record(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_refused_deadline", 4.0))
+        tally.record(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_cancelled", 900.0))
+        tally.record(JobOutcome(plan, "x", OUTCOME_NOT_RUN, "job_expired", 900.0))
+        tally.record(JobOutcome(plan, "x", OUTCOME_MAY_HAVE_RUN, "home_gone", 900.0))
         self.assertAlmostEqual(tally.refused_ms(99), 4.0, 1)
         self.assertIsNone(tally.ratio(50))
         self.assertEqual(tally.late, 2)
--- a/tests/test_minion.py
+++ b/tests/test_minion.py
@@ -79,7 +79,7 @@
         pass
 
     def switch(self, fault):
-        self.client.script(fault)
+        self.client.inject_fault(fault)
 
     def starts(self, task_id):
         return self.client.starts[task_id]
@@ -151,7 +151,7 @@
         self.standin.stop()
 
     def switch(self, fault):
-        self.standin.apply(fault)
+        self.standin.set_faults(fault)
 
     def starts(self, task_id):
         return self.standin.starts[task_id]
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -263,7 +263,7 @@
     def play(self, role, fault, expected):
         world = World(agents=2)
         try:
-            world.agents[role].minion.inner.script(fault)
+            world.agents[role].minion.inner.inject_fault(fault)
             calls = []
             for _ in range(6):
                 job = world.job(world.agents[0], WIDE_RUNS_MS)
--- a/tests/test_restarted_minion.py
+++ b/tests/test_restarted_minion.py
@@ -68,7 +68,7 @@
         self.assertEqual((RUN_LAPSED, RUN_DONE), (self.outcome(1), self.outcome(2)))
 
     def test_delayed_start_for_previous_incarnation_is_not_executed(self):
-        self.minion.inject(ScriptedFault("start", CallFault.LATE, late_ms=1_000.0))
+        self.minion.inject_fault(ScriptedFault("start", CallFault.LATE, late_ms=1_000.0))
         self.start(make_order(1, run_ms=900))
         self.minion.restart()
         self.advance_renewing(700, 1)
@@ -121,7 +121,7 @@
         # The minion restarts and is mute: it executes calls without answering, so the executor does
         # not learn of the new incarnation. A start given up earlier must not be executed there
         # seconds later.
-        self.minion.inject(ScriptedFault("start", CallFault.LATE, late_ms=2_500.0))
+        self.minion.inject_fault(ScriptedFault("start", CallFault.LATE, late_ms=2_500.0))
         self.start(make_order(1, run_ms=900))
         self.minion.loses_answers = True
         self.minion.restart()
--- a/tests/test_run_certainty.py
+++ b/tests/test_run_certainty.py
@@ -152,7 +152,7 @@
         self.assertEqual(RUN_DONE, self.outcome(1))
 
     def test_stopped_run_whose_end_is_not_listed_yet_is_not_refused(self):
-        self.minion.inject(ScriptedFault("start", CallFault.LOST_AFTER))
+        self.minion.inject_fault(ScriptedFault("start", CallFault.LOST_AFTER))
         self.minion.ignored_calls = {"look"}
         self.start(make_order(1, "j.0.0.1", run_ms=200))
         self.end_more_runs_than_listed()
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -173,8 +173,8 @@
 
     def test_connection_refused(self):
         """Only a refused connection proves that the task has not started."""
-        self.client.script(Fault(FaultKind.REFUSE), "1.1")
-        self.client.script(Fault(FaultKind.SILENT), "1.2")
+        self.client.inject_fault(Fault(FaultKind.REFUSE), "1.1")
+        self.client.inject_fault(Fault(FaultKind.SILENT), "1.2")
         self.offer(make_task(1), make_task(2))
         self.assertEqual(self.refusals(), {1: "minion_refused_connection"})
         self.clock.advance(9_500.0)
@@ -280,7 +280,7 @@
             with self.subTest(case=name):
                 self.setUp()
                 self.make(MINION._replace(slots=8), **health)
-                self.client.script(fault)
+                self.client.inject_fault(fault)
                 self.assertEqual(self.offer_tasks(20), 8)
                 self.clock.advance(950.0)
                 queued = range(9, 21)
@@ -289,7 +289,7 @@
 
     def test_one_hanging_task(self):
         """A single hanging task does not eject the minion while others end in time."""
-        self.client.script(Fault(FaultKind.SILENT), "1.1")
+        self.client.inject_fault(Fault(FaultKind.SILENT), "1.1")
         for _ in range(40):
             self.assertGreater(self.offer_tasks(2), 0)
             self.clock.advance(200.0)
@@ -297,7 +297,7 @@
 
     def test_stopped_tasks_are_not_late(self):
         """Tasks that the dispatcher stopped in time do not raise the lateness."""
-        self.client.script(Fault(slow_factor=10.0))
+        self.client.inject_fault(Fault(slow_factor=10.0))
         for number in range(1, 41):
             self.offer_tasks(1)
             self.clock.advance(140.0)
@@ -307,7 +307,7 @@
 
     def test_queue_is_returned_after_failures(self):
         """Queued tasks are also refused if the minion is ejected for failures."""
-        self.client.script(Fault(FaultKind.FAIL))
+        self.client.inject_fault(Fault(FaultKind.FAIL))
         self.offer_tasks(20)
         self.clock.advance(110.0)
         self.assertEqual(self.refusals(), dict.fromkeys(range(13, 21), runners.REFUSED_EJECTED))
@@ -332,13 +332,13 @@
 
     def test_probes(self):
         """A late probe counts as failed; a minion that recovers is restored."""
-        self.client.script(Fault(slow_factor=10.0))
+        self.client.inject_fault(Fault(slow_factor=10.0))
         self.offer_tasks(8)
         self.clock.advance(3_000.0)
         self.assertEqual((self.offer_tasks(2), self.health.is_ejected), (1, True))
         self.clock.advance(1_500.0)
         self.assertEqual(self.offer_tasks(1), 0)
-        self.client.script(Fault())
+        self.client.inject_fault(Fault())
         self.clock.advance(2_000.0)
         for _ in range(PROBES_TO_RESTORE):
             self.assertTrue(self.health.is_ejected)
--- a/tests/test_workload.py
+++ b/tests/test_workload.py
@@ -82,10 +82,10 @@
             ([50, 400], 88, 3, 406),
             ([100] * 340, 88, 1, 34_000 / 88 + 2),
         ]
-        for times, slots, trip_ms, expected in cases:
+        for times, slots, one_way_delay_ms, expected in cases:
             with self.subTest(times=len(times)):
                 plan = JobPlan(tuple(TaskPlan(run_ms) for run_ms in times), "opticians")
-                self.assertAlmostEqual(ideal_ms(plan, slots, trip_ms), expected)
+                self.assertAlmostEqual(ideal_ms(plan, slots, one_way_delay_ms), expected)
 
     def test_rate_for_a_load_share(self):
         """88 slots run 1760 single tasks of 50 ms per second; half of that is 880."""
--- a/tests/world.py
+++ b/tests/world.py
@@ -137,12 +137,12 @@
         self._clock = clock
         self._world = world
 
-    def run(self, minion, task_id, payload, limit_ms) -> bytes:
+    def run(self, minion, task_id, payload, timeout_ms) -> bytes:
         self._clock.pass_gate()
         value = json.loads(payload)["value"]
         self._count(value, 1)
         try:
-            return self.inner.run(minion, task_id, payload, limit_ms)
+            return self.inner.run(minion, task_id, payload, timeout_ms)
         except NotStarted:
             self._count(value, -1)
             raise
