--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -68,7 +68,7 @@
     ]
 
 
-NO_COUNTS = Counts(0.0, 0.0, 0.0, 0.0, 0.0)
+ZERO_COUNTS = Counts(0.0, 0.0, 0.0, 0.0, 0.0)
 
 
 def read_process(system: ProcessSystem, url: str) -> Counts:
@@ -92,27 +92,27 @@
 class Meter:
     """Counts of a system while processes start and end.
 
-    What a process did between the last :meth:`look` and its end is not counted.
+    What a process did between the last :meth:`sample` and its end is not counted.
     """
 
     def __init__(self, system: ProcessSystem):
         """Start counting from the present values."""
         self._system = system
         self._last: dict[int, Counts] = {}
-        self.look()
+        self.sample()
         self._initial = dict(self._last)
 
-    def look(self) -> None:
+    def sample(self) -> None:
         """Read the counts of every running process."""
         for pid, url in _running_urls(self._system).items():
             self._last[pid] = read_process(self._system, url)
 
-    def read(self) -> Counts:
+    def total(self) -> Counts:
         """Return what all processes did since this meter was made."""
-        self.look()
-        total = NO_COUNTS
+        self.sample()
+        total = ZERO_COUNTS
         for pid, counts in self._last.items():
-            total += counts - self._initial.get(pid, NO_COUNTS)
+            total += counts - self._initial.get(pid, ZERO_COUNTS)
         return total
 
 
--- a/benchmarks/experiment_base.py
+++ b/benchmarks/experiment_base.py
@@ -1,4 +1,4 @@
-"""Shared parts of the experiments: parallel fleets, slices of load, result rows."""
+"""Shared parts of the experiments: parallel systems, slices of load, result rows."""
 
 import contextlib
 import os
@@ -15,7 +15,7 @@
 from eventlet import tpool
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.counts import NO_COUNTS, Counts, Meter, is_alive
+from benchmarks.counts import ZERO_COUNTS, Counts, Meter, is_alive
 from geraniumspool.client import OUTCOME_COMPLETE, OUTCOME_MAY_HAVE_RUN, OUTCOME_NOT_RUN
 from geraniumspool.load import Load, LoadOptions
 from geraniumspool.loadreport import OUTCOME_UNANSWERED, JobOutcome, LoadReport
@@ -98,7 +98,7 @@
 class Tally:
     """Outcomes and response times of jobs over several slices of load.
 
-    :ivar late: admitted jobs that were not complete by their deadline
+    :ivar deadline_missed: admitted jobs that were not complete by their deadline
     :ivar work_ms: total run time of the tasks of all jobs in milliseconds
     """
 
@@ -115,7 +115,7 @@
         self._refused = HdrHistogram(1, MAX_MS * SCALE, 3)
         self.outcomes: Counter[str] = Counter()
         self.codes: Counter[str] = Counter()
-        self.late = 0
+        self.deadline_missed = 0
         self.work_ms = 0.0
         self.jobs: list[Job] = []
 
@@ -127,7 +127,7 @@
         self.codes[outcome.code] += bool(outcome.code)
         self.jobs.append(Job(outcome.ticket, outcome.outcome, len(plan.tasks)))
         if outcome.outcome == OUTCOME_COMPLETE:
-            self.late += outcome.response_ms > plan.deadline_ms
+            self.deadline_missed += outcome.response_ms > plan.deadline_ms
             ideal = ideal_ms(plan, SLOTS, self._one_way_delay_ms)
             ratio = min(MAX_RATIO, max(1, round(outcome.response_ms / ideal * SCALE)))
             self._ratios.record_value(ratio)
@@ -135,7 +135,7 @@
         elif outcome.code == CANCELLED_CODE:
             return
         elif outcome.outcome in LOST_OUTCOMES or outcome.code == EXPIRED_CODE:
-            self.late += 1
+            self.deadline_missed += 1
         elif outcome.outcome == OUTCOME_NOT_RUN:
             self._refused.record_value(round(max(1, min(MAX_MS, outcome.response_ms) * SCALE)))
 
@@ -171,7 +171,7 @@
     return round(histogram.get_value_at_percentile(percentile) / SCALE, 3)
 
 
-class Trial:
+class PolicyMeasurement:
     """Measurement of one policy in an experiment, in slices of load on one system."""
 
     def __init__(
@@ -193,7 +193,7 @@
         self._chosen = chosen
         self._one_way_delay_ms = one_way_delay_ms
         self.tally = Tally(one_way_delay_ms)
-        self.counts = NO_COUNTS
+        self.counts = ZERO_COUNTS
         self.meter: Meter | None = None
         self.wrong_answers = 0
         self.starts = 0
@@ -239,7 +239,7 @@
             sampler.kill()
         eventlet.sleep(SETTLE_S)
         started = self.system.sum_starts()["starts"] - before
-        self.counts += self.meter.read()
+        self.counts += self.meter.total()
         self.starts += started
         self.wrong_answers += report.wrong_answers
         self._seconds += min(seconds, report.elapsed_ms / 1_000)
@@ -296,7 +296,7 @@
             wrong_answers=self.wrong_answers,
             goodput_share=round(goodput, 3),
             refused_ms_p99=tally.refused_ms(99),
-            deadline_missed=tally.late,
+            deadline_missed=tally.deadline_missed,
             load_average=round(max(self._loads or [0.0]), 1),
             notes=notes,
         )
@@ -354,7 +354,7 @@
 
 @contextlib.contextmanager
 def open_systems(*settings: dict) -> Iterator[list[ProcessSystem]]:
-    """Start fleets in parallel, yield them once they are ready, and stop them at the end.
+    """Start systems in parallel, yield them once they are ready, and stop them at the end.
 
     :param settings: agent settings, one dictionary per system
     :raises RuntimeError: if a system is not ready in time
@@ -388,10 +388,10 @@
             eventlet.sleep(0.1)
 
 
-class Turn(NamedTuple):
+class ScheduledSlice(NamedTuple):
     """A slice of load, or other work, on one system.
 
-    :param seconds: time until the next turn starts; this one may still be waiting for answers
+    :param seconds: time until the next slice starts; this one may still be waiting for answers
     """
 
     system: ProcessSystem
@@ -399,14 +399,14 @@
     run: Callable[[], object]
 
 
-def take_turns(turns: Iterable[Turn]) -> None:
-    """Start turns one after the other; turns on the same system never overlap."""
+def run_slices(slices: Iterable[ScheduledSlice]) -> None:
+    """Start slices one after the other; slices on the same system never overlap."""
     running: dict[int, eventlet.greenthread.GreenThread] = {}
-    for turn in turns:
-        if id(turn.system) in running:
-            running[id(turn.system)].wait()
-        running[id(turn.system)] = eventlet.spawn(turn.run)
-        eventlet.sleep(turn.seconds)
+    for scheduled in slices:
+        if id(scheduled.system) in running:
+            running[id(scheduled.system)].wait()
+        running[id(scheduled.system)] = eventlet.spawn(scheduled.run)
+        eventlet.sleep(scheduled.seconds)
     for thread in running.values():
         thread.wait()
 
@@ -422,7 +422,7 @@
     return statistics.median(times) * 1_000 / 2
 
 
-def put_faults(system: ProcessSystem, url: str, **faults) -> None:
+def set_faults(system: ProcessSystem, url: str, **faults) -> None:
     """Set the faults of a store or minion stand-in; a minion ends those left out.
 
     :param url: base URL of the stand-in
@@ -497,7 +497,7 @@
         return tpool.execute(Program, role, file.name)
 
 
-def leave(program: Program) -> int:
+def shut_down(program: Program) -> int:
     """Shut a process down gracefully without blocking the load, and kill it after a limit.
 
     :returns: its exit code
@@ -508,7 +508,7 @@
     return program.process.returncode
 
 
-def subtract(after: Counts, before: Counts) -> dict[str, float]:
+def describe_messages_spent(after: Counts, before: Counts) -> dict[str, float]:
     """Return the messages sent between two counts, as notes of a row."""
     spent = after - before
     return {"messages_spent": spent.work_messages, "wasted_spent": spent.wasted_messages}
--- a/benchmarks/experiment_faults.py
+++ b/benchmarks/experiment_faults.py
@@ -11,21 +11,26 @@
 
 from benchmarks.experiment_base import (
     Job,
+    PolicyMeasurement,
     Row,
-    Trial,
-    Turn,
+    ScheduledSlice,
     is_alive,
-    leave,
     measure_trip,
     open_systems,
-    put_faults,
     restart_agent,
     restart_entry,
-    take_turns,
+    run_slices,
+    set_faults,
+    shut_down,
     wait_ready,
     wait_until,
 )
-from benchmarks.experiment_limits import change, configure, is_in_force, newest
+from benchmarks.experiment_limits import (
+    change_configuration,
+    configure,
+    is_in_force,
+    newest_revision,
+)
 from geraniumspool.client import (
     OUTCOME_COMPLETE,
     OUTCOME_MAY_HAVE_RUN,
@@ -87,55 +92,57 @@
 BAD_MINION_INDICES = (0, 0, 4, 8, 1, 5)
 
 
-def measure_minions() -> list[Row]:
+def measure_faulty_minions() -> list[Row]:
     """Measure one faulty minion out of eleven, with and without ejection."""
-    trials, turns = [], []
+    measurements, slices = [], []
     with open_systems({}, {}) as systems:
         one_way_delay_ms = measure_trip(systems[0])
         configure(systems[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
         for bad, minion_index in zip(BAD_MINIONS, BAD_MINION_INDICES, strict=True):
             for system, name in zip(systems, ("ejection", "no ejection"), strict=True):
                 chosen = system is systems[0]
-                trial = Trial(system, "minions", f"{bad.name}, {name}", chosen, one_way_delay_ms)
-                run = functools.partial(_run_with_bad_minion, trial, minion_index, bad)
-                trials.append(trial)
-                turns.append(Turn(system, MINION_S, run))
-        take_turns(turns)
-        return [_describe_failures(trial) for trial in trials]
-
-
-def _run_with_bad_minion(trial: Trial, minion_index: int, bad: BadMinion) -> None:
-    system = trial.system
+                measurement = PolicyMeasurement(
+                    system, "minions", f"{bad.name}, {name}", chosen, one_way_delay_ms
+                )
+                run = functools.partial(_run_with_bad_minion, measurement, minion_index, bad)
+                measurements.append(measurement)
+                slices.append(ScheduledSlice(system, MINION_S, run))
+        run_slices(slices)
+        return [_describe_failures(measurement) for measurement in measurements]
+
+
+def _run_with_bad_minion(measurement: PolicyMeasurement, minion_index: int, bad: BadMinion) -> None:
+    system = measurement.system
     url = system.minions[minion_index].ready["minion"]
-    put_faults(system, url, **bad.faults)
+    set_faults(system, url, **bad.faults)
     flapping = eventlet.spawn(_flap, system, url, bad) if bad.flaps else None
 
     def end_faults() -> None:
         if flapping:
             flapping.kill()
-        put_faults(system, url)
+        set_faults(system, url)
 
-    trial.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=end_faults)
+    measurement.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=end_faults)
 
 
-def _describe_failures(trial: Trial) -> Row:
-    jobs = len(trial.tally.jobs)
-    failed = sum(job.outcome != OUTCOME_COMPLETE for job in trial.tally.jobs)
-    return trial.row(failed_share=round(failed / max(1, jobs), 4))
+def _describe_failures(measurement: PolicyMeasurement) -> Row:
+    jobs = len(measurement.tally.jobs)
+    failed = sum(job.outcome != OUTCOME_COMPLETE for job in measurement.tally.jobs)
+    return measurement.row(failed_share=round(failed / max(1, jobs), 4))
 
 
 def _flap(system: ProcessSystem, url: str, bad: BadMinion) -> None:
     while True:
         eventlet.sleep(FLAP_S)
-        put_faults(system, url)
+        set_faults(system, url)
         eventlet.sleep(FLAP_S)
-        put_faults(system, url, **bad.faults)
+        set_faults(system, url, **bad.faults)
 
 
-def measure_unknown() -> list[Row]:
+def measure_process_faults() -> list[Row]:
     """Measure jobs in flight when processes fail, while some jobs are submitted twice."""
-    cases: tuple[tuple[str, Callable[[Trial], None]], ...] = (
-        ("no fault", lambda trial: None),
+    cases: tuple[tuple[str, Callable[[PolicyMeasurement], None]], ...] = (
+        ("no fault", lambda measurement: None),
         ("agent frozen 6 s", _freeze_agent),
         ("entry killed, back at its address", _kill_entry),
         ("agent killed", _kill_agent),
@@ -145,43 +152,45 @@
     with open_systems({}) as (system,):
         one_way_delay_ms = measure_trip(system)
         for name, fault in cases:
-            trial = Trial(system, "unknown", name, True, one_way_delay_ms)
-            task = eventlet.spawn(_inject_after_delay, fault, trial)
+            measurement = PolicyMeasurement(system, "unknown", name, True, one_way_delay_ms)
+            task = eventlet.spawn(_inject_after_delay, fault, measurement)
             options = {"mix": FAULT_MIX, "load_share": FAULT_SHARE}
-            trial.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
+            measurement.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
             task.wait()
-            row = _describe_failures(trial)
-            extra_notes = {"wasted_messages": trial.counts.wasted_messages}
+            row = _describe_failures(measurement)
+            extra_notes = {"wasted_messages": measurement.counts.wasted_messages}
             rows.append(row._replace(notes=row.notes | extra_notes))
     return rows
 
 
-def _inject_after_delay(fault: Callable[[Trial], None], trial: Trial) -> None:
+def _inject_after_delay(
+    fault: Callable[[PolicyMeasurement], None], measurement: PolicyMeasurement
+) -> None:
     eventlet.sleep(FAULT_DELAY_S)
-    trial.meter.look()
-    fault(trial)
+    measurement.meter.sample()
+    fault(measurement)
 
 
-def _freeze_agent(trial: Trial) -> None:
-    agent = trial.system.agents[0]
+def _freeze_agent(measurement: PolicyMeasurement) -> None:
+    agent = measurement.system.agents[0]
     agent.send(signal.SIGSTOP)
     eventlet.sleep(FREEZE_S)
     agent.send(signal.SIGCONT)
 
 
-def _kill_entry(trial: Trial) -> None:
-    trial.system.entries[1].kill()
+def _kill_entry(measurement: PolicyMeasurement) -> None:
+    measurement.system.entries[1].kill()
     eventlet.sleep(ENTRY_DOWN_S)
-    restart_entry(trial.system, 1)
+    restart_entry(measurement.system, 1)
 
 
-def _kill_agent(trial: Trial) -> None:
-    trial.system.agents[10].kill()
+def _kill_agent(measurement: PolicyMeasurement) -> None:
+    measurement.system.agents[10].kill()
 
 
-def _kill_agent_and_restart(trial: Trial) -> None:
-    trial.system.agents[5].kill()
-    restart_agent(trial.system, 5)
+def _kill_agent_and_restart(measurement: PolicyMeasurement) -> None:
+    measurement.system.agents[5].kill()
+    restart_agent(measurement.system, 5)
 
 
 def measure_store() -> list[Row]:
@@ -196,13 +205,13 @@
     with open_systems({}) as (system,):
         one_way_delay_ms = measure_trip(system)
         for number, (name, faults, down_s, seconds) in enumerate(cases):
-            trial = Trial(system, "store", name, True, one_way_delay_ms)
+            measurement = PolicyMeasurement(system, "store", name, True, one_way_delay_ms)
             notes: dict[str, float] = {}
             task = eventlet.spawn(_change_later, system, number, faults, down_s, notes)
-            trial.run(seconds, mix=FAULT_MIX, load_share=STORE_SHARE)
+            measurement.run(seconds, mix=FAULT_MIX, load_share=STORE_SHARE)
             task.wait()
-            put_faults(system, system.store_url, down=False, slow_ms=0, lose_answers=0)
-            row = _describe_failures(trial)
+            set_faults(system, system.store_url, down=False, slow_ms=0, lose_answers=0)
+            row = _describe_failures(measurement)
             rows.append(row._replace(notes=row.notes | notes))
     return rows
 
@@ -220,16 +229,16 @@
     :param notes: receives the number of retries and the times in milliseconds
     """
     eventlet.sleep(1.0)
-    before = newest(system)
+    before = newest_revision(system)
     if faults:
-        put_faults(system, system.store_url, **faults)
+        set_faults(system, system.store_url, **faults)
     begin = time.monotonic()
     if down_s:
-        eventlet.spawn_after(down_s, put_faults, system, system.store_url, down=False)
+        eventlet.spawn_after(down_s, set_faults, system, system.store_url, down=False)
     change_id = uuid.uuid4().hex
     body = f"weight: {number + 2}\n"
     retries = 0
-    while change(system, "team/opticians", body, change_id) != 200:
+    while change_configuration(system, "team/opticians", body, change_id) != 200:
         retries += 1
         if time.monotonic() - begin > STORE_LIMIT_S:
             break
@@ -244,7 +253,9 @@
 def measure_restarts() -> list[Row]:
     """Measure a rolling restart of all agents and entries under load."""
     with open_systems({}) as (system,):
-        trial = Trial(system, "restarts", "every agent and entry", True, measure_trip(system))
+        measurement = PolicyMeasurement(
+            system, "restarts", "every agent and entry", True, measure_trip(system)
+        )
         notes: dict[str, float] = {}
         callers = [_Caller(system, number) for number in range(CALLERS)]
         tasks = []
@@ -252,10 +263,10 @@
         def start(stop_load: Callable[[], None]) -> None:
             stops = [stop_load, *(caller.stop for caller in callers)]
             tasks.extend(eventlet.spawn(caller.run) for caller in callers)
-            tasks.append(eventlet.spawn(_restart_all, trial, notes, stops))
+            tasks.append(eventlet.spawn(_restart_all, measurement, notes, stops))
 
         options = {"mix": FAULT_MIX, "load_share": RESTART_SHARE}
-        trial.run(RESTART_SECONDS, resubmit_share=RESUBMIT_SHARE, on_start=start, **options)
+        measurement.run(RESTART_SECONDS, resubmit_share=RESUBMIT_SHARE, on_start=start, **options)
         for task in tasks:
             task.wait()
         notes["client_jobs"] = sum(caller.jobs for caller in callers)
@@ -265,9 +276,9 @@
         notes["client_resubmissions"] = sum(caller.resubmissions for caller in callers)
         # The minions counted the clients' starts in this slice too, so their jobs are checked
         # with it.
-        jobs = len(trial.tally.jobs)
-        trial.tally.jobs += [job for caller in callers for job in caller.done]
-        row = _describe_failures(trial)
+        jobs = len(measurement.tally.jobs)
+        measurement.tally.jobs += [job for caller in callers for job in caller.done]
+        row = _describe_failures(measurement)
         return [row._replace(jobs=jobs, notes=row.notes | notes)]
 
 
@@ -310,22 +321,24 @@
                 self.failures.append("wrong answer")
 
 
-def _restart_all(trial: Trial, notes: dict[str, float], stop: list[Callable[[], None]]) -> None:
-    system = trial.system
+def _restart_all(
+    measurement: PolicyMeasurement, notes: dict[str, float], stop: list[Callable[[], None]]
+) -> None:
+    system = measurement.system
     eventlet.sleep(2.0)
     begin = time.monotonic()
     codes = []
     longest_leave_s = 0.0
     for index in range(len(system.agents)):
-        trial.meter.look()
+        measurement.meter.sample()
         leave_began = time.monotonic()
-        codes.append(leave(system.agents[index]))
+        codes.append(shut_down(system.agents[index]))
         longest_leave_s = max(longest_leave_s, time.monotonic() - leave_began)
         restart_agent(system, index)
         wait_ready(system)
     for index in range(len(system.entries)):
-        trial.meter.look()
-        codes.append(leave(system.entries[index]))
+        measurement.meter.sample()
+        codes.append(shut_down(system.entries[index]))
         restart_entry(system, index)
         wait_ready(system)
     notes["restarted"] = sum(is_alive(program) for program in system.agents + system.entries)
--- a/benchmarks/experiment_limits.py
+++ b/benchmarks/experiment_limits.py
@@ -8,12 +8,12 @@
 
 from benchmarks.experiment_base import (
     SLOTS,
+    PolicyMeasurement,
     Row,
     Tally,
-    Trial,
+    describe_messages_spent,
     measure_trip,
     open_systems,
-    subtract,
     wait_until,
 )
 from geraniumspool.client import OUTCOME_COMPLETE, OUTCOME_NOT_RUN
@@ -42,7 +42,9 @@
 SLOTS_FREE_LIMIT_S = 20.0
 
 
-def change(system: ProcessSystem, key: str, body: str, change_id: str = "", entry: int = 0) -> int:
+def change_configuration(
+    system: ProcessSystem, key: str, body: str, change_id: str = "", entry: int = 0
+) -> int:
     """Replace a configuration document.
 
     :param key: ``service/NAME`` or ``team/NAME``
@@ -73,7 +75,7 @@
     return True
 
 
-def newest(system: ProcessSystem) -> int:
+def newest_revision(system: ProcessSystem) -> int:
     """Return the newest revision that the first entry knows."""
     return system.call_operators(system.entries[0], "/v1/config-status")[1]["newest"]
 
@@ -83,7 +85,7 @@
 
     :raises RuntimeError: if it is not accepted, or not in force within ``STORE_LIMIT_S``
     """
-    if change(system, key, body) != 200:
+    if change_configuration(system, key, body) != 200:
         raise RuntimeError(f"configuration change of {key} was not accepted")
     program = system.entries[0]
     revision = system.call_operators(program, f"/v1/config/{key}")[1]["revision"]
@@ -105,17 +107,17 @@
 
 
 def _measure_rate(system: ProcessSystem, one_way_delay_ms: float) -> Row:
-    trial = Trial(system, "quotas", "60 tasks a second", True, one_way_delay_ms)
+    measurement = PolicyMeasurement(system, "quotas", "60 tasks a second", True, one_way_delay_ms)
     options = {"team": RATE_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(RATE_TASKS_PER_S)}
     seconds = []
     for entries in (system.caller_addresses()[:1], system.caller_addresses()):
         counts: list[int] = []
         sampler = eventlet.spawn(_sample_starts, system, counts, QUOTA_S)
-        trial.run(QUOTA_S, entries=entries, **options)
+        measurement.run(QUOTA_S, entries=entries, **options)
         sampler.wait()
         seconds.append([b - a for a, b in zip(counts, counts[1:], strict=False)])
     one, every = seconds
-    return trial.row(
+    return measurement.row(
         one_entry_over_quota=_relative_to_quota(statistics.mean(one), RATE_TASKS_PER_S),
         all_entries_over_quota=_relative_to_quota(statistics.mean(every), RATE_TASKS_PER_S),
         all_entries_worst_second=_relative_to_quota(max(every), RATE_TASKS_PER_S),
@@ -135,18 +137,18 @@
 
 
 def _measure_running(system: ProcessSystem, one_way_delay_ms: float) -> Row:
-    trial = Trial(system, "quotas", "24 running tasks", True, one_way_delay_ms)
+    measurement = PolicyMeasurement(system, "quotas", "24 running tasks", True, one_way_delay_ms)
     tasks_per_s = RUNNING_TASKS * 1_000 / SHORT_TIMES.mean_ms
     options = {"team": RUNNING_TEAM, "mix": SHORT_NARROW, "rate": _job_rate(tasks_per_s)}
     peaks, means = [], []
     for entries in (system.caller_addresses()[:1], system.caller_addresses()):
         samples: list[int] = []
         sampler = eventlet.spawn(_sample_running, system, samples)
-        trial.run(QUOTA_S, entries=entries, **options)
+        measurement.run(QUOTA_S, entries=entries, **options)
         sampler.kill()
         peaks.append(_relative_to_quota(max(samples), RUNNING_TASKS))
         means.append(_relative_to_quota(statistics.mean(samples), RUNNING_TASKS))
-    return trial.row(
+    return measurement.row(
         one_entry_peak_over_quota=peaks[0],
         all_entries_peak_over_quota=peaks[1],
         one_entry_mean_over_quota=means[0],
@@ -164,10 +166,12 @@
     """Measure a team with light load while another team overloads the system."""
     with open_systems({}) as (system,):
         one_way_delay_ms = measure_trip(system)
-        alone = Trial(system, "fairness", "light team alone", True, one_way_delay_ms)
+        alone = PolicyMeasurement(system, "fairness", "light team alone", True, one_way_delay_ms)
         options = {"mix": "narrow", "load_share": LIGHT_SHARE, "team": LIGHT_TEAM}
         alone.run(FAIR_S, seed=2, **options)
-        flood = Trial(system, "fairness", "flood beside a light team", True, one_way_delay_ms)
+        flood = PolicyMeasurement(
+            system, "fairness", "flood beside a light team", True, one_way_delay_ms
+        )
         light = Tally(one_way_delay_ms)
         light_load = eventlet.spawn(
             run_load,
@@ -199,29 +203,31 @@
     """Cancel all jobs in flight at once at three times the capacity."""
     with open_systems({}) as (system,):
         one_way_delay_ms = measure_trip(system)
-        trial = Trial(system, "cancellation", "all jobs in flight", True, one_way_delay_ms)
+        measurement = PolicyMeasurement(
+            system, "cancellation", "all jobs in flight", True, one_way_delay_ms
+        )
         notes: dict[str, float | None] = {}
-        watcher = eventlet.spawn(_watch_wave, trial, notes)
+        watcher = eventlet.spawn(_watch_wave, measurement, notes)
         wave = CancelWave(WAVE_DELAY_S * 1_000, 1.0)
         seconds = WAVE_DELAY_S - 0.1
-        report = trial.run(
+        report = measurement.run(
             seconds, mix=WAVE_MIX, load_share=WAVE_SHARE, cancel_waves=(wave,), team="opticians"
         )
         watcher.wait()
         messages = notes["messages_spent"]
         notes["messages_per_cancelled_job"] = round(messages / max(1, report.cancelled), 2)
-        return [trial.row(cancelled=report.cancelled, **notes)]
+        return [measurement.row(cancelled=report.cancelled, **notes)]
 
 
-def _watch_wave(trial: Trial, notes: dict[str, float | None]) -> None:
+def _watch_wave(measurement: PolicyMeasurement, notes: dict[str, float | None]) -> None:
     eventlet.sleep(WAVE_DELAY_S - 0.4)
-    before = trial.meter.read()
-    running = trial.system.sum_starts()["running"]
+    before = measurement.meter.total()
+    running = measurement.system.sum_starts()["running"]
     eventlet.sleep(0.4)
-    system = trial.system
+    system = measurement.system
     taken = wait_until(lambda: system.sum_starts()["running"] == 0, SLOTS_FREE_LIMIT_S, 0.01)
     notes["running_before"] = running
     notes["slots"] = SLOTS
     notes["all_slots_free_ms"] = None if taken is None else round(taken, 1)
     eventlet.sleep(1.0)
-    notes |= subtract(trial.meter.read(), before)
+    notes |= describe_messages_spent(measurement.meter.total(), before)
--- a/benchmarks/experiment_load.py
+++ b/benchmarks/experiment_load.py
@@ -4,7 +4,14 @@
 import random
 from typing import NamedTuple
 
-from benchmarks.experiment_base import Row, Trial, Turn, measure_trip, open_systems, take_turns
+from benchmarks.experiment_base import (
+    PolicyMeasurement,
+    Row,
+    ScheduledSlice,
+    measure_trip,
+    open_systems,
+    run_slices,
+)
 from geraniumspool.workload import (
     DECLARED_EXACT,
     DECLARED_NONE,
@@ -52,19 +59,23 @@
 def _compare(
     experiment: str, policies: list[Policy], seconds: float, slices: int = SLICES, **options
 ) -> list[Row]:
-    """Measure policies on parallel fleets, each with the same slices of load in turn."""
+    """Measure policies on parallel systems, each with the same slices of load in turn."""
     with open_systems(*(policy.settings for policy in policies)) as systems:
         one_way_delay_ms = measure_trip(systems[0])
-        trials = [
-            Trial(system, experiment, policy.name, policy.chosen, one_way_delay_ms)
+        measurements = [
+            PolicyMeasurement(system, experiment, policy.name, policy.chosen, one_way_delay_ms)
             for system, policy in zip(systems, policies, strict=True)
         ]
-        take_turns(
-            Turn(trial.system, seconds, functools.partial(trial.run, seconds, seed=seed, **options))
+        run_slices(
+            ScheduledSlice(
+                measurement.system,
+                seconds,
+                functools.partial(measurement.run, seconds, seed=seed, **options),
+            )
             for seed in range(1, slices + 1)
-            for trial in trials
+            for measurement in measurements
         )
-        return [trial.row(trip_ms=round(one_way_delay_ms, 3)) for trial in trials]
+        return [measurement.row(trip_ms=round(one_way_delay_ms, 3)) for measurement in measurements]
 
 
 def measure_light() -> list[Row]:
@@ -80,7 +91,7 @@
     return _compare("placement", policies, SLICE_S, **options)
 
 
-def measure_ahead() -> list[Row]:
+def measure_late_binding() -> list[Row]:
     """Compare settings of late binding and of result batching at a high load."""
     policies = [CHOSEN, HALF_AHEAD, TWO_AHEAD, SHORT_HOLD]
     return _compare("ahead", policies, SLICE_S, mix="brief", load_share=HIGH_LOAD_SHARE)
@@ -91,16 +102,20 @@
     kinds = (DECLARED_EXACT, DECLARED_WRONG, DECLARED_NONE)
     with open_systems({}, {}, {}) as systems:
         one_way_delay_ms = measure_trip(systems[0])
-        trials = [
-            Trial(system, "declared", f"declared {kind}", True, one_way_delay_ms)
+        measurements = [
+            PolicyMeasurement(system, "declared", f"declared {kind}", True, one_way_delay_ms)
             for system, kind in zip(systems, kinds, strict=True)
         ]
-        take_turns(
-            Turn(trial.system, SLICE_S, functools.partial(_run_declared, trial, kind, seed))
+        run_slices(
+            ScheduledSlice(
+                measurement.system,
+                SLICE_S,
+                functools.partial(_run_declared, measurement, kind, seed),
+            )
             for seed in range(1, SLICES + 1)
-            for trial, kind in zip(trials, kinds, strict=True)
+            for measurement, kind in zip(measurements, kinds, strict=True)
         )
-        return [trial.row() for trial in trials]
+        return [measurement.row() for measurement in measurements]
 
 
 class _RedeclaredMix(NamedTuple):
@@ -125,9 +140,9 @@
         return plan._replace(tasks=tuple(tasks))
 
 
-def _run_declared(trial: Trial, kind: str, seed: int) -> None:
+def _run_declared(measurement: PolicyMeasurement, kind: str, seed: int) -> None:
     mix = _RedeclaredMix(MIXES["brief"], kind)
-    trial.run(SLICE_S, seed=seed, mix=mix, load_share=HIGH_LOAD_SHARE)
+    measurement.run(SLICE_S, seed=seed, mix=mix, load_share=HIGH_LOAD_SHARE)
 
 
 def measure_overload() -> list[Row]:
@@ -139,13 +154,17 @@
     slices = (("overload", OVERLOAD_S, lasting_load), ("burst", BURST_S, burst_load))
     with open_systems(*(policy.settings for policy in policies)) as systems:
         one_way_delay_ms = measure_trip(systems[0])
-        trials, turns = [], []
+        measurements, turns = [], []
         for name, seconds, options in slices:
             for system, policy in zip(systems, policies, strict=True):
-                trial = Trial(system, name, policy.name, policy.chosen, one_way_delay_ms)
-                trials.append(trial)
+                measurement = PolicyMeasurement(
+                    system, name, policy.name, policy.chosen, one_way_delay_ms
+                )
+                measurements.append(measurement)
                 turns.append(
-                    Turn(system, seconds, functools.partial(trial.run, seconds, **options))
+                    ScheduledSlice(
+                        system, seconds, functools.partial(measurement.run, seconds, **options)
+                    )
                 )
-        take_turns(turns)
-        return [trial.row() for trial in trials]
+        run_slices(turns)
+        return [measurement.row() for measurement in measurements]
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -11,7 +11,7 @@
 import sys
 import time
 
-from benchmarks.storm import Storm
+from benchmarks.storm import RandomFaultRun
 
 DEFAULT_COUNT = 200
 
@@ -28,23 +28,23 @@
         print("PYTHONHASHSEED is not set: runs are not reproducible", file=sys.stderr)
     logging.disable(logging.CRITICAL)
     begin = time.monotonic()
-    broken = sum(not run_storm(seed) for seed in range(first, first + count))
+    broken = sum(not run_seed(seed) for seed in range(first, first + count))
     elapsed_s = round(time.monotonic() - begin, 1)
     print(json.dumps({"storms": count, "first": first, "broken": broken, "elapsed_s": elapsed_s}))
     return 1 if broken else 0
 
 
-def run_storm(seed: int) -> bool:
+def run_seed(seed: int) -> bool:
     """Run one seed; print its violations and return whether there were none."""
-    storm = Storm(seed)
+    fault_run = RandomFaultRun(seed)
     try:
-        violations = storm.run()
+        violations = fault_run.run()
     except AssertionError as error:
         violations = [str(error)]
     finally:
-        storm.stop()
+        fault_run.stop()
     if violations:
-        row = {"seed": seed, "violations": violations, "acts": storm.acts}
+        row = {"seed": seed, "violations": violations, "acts": fault_run.acts}
         print(json.dumps(row), flush=True)
     return not violations
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -24,14 +24,14 @@
 
     :param at_s: time of the log line, in seconds after the first line about a job
     :param queue: empty if the job was refused on arrival
-    :param what: kind of loss and its reason
-    :param held_ms: how long the caller had waited, in milliseconds
+    :param kind: kind of loss and its reason
+    :param waited_ms: how long the caller had waited, in milliseconds
     """
 
     at_s: float
     queue: str
-    what: str
-    held_ms: float
+    kind: str
+    waited_ms: float
 
 
 def read_losses(lines: Iterable[str]) -> list[Loss]:
@@ -60,9 +60,9 @@
     counts: Counter = Counter()
     waited_ms: Counter = Counter()
     for loss in losses:
-        key = (loss.at_s // interval_s * interval_s, loss.queue, loss.what)
+        key = (loss.at_s // interval_s * interval_s, loss.queue, loss.kind)
         counts[key] += 1
-        waited_ms[key] += loss.held_ms
+        waited_ms[key] += loss.waited_ms
     return [[*key, count, waited_ms[key] / count] for key, count in sorted(counts.items())]
 
 
--- a/benchmarks/pattern_loads.py
+++ b/benchmarks/pattern_loads.py
@@ -11,13 +11,13 @@
 from geraniumspool.clock import MS_PER_SECOND
 from geraniumspool.workload import Burst, CappedLogNormal, QueueJob, QueueMix, draw_arrivals
 
-SHORT, LONG, SMALL = "short", "long", "small"
+SHORT_QUEUE, LONG_QUEUE, SMALL_QUEUE = "short", "long", "small"
 CPU = CappedLogNormal(5_800, 0.2, 9_000)
 # Declared run times differ from the real ones by tens of per cent.
 DECLARED_ERROR = 0.4
 MIXES = (
     QueueMix(
-        SHORT,
+        SHORT_QUEUE,
         0,
         0.25,
         CappedLogNormal(8, 0.4, 32),
@@ -26,7 +26,7 @@
         DECLARED_ERROR,
     ),
     QueueMix(
-        LONG,
+        LONG_QUEUE,
         2,
         0.05,
         CappedLogNormal(4, 0.4, 16),
@@ -35,7 +35,7 @@
         DECLARED_ERROR,
     ),
     QueueMix(
-        SMALL,
+        SMALL_QUEUE,
         1,
         0.70,
         CappedLogNormal(2, 0.4, 8),
@@ -48,7 +48,7 @@
 REGISTER_CPU = CappedLogNormal(6_400, 0.2, 9_200)
 REGISTER = (
     QueueMix(
-        SHORT,
+        SHORT_QUEUE,
         0,
         0.245,
         CappedLogNormal(8, 0.4, 32),
@@ -57,7 +57,7 @@
         0.4,
     ),
     QueueMix(
-        LONG,
+        LONG_QUEUE,
         2,
         0.045,
         CappedLogNormal(4, 0.4, 16),
@@ -66,7 +66,7 @@
         0.4,
     ),
     QueueMix(
-        SMALL,
+        SMALL_QUEUE,
         1,
         0.71,
         CappedLogNormal(2, 0.4, 8),
@@ -116,10 +116,10 @@
     """One load pattern.
 
     :param load: offered work divided by the room of all workers, bursts not included
-    :param only: queue whose jobs make up the bursts, empty for all queues
-    :param returns: whether refused callers retry after the time that they are told
-    :param patience: how long callers wait, as a multiple of the objective of their job
-    :param leaving_share: share of the callers that disconnect before the objective
+    :param burst_queue: queue whose jobs make up the bursts, empty for all queues
+    :param refused_callers_retry: whether refused callers retry after the time that they are told
+    :param wait_in_objectives: how long callers wait, as a multiple of the objective of their job
+    :param disconnecting_share: share of the callers that disconnect before the objective
     :param mixes: kinds of jobs that arrive
     :param length_ms: how long jobs arrive
     :param crashing_share: share of the jobs whose first task crashes the minion that runs it
@@ -129,10 +129,10 @@
     load: float
     bursts: tuple[Burst, ...] = ()
     faults: tuple[Fault, ...] = ()
-    only: str = ""
-    returns: bool = False
-    patience: float = 5.0
-    leaving_share: float = 0.0
+    burst_queue: str = ""
+    refused_callers_retry: bool = False
+    wait_in_objectives: float = 5.0
+    disconnecting_share: float = 0.0
     mixes: tuple[QueueMix, ...] = MIXES
     length_ms: float = LENGTH_MS
     crashing_share: float = 0.0
@@ -147,10 +147,14 @@
     Pattern("minions that fail all", 0.7, faults=(Fault(FaultKind.FAIL, 0.25),)),
     Pattern("crash of a rack in a burst", 0.7, (BURST,), (Fault(FaultKind.CRASH, 0.25, 2_000.0),)),
     Pattern("minions leave in a burst", 0.7, (BURST,), (Fault(FaultKind.LEAVE, 0.25, 2_000.0),)),
-    Pattern("one queue crowds in", 0.6, (Burst(FAULT_AT_MS, FAULT_MS, 6.0),), only=LONG),
-    Pattern("all come back", 0.6, (BURST,), (Fault(FaultKind.CRASH, 1.0),), returns=True),
-    Pattern("hopeless jobs", 0.9, patience=1.1),
-    Pattern("callers leave", 1.2, leaving_share=0.25),
+    Pattern(
+        "one queue crowds in", 0.6, (Burst(FAULT_AT_MS, FAULT_MS, 6.0),), burst_queue=LONG_QUEUE
+    ),
+    Pattern(
+        "all come back", 0.6, (BURST,), (Fault(FaultKind.CRASH, 1.0),), refused_callers_retry=True
+    ),
+    Pattern("hopeless jobs", 0.9, wait_in_objectives=1.1),
+    Pattern("callers leave", 1.2, disconnecting_share=0.25),
     Pattern(
         "register: bursts and a crash",
         0.68,
@@ -193,14 +197,14 @@
     """Arrival of one job.
 
     :param at_ms: time from the start of the pattern
-    :param leaves: whether the caller disconnects before the objective
-    :param crashes: whether the first task crashes every minion that starts it
+    :param disconnects: whether the caller disconnects before the objective
+    :param crashes_minions: whether the first task crashes every minion that starts it
     """
 
     at_ms: float
     job: QueueJob
-    leaves: bool
-    crashes: bool = False
+    disconnects: bool
+    crashes_minions: bool = False
 
 
 def draw_load(pattern: Pattern, room_cpu: float, seed: int) -> list[Arrival]:
@@ -212,16 +216,17 @@
     rng = random.Random(seed)
     work = _measure_mean_work(pattern.mixes)
     rate = pattern.load * room_cpu / MS_PER_SECOND / work
-    bursts = () if pattern.only else pattern.bursts
+    bursts = () if pattern.burst_queue else pattern.bursts
     arrivals = _draw_jobs(rng, rate, bursts, pattern.mixes, pattern)
-    if pattern.only:
-        mixes = tuple(mix for mix in pattern.mixes if mix.queue == pattern.only)
+    if pattern.burst_queue:
+        mixes = tuple(mix for mix in pattern.mixes if mix.queue == pattern.burst_queue)
         more = rate * mixes[0].share
         extra = _draw_jobs(rng, more, pattern.bursts, mixes, pattern)
         arrivals += [arrival for arrival in extra if _is_within(arrival, pattern.bursts)]
     if pattern.crashing_share:
         arrivals = [
-            arrival._replace(crashes=rng.random() < pattern.crashing_share) for arrival in arrivals
+            arrival._replace(crashes_minions=rng.random() < pattern.crashing_share)
+            for arrival in arrivals
         ]
     return sorted(arrivals)
 
@@ -238,7 +243,7 @@
         Arrival(
             at_ms,
             rng.choices(mixes, weights)[0].draw(rng),
-            rng.random() < pattern.leaving_share,
+            rng.random() < pattern.disconnecting_share,
         )
         for at_ms in draw_arrivals(rate, pattern.length_ms, rng, bursts)
     ]
--- a/benchmarks/pattern_play.py
+++ b/benchmarks/pattern_play.py
@@ -132,7 +132,7 @@
         return self.caller.at_ms - self.sent_ms <= LATE_FACTOR * self.objective_ms
 
 
-class Play:
+class PatternSimulation:
     """Simulation of one load pattern under one policy."""
 
     def __init__(
@@ -197,15 +197,15 @@
 
     def _submit(self, sent: _SentJob, dispatcher) -> None:
         job = sent.arrival.job
-        left_ms = self._pattern.patience * sent.objective_ms
-        behavior = "crash" if sent.arrival.crashes else ""
+        left_ms = self._pattern.wait_in_objectives * sent.objective_ms
+        behavior = "crash" if sent.arrival.crashes_minions else ""
         spec = make_spec(
             sent.name, job.count, job.cpu, job.run_ms, behavior, declared_ms=job.declared_ms
         )
         sent.tries += 1
         sent.caller = dispatcher.submit(spec, QUEUES[job.queue], left_ms)
         clock = self.world.clock
-        if sent.arrival.leaves and sent.caller.job is not None:
+        if sent.arrival.disconnects and sent.caller.job is not None:
             after = LEAVE_AFTER_SHARE * sent.objective_ms
             clock.after(after, lambda: dispatcher.router.remove_waiter(sent.caller.job))
         eventlet.spawn_n(self._await_answer, sent)
@@ -218,7 +218,7 @@
         if caller.outcome is not JobOutcome.REFUSED:
             return
         sent.refused_ms = caller.at_ms - sent.sent_ms
-        if self._pattern.returns and sent.tries <= MAX_RETRIES:
+        if self._pattern.refused_callers_retry and sent.tries <= MAX_RETRIES:
             self.world.clock.sleep(caller.result.retry_after_ms)
             # The retry counts as a new request, so response times are measured from here.
             sent.sent_ms = self.world.clock.now()
@@ -289,7 +289,7 @@
             self._submit(sent, dispatcher)
 
     def _make_row(self) -> Row:
-        jobs = [sent for sent in self._sent if not sent.arrival.crashes]
+        jobs = [sent for sent in self._sent if not sent.arrival.crashes_minions]
         total = max(1, len(jobs))
         in_time = [sent for sent in jobs if sent.is_in_time]
         done = sum(sent.outcome is JobOutcome.SUCCEEDED for sent in jobs)
--- a/benchmarks/pattern_policies.py
+++ b/benchmarks/pattern_policies.py
@@ -182,9 +182,9 @@
     return [worker for worker in usable if worker.free.fits(step.need)]
 
 
-IN_USE = "expected use"
+POLICY_IN_USE = "expected use"
 POLICIES: dict[str, type[DispatchPolicy]] = {
-    IN_USE: UsefulnessPolicy,
+    POLICY_IN_USE: UsefulnessPolicy,
     "new and begun alike": NoPreferenceForBegun,
     "without priorities": LatestStartFirst,
     "only in time": RefuseIfLikelyLate,
--- a/benchmarks/patterns.py
+++ b/benchmarks/patterns.py
@@ -14,7 +14,7 @@
 from tabulate import tabulate
 
 from benchmarks.pattern_loads import PATTERNS
-from benchmarks.pattern_play import Play, Row
+from benchmarks.pattern_play import PatternSimulation, Row
 from benchmarks.pattern_policies import POLICIES
 
 MAX_PROCESSES = 2
@@ -39,7 +39,7 @@
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(MAX_PROCESSES) as pool:
-        rows = dict(zip(runs, pool.map(play, runs), strict=True))
+        rows = dict(zip(runs, pool.map(simulate, runs), strict=True))
     means = {
         pattern: {
             policy: _average([rows[pattern, policy, seed] for seed in range(1, seeds + 1)])
@@ -57,7 +57,7 @@
     return 0
 
 
-def play(run: tuple[str, str, int]) -> Row:
+def simulate(run: tuple[str, str, int]) -> Row:
     """Simulate one pattern under one policy.
 
     :param run: names of the pattern and the policy, and the seed
@@ -65,7 +65,7 @@
     name, policy, seed = run
     logging.disable(logging.CRITICAL)
     pattern = next(pattern for pattern in PATTERNS if pattern.name == name)
-    return Play(pattern, POLICIES[policy], seed).run()
+    return PatternSimulation(pattern, POLICIES[policy], seed).run()
 
 
 def _read_names(arguments: list[str], index: int, known: list[str]) -> list[str]:
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -111,7 +111,7 @@
     return tabulate(cells, headers=headers, tablefmt="github", disable_numparse=True)
 
 
-def fill_parts(page: str, rows: Lines) -> str:
+def fill_experiment_tables(page: str, rows: Lines) -> str:
     """Return a page with the tables between its experiment markers replaced."""
 
     def fill(match: re.Match) -> str:
@@ -160,7 +160,7 @@
     return "\n".join(lines)
 
 
-def place_table(page: str, text: str) -> str:
+def replace_table(page: str, text: str) -> str:
     """Return a page with the text between ``BEGIN`` and ``END`` replaced.
 
     :raises ValueError: if one of these markers is missing
@@ -179,10 +179,10 @@
     if PAGE.exists():
         page = PAGE.read_text(encoding="utf-8")
         text = f"\n{make_aims(rows)}\n\n{make_table(rows)}\n\n{make_notes(rows)}\n"
-        PAGE.write_text(place_table(page, text), encoding="utf-8")
+        PAGE.write_text(replace_table(page, text), encoding="utf-8")
     for note in sorted(NOTES.glob("*.md")):
         old = note.read_text(encoding="utf-8")
-        note.write_text(fill_parts(old, rows), encoding="utf-8")
+        note.write_text(fill_experiment_tables(old, rows), encoding="utf-8")
 
 
 def draw_plot(rows: Lines, path: Path = PLOT) -> None:
--- a/benchmarks/slope_configuration.py
+++ b/benchmarks/slope_configuration.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from benchmarks.slope_fit import Point, Slope, fit, median_us, memory_bytes
-from benchmarks.slope_membership import DOMAINS, PERIOD_MS, EntrySide
+from benchmarks.slope_membership import DOMAINS, PERIOD_MS, EntryHarness
 from geraniumspool.clock import ManualClock
 from geraniumspool.configuration import Configuration
 from geraniumspool.counters import MemoryCounters
@@ -103,14 +103,14 @@
     """Measure the processor time, bytes and pauses of pushing one change to a domain's agents."""
     push_us, sizes, pauses = [], [], []
     for members in (1000, 3500, 7300):
-        side = EntrySide(members)
-        side.registry.run_round()
-        side.configuration.apply(make_documents(1))
-        side.outbox.reset()
-        before = side.clock.now()
-        push_us.append(Point(len(side.near), median_us(lambda s=side: _push(s), 1, 1)))
-        sizes.append(Point(len(side.near), side.outbox.bytes))
-        pauses.append(Point(len(side.near), side.clock.now() - before))
+        harness = EntryHarness(members)
+        harness.registry.run_round()
+        harness.configuration.apply(make_documents(1))
+        harness.outbox.reset()
+        before = harness.clock.now()
+        push_us.append(Point(len(harness.near), median_us(lambda s=harness: _push(s), 1, 1)))
+        sizes.append(Point(len(harness.near), harness.outbox.bytes))
+        pauses.append(Point(len(harness.near), harness.clock.now() - before))
     return [
         fit("entry: one change pushed / agents of its domain", "us of processor", push_us),
         fit("entry: one change pushed / agents of its domain", "bytes", sizes),
@@ -118,13 +118,13 @@
     ]
 
 
-def _push(side: EntrySide) -> None:
+def _push(harness: EntryHarness) -> None:
     """Push the newest change and wait until no more messages are sent."""
-    side.registry.push_configuration()
+    harness.registry.push_configuration()
     sent = 0
-    while sent != side.outbox.messages:
-        sent = side.outbox.messages
-        side.clock.advance(PUSH_PAUSE_MS)
+    while sent != harness.outbox.messages:
+        sent = harness.outbox.messages
+        harness.clock.advance(PUSH_PAUSE_MS)
 
 
 def _make_quotas(teams: int, reports: int) -> Quotas:
@@ -184,15 +184,15 @@
     names = [f"team-{number:03}" for number in range(teams)]
     documents = [_make_document(f"team/{name}", n + 1, document) for n, name in enumerate(names)]
     quotas = Quotas(clock, _make_configuration(documents), list, lambda: ENTRIES)
-    side = EntrySide(DOMAINS, True, quotas.demand, clock)
+    harness = EntryHarness(DOMAINS, True, quotas.demand, clock)
     draw = random.Random(1)
     for number in range(WARMUP_ROUNDS + DEMAND_ROUNDS):
         if number == WARMUP_ROUNDS:
-            side.outbox.reset()
+            harness.outbox.reset()
         for name in names * DRAWS:
             if draw.random() < JOBS_PER_S * PERIOD_MS / 1000.0 / DRAWS:
                 quotas.charge(name, JOB_TASKS)
                 quotas.release(name, JOB_TASKS)
-        side.let_pass()
-        side.registry.run_round()
-    return side.outbox.bytes / DEMAND_ROUNDS
+        harness.advance_period()
+        harness.registry.run_round()
+    return harness.outbox.bytes / DEMAND_ROUNDS
--- a/benchmarks/slope_fit.py
+++ b/benchmarks/slope_fit.py
@@ -41,7 +41,7 @@
     intercept: float
     spread: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -14,7 +14,7 @@
     memory_bytes,
     processor_us,
 )
-from benchmarks.slope_membership import SERVICE, Outbox, make_member
+from benchmarks.slope_membership import SERVICE, CountingMessenger, make_member
 from geraniumspool.agent import Agent
 from geraniumspool.clock import SystemClock
 from geraniumspool.contracts import Announcement
@@ -70,7 +70,7 @@
         return True
 
 
-class Wire(Outbox):
+class RecordingMessenger(CountingMessenger):
     """Outbox that also keeps the sent messages in order.
 
     :ivar sent: receivers and messages since the last :meth:`take_all`
@@ -95,7 +95,7 @@
         return sent
 
 
-def make_agent(wire: Wire, domain: str) -> Agent:
+def make_agent(wire: RecordingMessenger, domain: str) -> Agent:
     """Return an agent with an in-memory store and minion; it is not started."""
     clock = SystemClock()
     counters = MemoryCounters()
@@ -104,7 +104,7 @@
     return Agent(settings, wire, store, InstantMinion(), clock, counters)
 
 
-class HomeSide:
+class HomeHarness:
     """A home without a minion, among generated workers that run no tasks.
 
     :ivar home_us: processor time spent in the home in microseconds, encoding included
@@ -117,7 +117,7 @@
         :param workers: number of workers in its roster
         """
         me = make_member(0, 9999, ROLE_AGENT)
-        self.wire = Wire(peer_of(me))
+        self.wire = RecordingMessenger(peer_of(me))
         self.entry = peer_of(make_member(0, 0, ROLE_ENTRY))
         agent = make_agent(self.wire, me.domain)
         for number in range(workers):
@@ -189,19 +189,19 @@
 def _measure_home() -> list[Slope]:
     job_us, messages, sizes = [], [], []
     for tasks in JOB_SIZES:
-        side = HomeSide(11)
-        side.run_job(tasks)
+        harness = HomeHarness(11)
+        harness.run_job(tasks)
         count = max(3, TIMED_TASKS // tasks)
         costs = []
         for _ in range(3):
-            side.home_us = 0.0
-            side.wire.reset()
+            harness.home_us = 0.0
+            harness.wire.reset()
             for _ in range(count):
-                side.run_job(tasks)
-            costs.append(side.home_us / count)
+                harness.run_job(tasks)
+            costs.append(harness.home_us / count)
         job_us.append(Point(tasks, sorted(costs)[1]))
-        messages.append(Point(tasks, side.wire.messages / count))
-        sizes.append(Point(tasks, side.wire.bytes / count))
+        messages.append(Point(tasks, harness.wire.messages / count))
+        sizes.append(Point(tasks, harness.wire.bytes / count))
     return [
         fit("home: one job, 11 workers / tasks", "us of processor", job_us),
         fit("home: messages sent for one job, 11 workers / tasks", "messages", messages),
@@ -212,14 +212,14 @@
 def _measure_candidates() -> list[Slope]:
     usable, jobs, wide = [], [], []
     for workers in WORKER_COUNTS:
-        side = HomeSide(workers)
-        usable.append(Point(workers, median_us(lambda s=side: _list_usable(s), 50)))
+        harness = HomeHarness(workers)
+        usable.append(Point(workers, median_us(lambda s=harness: _list_usable(s), 50)))
         for tasks, points in ((1, jobs), (40, wide)):
             costs = []
             for _ in range(15):
-                side.home_us = 0.0
-                side.run_job(tasks)
-                costs.append(side.home_us)
+                harness.home_us = 0.0
+                harness.run_job(tasks)
+                costs.append(harness.home_us)
             points.append(Point(workers, sorted(costs)[len(costs) // 2]))
     return [
         fit("home: list of usable workers / workers known", "us of processor", usable),
@@ -228,9 +228,9 @@
     ]
 
 
-def _list_usable(side: HomeSide) -> None:
+def _list_usable(harness: HomeHarness) -> None:
     for _ in range(50):
-        side.home._placer.list_workers()
+        harness.home._placer.list_workers()
 
 
 def _measure_runner() -> list[Slope]:
@@ -247,7 +247,7 @@
 
 def _run_batches(batch: int, count: int = 200) -> tuple[float, float]:
     me = peer_of(make_member(0, 1, ROLE_AGENT))
-    wire = Wire(me)
+    wire = RecordingMessenger(me)
     runner = make_agent(wire, "domain-00").runner
     runner.set_minion(Announcement(SERVICE, "http://127.0.0.1:9", SLOTS, 64))
     home = peer_of(make_member(0, 2, ROLE_AGENT))
@@ -297,13 +297,13 @@
     ]
 
 
-def _hold_jobs(jobs: int) -> HomeSide:
+def _hold_jobs(jobs: int) -> HomeHarness:
     """Return a home with running jobs of which no task has ended."""
-    side = HomeSide(11)
+    harness = HomeHarness(11)
     for _ in range(jobs):
-        side.submit(WIDE_JOB_TASKS)
-    side.wire.take_all()
-    return side
+        harness.submit(WIDE_JOB_TASKS)
+    harness.wire.take_all()
+    return harness
 
 
 def _keep_records(tasks: int) -> Records:
--- a/benchmarks/slope_membership.py
+++ b/benchmarks/slope_membership.py
@@ -37,7 +37,7 @@
 INCARNATION_BIT = 62
 
 
-class Outbox:
+class CountingMessenger:
     """Messenger that encodes and counts messages instead of sending them.
 
     :ivar messages: number of messages since the last :meth:`reset`
@@ -82,7 +82,7 @@
     return Member(address, incarnation, f"domain-{domain:02}", role, state, service, 0.0, load)
 
 
-class EntrySide:
+class EntryHarness:
     """Registry of one entry among generated entries and agents.
 
     :ivar near: agents of its own failure domain, all of which send it heartbeats
@@ -103,7 +103,7 @@
         """
         self.clock = clock or ManualClock()
         self.me = make_member(0, 0, ROLE_ENTRY)
-        self.outbox = Outbox(peer_of(self.me))
+        self.outbox = CountingMessenger(peer_of(self.me))
         self.roster = Roster(self.clock, self.me.domain)
         self.configuration = Configuration(self.clock, MemoryCounters())
         self.registry = Registry(
@@ -127,7 +127,7 @@
             self.registry.handle_digest(peer_of(entry), self.digest(entry, True))
         if join:
             for member in self.near:
-                self.beat(member, 0, 0)
+                self.deliver_heartbeat(member, 0, 0)
 
     def digest(self, entry: Member, whole: bool) -> Digest:
         """Return a digest from another entry.
@@ -143,17 +143,17 @@
             agents = [make_member(domain, number, ROLE_AGENT) for number in range(count)]
         return Digest(entry, whole, tuple(agents), (), ((entry.domain, 0),), 0, ())
 
-    def beat(self, member: Member, entry: int, version: int) -> int:
+    def deliver_heartbeat(self, member: Member, entry: int, version: int) -> int:
         """Deliver one encoded heartbeat and return its size in bytes."""
         data = encode(
             peer_of(member),
             self.outbox.local_peer.incarnation,
             self._make_heartbeat(member, entry, version),
         )
-        self.take(data)
+        self.deliver(data)
         return len(data)
 
-    def take(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         """Decode and deliver a message."""
         delivery: Delivery = decode(data)
         if isinstance(delivery.message, Digest):
@@ -163,13 +163,13 @@
         else:
             self.registry.handle_heartbeat(delivery.sender, delivery.message)
 
-    def let_pass(self) -> None:
+    def advance_period(self) -> None:
         """Advance the clock by a period in which every process sends its message."""
         self.clock.advance(PERIOD_MS)
         for entry in self.entries:
             self.registry.handle_digest(peer_of(entry), self.digest(entry, False))
         for data in self.heartbeats(len(self.near)):
-            self.take(data)
+            self.deliver(data)
 
     def heartbeats(self, count: int) -> list[bytes]:
         """Return encoded heartbeats from agents of the domain that have the current roster."""
@@ -215,17 +215,17 @@
 def _time_heartbeats(suffix: str, backlog_ms: float) -> list[Slope]:
     taken, sizes, lengths = [], [], []
     for members in MEMBER_COUNTS:
-        side = EntrySide(members)
-        loaded = [m._replace(load=m.load._replace(backlog_ms=backlog_ms)) for m in side.near]
-        side.near = loaded
-        beats = side.heartbeats(TIMED_HEARTBEATS)
-        for data in beats[: len(side.near)]:
-            side.take(data)
-        side.outbox.reset()
+        harness = EntryHarness(members)
+        loaded = [m._replace(load=m.load._replace(backlog_ms=backlog_ms)) for m in harness.near]
+        harness.near = loaded
+        beats = harness.heartbeats(TIMED_HEARTBEATS)
+        for data in beats[: len(harness.near)]:
+            harness.deliver(data)
+        harness.outbox.reset()
         taken.append(
-            Point(members, median_us(lambda s=side, b=beats: _deliver_all(s, b), len(beats)))
+            Point(members, median_us(lambda s=harness, b=beats: _deliver_all(s, b), len(beats)))
         )
-        sizes.append(Point(members, side.outbox.bytes / side.outbox.messages))
+        sizes.append(Point(members, harness.outbox.bytes / harness.outbox.messages))
         lengths.append(Point(members, sum(map(len, beats)) / len(beats)))
     return [
         fit(f"entry: heartbeat{suffix} taken and replied / members", "us of processor", taken),
@@ -234,24 +234,24 @@
     ]
 
 
-def _deliver_all(side: EntrySide, messages: list[bytes]) -> None:
+def _deliver_all(harness: EntryHarness, messages: list[bytes]) -> None:
     for data in messages:
-        side.take(data)
+        harness.deliver(data)
 
 
 def _measure_roster_change() -> list[Slope]:
     """Measure the first reply to a heartbeat after an agent of another domain was replaced."""
     points = []
     for members in MEMBER_COUNTS:
-        side = EntrySide(members)
-        source = peer_of(side.entries[1])
+        harness = EntryHarness(members)
+        source = peer_of(harness.entries[1])
         steps = []
         for number in range(10):
-            base = make_member(1, number % side.per_domain, ROLE_AGENT)
+            base = make_member(1, number % harness.per_domain, ROLE_AGENT)
             member = base._replace(incarnation=base.incarnation + 1000 + number)
-            beat = side.heartbeats(1)[0]
-            side.roster.apply_relayed(member, source)
-            steps.append(processor_us(lambda s=side, b=beat: s.take(b)))
+            beat = harness.heartbeats(1)[0]
+            harness.roster.apply_relayed(member, source)
+            steps.append(processor_us(lambda s=harness, b=beat: s.deliver(b)))
         points.append(Point(members, sorted(steps)[len(steps) // 2]))
     return [
         fit("entry: first heartbeat after a roster change / members", "us of processor", points)
@@ -261,26 +261,26 @@
 def _measure_digests() -> list[Slope]:
     rounds, sizes, messages, takes, received = [], [], [], [], []
     for members in MEMBER_COUNTS:
-        side = EntrySide(members)
+        harness = EntryHarness(members)
         for _ in range(2):
-            side.let_pass()
-            side.registry.run_round()
+            harness.advance_period()
+            harness.registry.run_round()
         steps, sent, count = [], 0, 0
         for _ in range(TIMED_ROUNDS):
-            side.let_pass()
-            side.outbox.reset()
-            steps.append(processor_us(side.registry.run_round))
-            sent += side.outbox.bytes
-            count += side.outbox.messages
+            harness.advance_period()
+            harness.outbox.reset()
+            steps.append(processor_us(harness.registry.run_round))
+            sent += harness.outbox.bytes
+            count += harness.outbox.messages
         rounds.append(Point(members, sum(steps) / TIMED_ROUNDS))
         sizes.append(Point(members, sent / TIMED_ROUNDS))
         messages.append(Point(members, count / TIMED_ROUNDS))
-        speaker = next(e for e in side.entries if e.domain != side.me.domain)
+        speaker = next(e for e in harness.entries if e.domain != harness.me.domain)
         data = encode(
-            peer_of(speaker), side.outbox.local_peer.incarnation, side.digest(speaker, False)
+            peer_of(speaker), harness.outbox.local_peer.incarnation, harness.digest(speaker, False)
         )
         takes.append(
-            Point(members, median_us(lambda s=side, d=data: _deliver_all(s, [d] * 50), 50))
+            Point(members, median_us(lambda s=harness, d=data: _deliver_all(s, [d] * 50), 50))
         )
         received.append(Point(members, len(data)))
     return [
@@ -296,16 +296,18 @@
     """Measure whole digests, as they are sent after a start or a partition between regions."""
     sent, sizes, taken, lengths = [], [], [], []
     for members in MEMBER_COUNTS:
-        side = EntrySide(members)
-        side.outbox.reset()
-        sent.append(Point(members, processor_us(side.registry.run_round) / 1000.0))
-        sizes.append(Point(members, side.outbox.bytes))
-        speaker = next(e for e in side.entries if e.domain != side.me.domain)
-        digest = side.digest(speaker, True)
+        harness = EntryHarness(members)
+        harness.outbox.reset()
+        sent.append(Point(members, processor_us(harness.registry.run_round) / 1000.0))
+        sizes.append(Point(members, harness.outbox.bytes))
+        speaker = next(e for e in harness.entries if e.domain != harness.me.domain)
+        digest = harness.digest(speaker, True)
         agents = tuple(m._replace(incarnation=m.incarnation + 1) for m in digest.members)
         whole = digest._replace(members=agents)
-        data = encode(peer_of(speaker), side.outbox.local_peer.incarnation, whole)
-        taken.append(Point(len(agents), processor_us(lambda s=side, d=data: s.take(d)) / 1000.0))
+        data = encode(peer_of(speaker), harness.outbox.local_peer.incarnation, whole)
+        taken.append(
+            Point(len(agents), processor_us(lambda s=harness, d=data: s.deliver(d)) / 1000.0)
+        )
         lengths.append(Point(len(agents), len(data)))
     return [
         fit("entry: round of whole digests / members", "ms of processor", sent),
@@ -319,57 +321,59 @@
     """Measure an entry while all agents of its failure domain start at once."""
     taken, sizes = [], []
     for members in MEMBER_COUNTS:
-        side = EntrySide(members, join=False)
-        me = side.outbox.local_peer.incarnation
-        first = [_encode_first_heartbeat(side, member, 0, 0) for member in side.near]
-        side.outbox.reset()
-        start_us = processor_us(lambda s=side, f=first: _deliver_all(s, f))
+        harness = EntryHarness(members, join=False)
+        me = harness.outbox.local_peer.incarnation
+        first = [_encode_first_heartbeat(harness, member, 0, 0) for member in harness.near]
+        harness.outbox.reset()
+        start_us = processor_us(lambda s=harness, f=first: _deliver_all(s, f))
         versions = {
             address: reply.roster_version
-            for address, reply in side.outbox.last.items()
+            for address, reply in harness.outbox.last.items()
             if isinstance(reply, HeartbeatReply)
         }
         second = [
-            encode(peer_of(m), me, Heartbeat(m, me, versions[m.address], 0)) for m in side.near
+            encode(peer_of(m), me, Heartbeat(m, me, versions[m.address], 0)) for m in harness.near
         ]
-        start_us += processor_us(lambda s=side, b=second: _deliver_all(s, b))
-        taken.append(Point(len(side.near), start_us / 1000.0))
-        sizes.append(Point(len(side.near), side.outbox.bytes))
+        start_us += processor_us(lambda s=harness, b=second: _deliver_all(s, b))
+        taken.append(Point(len(harness.near), start_us / 1000.0))
+        sizes.append(Point(len(harness.near), harness.outbox.bytes))
     return [
         fit("entry: a whole domain starts, 2 beats each / agents of it", "ms of processor", taken),
         fit("entry: a whole domain starts, replies / agents of it", "bytes", sizes),
     ]
 
 
-def _encode_first_heartbeat(side: EntrySide, member: Member, entry: int, version: int) -> bytes:
+def _encode_first_heartbeat(
+    harness: EntryHarness, member: Member, entry: int, version: int
+) -> bytes:
     beat = Heartbeat(member._replace(state=MEMBER_STARTING), entry, version, 0)
-    return encode(peer_of(member), side.outbox.local_peer.incarnation, beat)
+    return encode(peer_of(member), harness.outbox.local_peer.incarnation, beat)
 
 
-class AgentSide:
+class AgentHarness:
     """Roster and heartbeater of one agent, filled from an entry's complete reply.
 
     :ivar whole: reply to the agent's first heartbeat, with the complete roster
     :ivar reply: encoded reply to a later heartbeat
     """
 
-    def __init__(self, entry: EntrySide):
+    def __init__(self, entry: EntryHarness):
         """Make the first agent of the entry's domain and deliver the entry's replies to it."""
         self.me = entry.near[0]
         self.clock = ManualClock()
-        self.outbox = Outbox(peer_of(self.me))
+        self.outbox = CountingMessenger(peer_of(self.me))
         self.roster = Roster(self.clock, self.me.domain)
         configuration = Configuration(self.clock, MemoryCounters())
         self.beater = Heartbeater(
             self.outbox, self.roster, self.clock, lambda: self.me, configuration, PERIOD_MS
         )
         self.sender = entry.outbox.local_peer
-        entry.beat(self.me, 0, 0)
+        entry.deliver_heartbeat(self.me, 0, 0)
         self.whole = entry.outbox.last[self.me.address]
         self.take(encode(self.sender, self.outbox.local_peer.incarnation, self.whole))
         beat = entry.heartbeats(1)[0]
-        entry.take(beat)
-        entry.take(beat)
+        entry.deliver(beat)
+        entry.deliver(beat)
         later = entry.outbox.last[self.me.address]
         self.reply = encode(self.sender, self.outbox.local_peer.incarnation, later)
 
@@ -378,7 +382,7 @@
         delivery = decode(data)
         self.beater.handle_reply(delivery.sender, delivery.message)
 
-    def work(self, count: int) -> None:
+    def exchange_heartbeats(self, count: int) -> None:
         """Send a heartbeat and deliver the reply, ``count`` times."""
         for _ in range(count):
             self.beater.send_heartbeat()
@@ -388,11 +392,11 @@
 def _measure_agent() -> list[Slope]:
     taken, known, whole = [], [], []
     for members in MEMBER_COUNTS:
-        side = AgentSide(EntrySide(members))
-        taken.append(Point(members, median_us(lambda s=side: s.work(200), 200)))
-        known.append(Point(members, len(side.roster.members())))
-        data = encode(side.sender, side.outbox.local_peer.incarnation, side.whole)
-        whole.append(Point(len(side.roster.members()), len(data)))
+        harness = AgentHarness(EntryHarness(members))
+        taken.append(Point(members, median_us(lambda s=harness: s.exchange_heartbeats(200), 200)))
+        known.append(Point(members, len(harness.roster.members())))
+        data = encode(harness.sender, harness.outbox.local_peer.incarnation, harness.whole)
+        whole.append(Point(len(harness.roster.members()), len(data)))
     return [
         fit("agent: heartbeat sent and reply taken / members", "us of processor", taken),
         fit("agent: members known / members", "members", known),
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -35,8 +35,8 @@
     HOST,
     PREFIX,
     Callers,
+    DispatcherEndpoint,
     EagerCallers,
-    Entry,
     Outcome,
     PatientCallers,
     make_job,
@@ -47,11 +47,17 @@
     EVACUATIONS,
     FAULTS,
     MORE_FAULTS,
+    Deployment,
     Faults,
-    Surroundings,
 )
 from benchmarks.soak_processes import GRACE_S, Addresses, Process, Proxy
-from benchmarks.soak_witness import EVACUATION_S, WORKER_ROOM, EventLog, WatchedMinion, Witness
+from benchmarks.soak_witness import (
+    EVACUATION_S,
+    WORKER_ROOM,
+    CheckedMinion,
+    EventLog,
+    GuaranteeChecker,
+)
 from geraniumspool.clock import SystemClock
 from tests.platform_standin import MinionStandin, StoreStandin
 
@@ -113,7 +119,7 @@
         self._clock = SystemClock()
         self._addresses = Addresses()
         self._log = EventLog(Path(folder, "soak.log"))
-        self.witness = Witness(self._log)
+        self.checker = GuaranteeChecker(self._log)
         self.outcomes: list[Outcome] = []
         # An exit stack runs all callbacks even if one raises, so that no process is left behind.
         self._exit_stack = contextlib.ExitStack()
@@ -127,10 +133,10 @@
         with self._exit_stack:
             self._start_deployment()
             if not self._await_ready():
-                self.witness.note_broken("the system did not become ready")
+                self.checker.report_violation("the system did not become ready")
                 self._shut_down()
                 return
-            self.witness.begin()
+            self.checker.start_load()
             callers = eventlet.GreenPool(2_000)
             pause_s = self._random.choice(MAX_PAUSES_S) if self._has_early_callers else MAX_PAUSE_S
             faults = eventlet.spawn(self._make_faults().run, self._load_s - 2.0, pause_s)
@@ -162,53 +168,53 @@
         for number in range(EXECUTORS):
             self._start_worker(number)
         dispatchers = 3 if self._has_early_callers else 2
-        entries = [self._start_dispatcher(number) for number in range(dispatchers)]
-        self._entries = entries
-        self._patient = PatientCallers(entries)
-        self._eager = EagerCallers(entries, self.witness, self._seed)
+        endpoints = [self._start_dispatcher(number) for number in range(dispatchers)]
+        self._endpoints = endpoints
+        self._patient = PatientCallers(endpoints)
+        self._eager = EagerCallers(endpoints, self.checker, self._seed)
         self._callers: Callers = self._eager if self._has_early_callers else self._patient
 
     def _make_faults(self) -> Faults:
-        surroundings = Surroundings(
+        deployment = Deployment(
             self._dispatchers,
             self._executors,
             self._minion_proxies,
             self._store_standin,
             self._store_proxy,
-            self.witness,
+            self.checker,
             self._domains,
         )
-        return Faults(self._random, self._kinds, surroundings)
+        return Faults(self._random, self._kinds, deployment)
 
     def _start_worker(self, number: int) -> None:
         domain = self._domains[number % len(self._domains)]
         # Seeds without early callers lose the same calls at all minions.
         seed = self._seed + number if self._has_early_callers else 1
-        minion = WatchedMinion(self._clock, f"i-{number}", self.witness, domain, seed)
+        minion = CheckedMinion(self._clock, f"i-{number}", self.checker, domain, seed)
         if self._has_early_callers:
             minion.stop_limit_ms = STOP_LIMIT_MS
         proxy = Proxy(self._serve(MinionStandin(minion)))
         self._minion_proxies.append(proxy)
         self._exit_stack.callback(proxy.close)
-        listen = self._addresses.take()
+        listen = self._addresses.reserve()
         settings = self._common_settings(f"executor-{number}", domain) | {"minion_listen": listen}
         settings["evacuation_ms"] = EVACUATION_S * 1_000
         self._executors.append(self._start_process("executor", settings))
         task = eventlet.spawn(self._send_heartbeats, minion, proxy.address, listen)
         self._exit_stack.callback(task.kill)
 
-    def _start_dispatcher(self, number: int) -> Entry:
-        callers, ready = self._addresses.take(), self._addresses.take()
+    def _start_dispatcher(self, number: int) -> DispatcherEndpoint:
+        callers, ready = self._addresses.reserve(), self._addresses.reserve()
         settings = self._common_settings(
             f"dispatcher-{number}", self._domains[number % len(self._domains)]
         )
         settings |= {"callers_listen": callers, "ready_listen": ready}
         process = self._start_process("dispatcher", settings)
         self._dispatchers.append(process)
-        return Entry(callers, process)
+        return DispatcherEndpoint(callers, process)
 
     def _common_settings(self, name: str, domain: str) -> dict:
-        inbox = f"tcp://{self._addresses.take()}"
+        inbox = f"tcp://{self._addresses.reserve()}"
         store = self._store_proxy.address
         return {"name": name, "domain": domain, "inbox": inbox, "store": store, "grace_s": GRACE_S}
 
@@ -217,7 +223,7 @@
         self._exit_stack.callback(process.close)
         return process
 
-    def _send_heartbeats(self, minion: WatchedMinion, address: str, listen: str) -> None:
+    def _send_heartbeats(self, minion: CheckedMinion, address: str, listen: str) -> None:
         http = urllib3.PoolManager(retries=False)
         while True:
             life = minion.incarnation = minion.incarnation._replace(
@@ -243,7 +249,9 @@
         end = time.monotonic() + READY_S
         job = make_job("0" * 16, 0)
         while time.monotonic() < end:
-            answers = [self._patient.post(entry.address, job)[0] for entry in self._entries]
+            answers = [
+                self._patient.post(dispatcher.address, job)[0] for dispatcher in self._endpoints
+            ]
             self._log.write("readiness", statuses=answers)
             if all(status == 200 for status in answers):
                 return True
@@ -264,18 +272,18 @@
     def _shut_down(self) -> None:
         processes = [*self._executors, *self._dispatchers]
         for process in processes:
-            if process.has_ended_by_itself:
-                self.witness.note_broken(f"{process.name} ended unexpectedly")
+            if process.has_ended_unexpectedly:
+                self.checker.report_violation(f"{process.name} ended unexpectedly")
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGTERM)
         for process in processes:
             if not process.await_end(GRACE_S + 3.0):
-                self.witness.note_broken(f"{process.name} did not exit in time")
+                self.checker.report_violation(f"{process.name} did not exit in time")
 
     def _check_outcomes(self) -> None:
         for outcome in self.outcomes:
             answers = (outcome.succeeded, outcome.refused)
-            self.witness.judge_job(outcome.job, outcome.tasks, *answers)
+            self.checker.check_job(outcome.job, outcome.tasks, *answers)
 
 
 def _keep_logs(folder: str, kept: Path) -> None:
@@ -286,16 +294,16 @@
 
 def _print_result(seed: int, soak: Soak) -> None:
     """Print the results of one seed."""
-    outcomes, broken = soak.outcomes, soak.witness.broken
+    outcomes, violations = soak.outcomes, soak.checker.violations
     served = sum(outcome.succeeded for outcome in outcomes)
     refused = sum(outcome.refused for outcome in outcomes)
     unanswered = sum(not outcome.answered for outcome in outcomes)
     text = f"seed {seed}: {served} of {len(outcomes)} served, {refused} refused"
     print(f"{text}, {unanswered} without an answer", flush=True)
-    for line in broken[:10]:
+    for line in violations[:10]:
         print(f"  broken: {line}", flush=True)
-    if broken:
-        print(f"  broken in all: {len(broken)}", flush=True)
+    if violations:
+        print(f"  broken in all: {len(violations)}", flush=True)
 
 
 def main(first: int, count: int, kept: str = "") -> int:
@@ -316,10 +324,10 @@
             _print_result(seed, soak)
             jobs += len(soak.outcomes)
             served += sum(outcome.succeeded for outcome in soak.outcomes)
-            starts += sum(soak.witness.starts.values())
-            if soak.witness.first_twice_s is not None:
-                twice.append((seed, round(soak.witness.first_twice_s, 2)))
-            if soak.witness.broken:
+            starts += sum(soak.checker.starts.values())
+            if soak.checker.first_double_run_s is not None:
+                twice.append((seed, round(soak.checker.first_double_run_s, 2)))
+            if soak.checker.violations:
                 failed.append(seed)
                 place = kept and str(Path(kept, str(seed)))
                 place = place or tempfile.mkdtemp(prefix=f"soak-{seed}-")
--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -13,7 +13,7 @@
 import urllib3
 
 from benchmarks.soak_processes import Process
-from benchmarks.soak_witness import Witness
+from benchmarks.soak_witness import GuaranteeChecker
 
 HOST = "soak.example"
 PREFIX = "/scan/"
@@ -68,7 +68,7 @@
     answered: bool
 
 
-class Entry(NamedTuple):
+class DispatcherEndpoint(NamedTuple):
     """A dispatcher.
 
     :param address: host and port of its callers' listener
@@ -104,9 +104,9 @@
 class PatientCallers:
     """Callers that wait for the response, and retry after ``RESEND_S`` if there was none."""
 
-    def __init__(self, entries: list[Entry]):
+    def __init__(self, dispatchers: list[DispatcherEndpoint]):
         """Take the dispatchers to call."""
-        self._addresses = [entry.address for entry in entries]
+        self._addresses = [dispatcher.address for dispatcher in dispatchers]
         self._http = urllib3.PoolManager(maxsize=200, retries=False)
 
     def call(self, job_id: str, number: int) -> Outcome:
@@ -139,9 +139,9 @@
 class _Connection:
     """A caller's connection to one dispatcher."""
 
-    def __init__(self, entry: Entry):
-        self.entry = entry
-        self._http = http.client.HTTPConnection(entry.address, timeout=EAGER_TIMEOUT_S)
+    def __init__(self, dispatcher: DispatcherEndpoint):
+        self.dispatcher = dispatcher
+        self._http = http.client.HTTPConnection(dispatcher.address, timeout=EAGER_TIMEOUT_S)
         self._opened_s = 0.0
 
     def connect(self) -> None:
@@ -154,8 +154,8 @@
 
         :param sent_s: time at which the request was sent
         """
-        process = self.entry.process
-        return process.calm_since_s < sent_s and process.started_s < self._opened_s
+        process = self.dispatcher.process
+        return process.unaffected_since_s < sent_s and process.started_s < self._opened_s
 
     def send(self, job: Job, share: float = 1.0) -> None:
         """Send a request.
@@ -184,13 +184,13 @@
     A missing response is reported as a violation if no fault affected the dispatcher.
     """
 
-    def __init__(self, entries: list[Entry], witness: Witness, seed: int):
+    def __init__(self, dispatchers: list[DispatcherEndpoint], checker: GuaranteeChecker, seed: int):
         """Take the dispatchers to call.
 
         :param seed: determines the behavior of the callers
         """
-        self._entries = entries
-        self._witness = witness
+        self._dispatchers = dispatchers
+        self._checker = checker
         self._seed = seed
         self._answers: dict[str, list[tuple[int, str]]] = {}
         self._behaviors: tuple[tuple[Callable[[Job, random.Random], None], int], ...] = (
@@ -216,14 +216,14 @@
         :param until_s: monotonic time after which no new job is submitted
         """
         rng = random.Random(f"{self._seed}/kept {number}")
-        connection = _Connection(rng.choice(self._entries))
+        connection = _Connection(rng.choice(self._dispatchers))
         outcomes = []
         while time.monotonic() < until_s:
             job = make_job(f"{rng.getrandbits(64):016x}", rng.randrange(1_000))
             retry_until_s = time.monotonic() + RETRY_LIMIT_S
             while self._try(connection, job) in RETRIED and time.monotonic() < retry_until_s:
                 if self._answers[job.job_id][-1][0] == UNANSWERED:
-                    connection = _Connection(rng.choice(self._entries))
+                    connection = _Connection(rng.choice(self._dispatchers))
                 eventlet.sleep(rng.uniform(0.0, MAX_RETRY_PAUSE_S))
             outcome = self._make_outcome(job)
             outcomes.append(outcome)
@@ -243,63 +243,68 @@
             any(status != UNANSWERED for status, _ in awaited),
         )
 
-    def _draw_entry(self, rng: random.Random) -> Entry:
-        return rng.choice(self._entries)
+    def _draw_dispatcher(self, rng: random.Random) -> DispatcherEndpoint:
+        return rng.choice(self._dispatchers)
 
-    def _wait_for_answer(self, job: Job, rng: random.Random, entry: Entry | None = None) -> None:
+    def _wait_for_answer(
+        self, job: Job, rng: random.Random, dispatcher: DispatcherEndpoint | None = None
+    ) -> None:
         """Wait for the response, and retry at once if there is none or it is not final."""
-        entry = entry or self._draw_entry(rng)
+        dispatcher = dispatcher or self._draw_dispatcher(rng)
         retry_until_s = time.monotonic() + RETRY_LIMIT_S
-        while self._try_once(entry, job) in RETRIED and time.monotonic() < retry_until_s:
-            entry = self._draw_entry(rng)
+        while self._try_once(dispatcher, job) in RETRIED and time.monotonic() < retry_until_s:
+            dispatcher = self._draw_dispatcher(rng)
             eventlet.sleep(rng.uniform(0.0, MAX_RETRY_PAUSE_S))
 
     def _retry_later(self, job: Job, rng: random.Random) -> None:
         for _ in range(TRIES):
-            if self._try_once(self._draw_entry(rng), job) not in RETRIED:
+            if self._try_once(self._draw_dispatcher(rng), job) not in RETRIED:
                 return
             eventlet.sleep(RESEND_S)
 
     def _disconnect_repeatedly(self, job: Job, rng: random.Random) -> None:
         """Disconnect a few times in the middle of a request, then wait for the response."""
-        entry = self._draw_entry(rng)
+        dispatcher = self._draw_dispatcher(rng)
         for _ in range(rng.randint(1, 3)):
             disconnect_after_s = rng.choice(
                 (0.0, rng.uniform(0.0, MAX_WAIT_BEFORE_DISCONNECT_S), MAX_WAIT_BEFORE_DISCONNECT_S)
             )
             share = rng.choice((1.0, 1.0, 1.0, 1.0, 1.0, 0.5))
-            connection = _Connection(entry)
+            connection = _Connection(dispatcher)
             status = self._try(connection, job, disconnect_after_s, share)
             connection.close(resets=rng.random() < 0.5)
             if status not in (DISCONNECTED, *RETRIED):
                 return
             eventlet.sleep(rng.choice((0.0, rng.uniform(0.0, RECONNECT_S))))
-            entry = rng.choice((entry, self._draw_entry(rng)))
-        self._wait_for_answer(job, rng, entry)
+            dispatcher = rng.choice((dispatcher, self._draw_dispatcher(rng)))
+        self._wait_for_answer(job, rng, dispatcher)
 
     def _call_two_dispatchers(self, job: Job, rng: random.Random) -> None:
         """Submit the job to two dispatchers at the same time and wait for both."""
         pool = eventlet.GreenPool()
-        for place, entry in enumerate(rng.sample(self._entries, 2)):
+        for place, dispatcher in enumerate(rng.sample(self._dispatchers, 2)):
             own_random = random.Random(f"{self._seed}/{job.job_id}/{place}")
-            pool.spawn_n(self._wait_for_answer, job, own_random, entry)
+            pool.spawn_n(self._wait_for_answer, job, own_random, dispatcher)
         pool.waitall()
 
     def _send_duplicates(self, job: Job, rng: random.Random) -> None:
         """Send duplicates of the request at random times, before and after the response."""
         pool = eventlet.GreenPool()
         for _ in range(rng.randint(1, 3)):
-            after_s, entry = rng.uniform(0.0, MAX_DUPLICATE_DELAY_S), self._draw_entry(rng)
-            pool.spawn_n(self._try_after, after_s, entry, job)
+            after_s, dispatcher = (
+                rng.uniform(0.0, MAX_DUPLICATE_DELAY_S),
+                self._draw_dispatcher(rng),
+            )
+            pool.spawn_n(self._try_after, after_s, dispatcher, job)
         self._wait_for_answer(job, rng)
         pool.waitall()
 
-    def _try_after(self, after_s: float, entry: Entry, job: Job) -> None:
+    def _try_after(self, after_s: float, dispatcher: DispatcherEndpoint, job: Job) -> None:
         eventlet.sleep(after_s)
-        self._try_once(entry, job)
+        self._try_once(dispatcher, job)
 
-    def _try_once(self, entry: Entry, job: Job) -> int:
-        connection = _Connection(entry)
+    def _try_once(self, dispatcher: DispatcherEndpoint, job: Job) -> int:
+        connection = _Connection(dispatcher)
         status = self._try(connection, job)
         connection.close()
         return status
@@ -316,7 +321,7 @@
         :param disconnect_after_s: time until the caller disconnects; None to wait for the response
         :param share: share of the body to send
         """
-        log, name = self._witness.log, connection.entry.process.name
+        log, name = self._checker.log, connection.dispatcher.process.name
         log.write("job sent", job=job.job_id, dispatcher=name, share=share)
         answer = self._exchange(connection, job, disconnect_after_s, share)
         status, state = answer
@@ -342,7 +347,7 @@
         except (OSError, http.client.HTTPException) as error:
             connection.close()
             if connection.owes_answer(began_s):
-                name, waited_s = connection.entry.process.name, time.monotonic() - began_s
+                name, waited_s = connection.dispatcher.process.name, time.monotonic() - began_s
                 text = f"{job.job_id} was not answered by {name} after {waited_s:.2f} s: {error!r}"
-                self._witness.note_broken(text)
+                self._checker.report_violation(text)
             return UNANSWERED, ""
--- a/benchmarks/soak_faults.py
+++ b/benchmarks/soak_faults.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from benchmarks.soak_processes import GRACE_S, Process, Proxy
-from benchmarks.soak_witness import Witness
+from benchmarks.soak_witness import GuaranteeChecker
 from geraniumspool.memory_minion import RANDOM_FAULTS, ScriptedFault
 from tests.platform_standin import StoreStandin
 
@@ -36,7 +36,7 @@
 PAUSE_COUNTS = (3, 12)
 
 
-class Surroundings(NamedTuple):
+class Deployment(NamedTuple):
     """The parts of a deployment that faults can affect."""
 
     dispatchers: list[Process]
@@ -44,14 +44,14 @@
     minion_proxies: list[Proxy]
     store: StoreStandin
     store_proxy: Proxy
-    witness: Witness
+    checker: GuaranteeChecker
     domains: tuple[str, ...]
 
 
 class Faults:
     """Draws faults and injects them."""
 
-    def __init__(self, drawn: random.Random, kinds: tuple[str, ...], around: Surroundings):
+    def __init__(self, drawn: random.Random, kinds: tuple[str, ...], around: Deployment):
         """Prepare; faults start with :meth:`run`.
 
         :param drawn: random source of all draws
@@ -61,7 +61,7 @@
         """
         self._random = drawn
         self._kinds = kinds
-        self._surroundings = around
+        self._deployment = around
         self._processes = [*around.executors, *around.dispatchers]
 
     def run(self, total_s: float, longest_pause_s: float) -> None:
@@ -74,14 +74,14 @@
         end = time.monotonic() + total_s
         while time.monotonic() < end:
             kind = self._random.choice(self._kinds)
-            self._surroundings.witness.log.write("fault begins", kind=kind)
+            self._deployment.checker.log.write("fault begins", kind=kind)
             pool.spawn_n(getattr(self, "_do_" + kind))
             eventlet.sleep(self._random.uniform(MIN_PAUSE_S, longest_pause_s))
         pool.waitall()
 
     def _signal(self, process: Process, number: int) -> None:
         name = signal.Signals(number).name
-        self._surroundings.witness.log.write("signal sent", process=process.name, signal=name)
+        self._deployment.checker.log.write("signal sent", process=process.name, signal=name)
         process.signal(number)
 
     def _replace(self, processes: list[Process], longest_s: float) -> None:
@@ -98,7 +98,7 @@
 
     def _start_if_ended(self, process: Process) -> None:
         if process.has_ended:
-            self._surroundings.witness.log.write("process started", process=process.name)
+            self._deployment.checker.log.write("process started", process=process.name)
             process.start()
 
     def _do_stop(self) -> None:
@@ -124,14 +124,14 @@
         self._start_if_ended(process)
 
     def _do_kill_dispatcher(self) -> None:
-        self._replace([self._random.choice(self._surroundings.dispatchers)], 1.0)
+        self._replace([self._random.choice(self._deployment.dispatchers)], 1.0)
 
     def _do_kill_all_dispatchers(self) -> None:
-        self._replace(self._surroundings.dispatchers, 0.5)
+        self._replace(self._deployment.dispatchers, 0.5)
 
     def _do_kill_executor(self) -> None:
         """Kill an executor while its minion keeps running."""
-        self._replace([self._random.choice(self._surroundings.executors)], 2.0)
+        self._replace([self._random.choice(self._deployment.executors)], 2.0)
 
     def _do_term(self) -> None:
         process = self._random.choice(self._processes)
@@ -140,63 +140,63 @@
         self._start_if_ended(process)
 
     def _do_silence_minion(self) -> None:
-        proxy = self._random.choice(self._surroundings.minion_proxies)
-        proxy.silent = True
+        proxy = self._random.choice(self._deployment.minion_proxies)
+        proxy.is_stalled = True
         eventlet.sleep(self._random.uniform(0.1, 1.5))
-        proxy.silent = False
+        proxy.is_stalled = False
 
     def _do_mute_minion(self) -> None:
-        minion = self._random.choice(self._surroundings.witness.minions)
+        minion = self._random.choice(self._deployment.checker.minions)
         minion.loses_answers = True
         eventlet.sleep(self._random.uniform(0.1, 1.5))
         minion.loses_answers = False
 
     def _do_lose_calls(self) -> None:
-        minion = self._random.choice(self._surroundings.witness.minions)
+        minion = self._random.choice(self._deployment.checker.minions)
         minion.loss_probability = self._random.uniform(0.05, 0.4)
         eventlet.sleep(self._random.uniform(0.5, 3.0))
         minion.loss_probability = 0.0
 
     def _do_reset_minion(self) -> None:
-        self._random.choice(self._surroundings.minion_proxies).reset()
+        self._random.choice(self._deployment.minion_proxies).reset()
 
     def _do_restart_minion(self) -> None:
         """Crash a minion and start it again under the same name."""
-        proxies = self._surroundings.minion_proxies
+        proxies = self._deployment.minion_proxies
         index = self._random.randrange(len(proxies))
         proxies[index].reset()
-        proxies[index].silent = True
-        self._surroundings.witness.minions[index].restart()
+        proxies[index].is_stalled = True
+        self._deployment.checker.minions[index].restart()
         eventlet.sleep(self._random.choice((0.0, 0.3, 1.5)))
-        proxies[index].silent = False
+        proxies[index].is_stalled = False
 
     def _do_cut_store(self) -> None:
-        self._surroundings.store_proxy.silent = True
-        self._surroundings.witness.note_cut(True)
+        self._deployment.store_proxy.is_stalled = True
+        self._deployment.checker.note_store_unreachable(True)
         eventlet.sleep(self._random.uniform(0.3, 2.0))
-        self._surroundings.store_proxy.silent = False
-        self._surroundings.witness.note_cut(False)
+        self._deployment.store_proxy.is_stalled = False
+        self._deployment.checker.note_store_unreachable(False)
 
     def _do_evacuate(self) -> None:
-        domain = self._random.choice(self._surroundings.domains)
+        domain = self._random.choice(self._deployment.domains)
         key = f"op/evacuate/{domain}"
-        store = self._surroundings.store.store
+        store = self._deployment.store.store
         written = store.swap(key, 0, b"{}")
         if not written.swapped:
             return
-        self._surroundings.witness.note_evacuated(domain, True)
+        self._deployment.checker.note_evacuated(domain, True)
         eventlet.sleep(self._random.uniform(0.5, 5.0))
-        self._surroundings.witness.note_evacuated(domain, False)
+        self._deployment.checker.note_evacuated(domain, False)
         store.delete(key, written.revision)
 
     def _do_late_start(self) -> None:
-        minion = self._random.choice(self._surroundings.witness.minions)
+        minion = self._random.choice(self._deployment.checker.minions)
         late_ms = self._random.uniform(50, 3_000)
         minion.inject_fault(ScriptedFault("start", self._random.choice(RANDOM_FAULTS), late_ms))
 
     def _do_late_call(self) -> None:
         """Lose a few calls of one kind, or execute them late."""
-        minion = self._random.choice(self._surroundings.witness.minions)
+        minion = self._random.choice(self._deployment.checker.minions)
         call = self._random.choice(("start", "stop", "stop", "look"))
         for _ in range(self._random.randint(1, 3)):
             late_ms = self._random.uniform(5, 3_000)
--- a/benchmarks/soak_processes.py
+++ b/benchmarks/soak_processes.py
@@ -21,14 +21,14 @@
     """TCP proxy on loopback whose connections can be stalled or reset.
 
     :ivar address: host and port that it listens on
-    :ivar silent: whether data is held back, in both directions
+    :ivar is_stalled: whether data is held back, in both directions
     """
 
     def __init__(self, target: str):
         self._target = (target.rpartition(":")[0], int(target.rpartition(":")[2]))
         self._listener = eventlet.listen(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
-        self.silent = False
+        self.is_stalled = False
         self._connections: set = set()
         self._task = eventlet.spawn(self._accept)
 
@@ -58,7 +58,7 @@
     def _forward(self, source, sink) -> None:
         try:
             while data := source.recv(65_536):
-                while self.silent:
+                while self.is_stalled:
                     eventlet.sleep(0.02)
                 sink.sendall(data)
         except (OSError, EOFError):
@@ -82,7 +82,7 @@
         self._host = f"127.{1 + pid // 65_536 % 254}.{pid // 256 % 256}.{1 + pid % 254}"
         self._taken: set[int] = {0}
 
-    def take(self) -> str:
+    def reserve(self) -> str:
         """Return a host and port that was not returned before."""
         port = 0
         while port in self._taken:
@@ -97,8 +97,8 @@
     """One dispatcher or executor, which can be started again after it has ended.
 
     :ivar started_s: monotonic time of the last start
-    :ivar calm_since_s: monotonic time since which no fault has affected it, that is of its last
-        start or resumption; infinite while it is suspended, and once it was told to end
+    :ivar unaffected_since_s: monotonic time since which no fault has affected it, that is of its
+        last start or resumption; infinite while it is suspended, and once it was told to end
     """
 
     def __init__(self, role: str, settings: dict, folder: str):
@@ -123,7 +123,7 @@
         # threads, so that no second fault can start the process meanwhile.
         self._pid = os.posix_spawn(sys.executable, command, variables, file_actions=actions)
         self._has_ended = self._is_to_end = False
-        self.started_s = self.calm_since_s = time.monotonic()
+        self.started_s = self.unaffected_since_s = time.monotonic()
 
     @property
     def has_ended(self) -> bool:
@@ -133,7 +133,7 @@
         return self._has_ended
 
     @property
-    def has_ended_by_itself(self) -> bool:
+    def has_ended_unexpectedly(self) -> bool:
         """Whether the process has ended without a signal to do so."""
         return self.has_ended and not self._is_to_end
 
@@ -144,7 +144,7 @@
         if number in (signal.SIGKILL, signal.SIGTERM):
             self._is_to_end = True
         is_resumed = number == signal.SIGCONT and not self._is_to_end
-        self.calm_since_s = time.monotonic() if is_resumed else math.inf
+        self.unaffected_since_s = time.monotonic() if is_resumed else math.inf
         os.kill(self._pid, number)
 
     def await_end(self, limit_s: float) -> bool:
--- a/benchmarks/soak_witness.py
+++ b/benchmarks/soak_witness.py
@@ -37,35 +37,35 @@
         self._file.close()
 
 
-class Witness:
+class GuaranteeChecker:
     """Checks every start at all minions and every answer against the guarantees.
 
-    :ivar broken: descriptions of the violations, each after its time in seconds
+    :ivar violations: descriptions of the violations, each after its time in seconds
     :ivar starts: number of starts by task
     :ivar done: tasks that were done
-    :ivar first_twice_s: time in seconds from the start of the load until a task first had two
+    :ivar first_double_run_s: time in seconds from the start of the load until a task first had two
         runs at a time, None if none had
     """
 
     def __init__(self, log: EventLog):
-        self.minions: list[WatchedMinion] = []
-        self.broken: list[str] = []
+        self.minions: list[CheckedMinion] = []
+        self.violations: list[str] = []
         self.starts: dict[str, int] = {}
         self.done: set[str] = set()
-        self.first_twice_s: float | None = None
+        self.first_double_run_s: float | None = None
         self.log = log
         self._began_s = time.monotonic()
         self._evacuated_since_s: dict[str, float] = {}
         self._store_cut_until_s = 0.0
 
-    def begin(self) -> None:
+    def start_load(self) -> None:
         """Record that the load starts."""
         self._began_s = time.monotonic()
 
-    def note_broken(self, text: str) -> None:
+    def report_violation(self, text: str) -> None:
         """Record that a guarantee was violated."""
         since_s = time.monotonic() - self._began_s
-        self.broken.append(f"{since_s:.3f} s: {text}")
+        self.violations.append(f"{since_s:.3f} s: {text}")
         self.log.write("guarantee violated", text=text)
 
     def note_evacuated(self, domain: str, is_evacuated: bool) -> None:
@@ -74,38 +74,40 @@
         if is_evacuated:
             self._evacuated_since_s[domain] = time.monotonic()
 
-    def note_cut(self, is_cut: bool) -> None:
+    def note_store_unreachable(self, is_cut: bool) -> None:
         """Record that the store is unreachable for all processes, or reachable again."""
         self._store_cut_until_s = math.inf if is_cut else time.monotonic()
 
-    def _check_not_evacuated(self, minion: "WatchedMinion", task: str) -> None:
+    def _check_not_evacuated(self, minion: "CheckedMinion", task: str) -> None:
         since = self._evacuated_since_s.get(minion.domain)
         if since is None:
             return
         waited_s = time.monotonic() - max(since, self._store_cut_until_s)
         if waited_s > EVACUATION_S + LATE_START_S:
-            self.note_broken(f"{task} started in {minion.domain}, evacuated {waited_s:.1f} s ago")
+            self.report_violation(
+                f"{task} started in {minion.domain}, evacuated {waited_s:.1f} s ago"
+            )
 
-    def _check_single_run(self, minion: "WatchedMinion", started: RunKey) -> None:
+    def _check_single_run(self, minion: "CheckedMinion", started: RunKey) -> None:
         for other in self.minions:
             for key, state in other.list_runs():
                 if key.task != started.task or (other is minion and key == started):
                     continue
-                if self.first_twice_s is None:
-                    self.first_twice_s = time.monotonic() - self._began_s
+                if self.first_double_run_s is None:
+                    self.first_double_run_s = time.monotonic() - self._began_s
                 new = f"run {started.attempt} began at {minion.name}"
                 old = f"run {key.attempt} is {state} at {other.name}"
-                self.note_broken(f"{started.task} runs twice: {new}, {old}")
+                self.report_violation(f"{started.task} runs twice: {new}, {old}")
 
-    def note_start(self, minion: "WatchedMinion", key: RunKey) -> None:
+    def note_start(self, minion: "CheckedMinion", key: RunKey) -> None:
         """Check a start against all other runs, those being stopped included."""
         self._check_not_evacuated(minion, key.task)
         self.starts[key.task] = self.starts.get(key.task, 0) + 1
         self._check_single_run(minion, key)
         if not WORKER_ROOM.fits(minion.peak_used):
-            self.note_broken(f"{minion.name} was given {minion.peak_used} of {WORKER_ROOM}")
+            self.report_violation(f"{minion.name} was given {minion.peak_used} of {WORKER_ROOM}")
 
-    def judge_job(self, job: str, tasks: int, succeeded: bool, refused: bool) -> None:
+    def check_job(self, job: str, tasks: int, succeeded: bool, refused: bool) -> None:
         """Check the answers to a job against its starts and the tasks that were done.
 
         :param tasks: number of its tasks
@@ -116,26 +118,28 @@
             minion.advance()
         names = [f"{job}.0.0.{index}" for index in range(tasks)]
         if refused and any(name in self.starts for name in names):
-            self.note_broken(f"{job} was refused but has run")
+            self.report_violation(f"{job} was refused but has run")
         if succeeded and not self.done.issuperset(names):
-            self.note_broken(f"{job} succeeded but a task of it was not done")
+            self.report_violation(f"{job} succeeded but a task of it was not done")
 
 
-class WatchedMinion(MemoryMinion):
-    """In-memory minion that reports its runs to the witness.
+class CheckedMinion(MemoryMinion):
+    """In-memory minion that reports its runs to the checker.
 
     :ivar stop_limit_ms: longest time that stopping a run takes, which is drawn for each; None
         for the default time
     """
 
-    def __init__(self, clock: SystemClock, name: str, witness: Witness, domain: str, seed: int):
+    def __init__(
+        self, clock: SystemClock, name: str, checker: GuaranteeChecker, domain: str, seed: int
+    ):
         super().__init__(clock, name, WORKER_ROOM, seed)
         self.name = name
         self.domain = domain
         self.stop_limit_ms: float | None = None
         self._stop_random = random.Random(f"{seed}/{name}")
-        self._witness = witness
-        witness.minions.append(self)
+        self._checker = checker
+        checker.minions.append(self)
 
     def list_runs(self) -> Iterable[tuple[RunKey, str]]:
         """Return the present runs, each with whether it is at work or being stopped."""
@@ -151,7 +155,7 @@
 
     def restart(self):
         """Crash and restart under the same name."""
-        self._witness.log.write("minion restarted", minion=self.name)
+        self._checker.log.write("minion restarted", minion=self.name)
         super().restart()
 
     def _start(self, key, payload, lease_until_ms, fence):
@@ -159,7 +163,7 @@
         answer = super()._start(key, payload, lease_until_ms, fence)
         if len(self.started) > before:
             self._log_run("run started", key)
-            self._witness.note_start(self, key)
+            self._checker.note_start(self, key)
         return answer
 
     def _stop(self, key, fence):
@@ -178,8 +182,8 @@
         for end in self._ended:
             if end.sequence >= before:
                 self._log_run("run ended", end.key, how=end.how)
-        self._witness.done.update(end.key.task for end in self._ended if end.how == RUN_DONE)
+        self._checker.done.update(end.key.task for end in self._ended if end.how == RUN_DONE)
 
     def _log_run(self, message: str, key: RunKey, **fields: object) -> None:
         place = {"minion": self.name, "task": key.task, "attempt": key.attempt}
-        self._witness.log.write(message, **place, **fields)
+        self._checker.log.write(message, **place, **fields)
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -19,7 +19,7 @@
 from geraniumspool.minion import Fault, FaultKind
 from tests.world import TEAM, Job, Process, World
 
-STEPS = 60
+DEFAULT_STEPS = 60
 DOMAINS = 3
 AGENTS = 2
 PAUSES_MS = (1.0, 40.0, 300.0, 900.0, 2_500.0)
@@ -41,14 +41,14 @@
 OUTCOME_COMPLETE = "complete"
 
 
-class Storm:
+class RandomFaultRun:
     """One run of random acts and faults in a deployment of its own.
 
     :ivar acts: descriptions of all acts in order, each after its time in milliseconds
     :ivar violations: descriptions of the violated guarantees
     """
 
-    def __init__(self, seed: int, steps: int = STEPS):
+    def __init__(self, seed: int, steps: int = DEFAULT_STEPS):
         """Start the deployment; acts begin with :meth:`run`.
 
         :param seed: determines every act and the fault of every message
@@ -120,7 +120,7 @@
         tasks = self._random.randint(1, MAX_TASKS)
         runs = [self._random.choice(RUNS_MS) for _ in range(tasks)]
         home = self._random.choice([*self.world.agents, None])
-        self._jobs.append(self.world.job(home, runs, self._random.choice(DEADLINES_MS)))
+        self._jobs.append(self.world.make_job(home, runs, self._random.choice(DEADLINES_MS)))
         self._submit(entry, self._jobs[-1])
 
     def _submit(self, entry: Process, job: Job) -> None:
@@ -131,9 +131,11 @@
 
     def _toggle_message_faults(self) -> None:
         network = self.world.network
-        network.storm = None if network.storm else random.Random(self._random.random())
+        network.random_faults = (
+            None if network.random_faults else random.Random(self._random.random())
+        )
         self._record_act(
-            "messages are lost, doubled and late" if network.storm else "messages arrive"
+            "messages are lost, doubled and late" if network.random_faults else "messages arrive"
         )
 
     def _partition_domains(self) -> None:
@@ -225,7 +227,7 @@
         self._record_act("all faults end")
         self._clear_store_faults()
         self._clear_minion_faults()
-        self.world.quiet()
+        self.world.end_faults_and_settle()
         self._replace_drained()
         self.world.run(SETTLE_MS)
 
@@ -294,7 +296,9 @@
         """Check that every home completes a job from every entry."""
         calls = []
         for entry in self.world.entries:
-            jobs = [self.world.job(home, RUNS_MS, PROBE_DEADLINE_MS) for home in self.world.agents]
+            jobs = [
+                self.world.make_job(home, RUNS_MS, PROBE_DEADLINE_MS) for home in self.world.agents
+            ]
             calls += [self.world.submit(entry, job) for job in jobs]
             self.world.run(SETTLE_MS)
         for call in calls:
--- a/tests/check.py
+++ b/tests/check.py
@@ -35,7 +35,9 @@
     return known
 
 
-def judge(result: unittest.TestResult, known: dict[str, str]) -> tuple[set[str], set[str]]:
+def compare_with_known(
+    result: unittest.TestResult, known: dict[str, str]
+) -> tuple[set[str], set[str]]:
     """Compare the failures and errors of a run with the known failures.
 
     :returns: ids of the tests that failed but aren't known to, and of the known failures that
@@ -50,7 +52,7 @@
     known = read_known()
     tests = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
     result = unittest.TextTestRunner(verbosity=0).run(tests)
-    unknown, mended = judge(result, known)
+    unknown, mended = compare_with_known(result, known)
     for name, reason in known.items():
         print(f"known red: {name}: {reason}")
     for name in sorted(unknown):
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -47,7 +47,7 @@
         ]
         for names, known, unknown, mended in rows:
             with self.subTest(names=names, known=known):
-                self.assertEqual((unknown, mended), check.judge(run(*names), known))
+                self.assertEqual((unknown, mended), check.compare_with_known(run(*names), known))
 
     def test_malformed_lists_are_rejected(self):
         line = "tests.a.B.c: reason\n"
--- a/tests/test_domain_evacuation.py
+++ b/tests/test_domain_evacuation.py
@@ -48,7 +48,9 @@
     def submit_all(self, runs=(80.0,) * 6):
         """Submit a job to each agent as its home; return the calls."""
         entry = self.world.entries[1]
-        return [self.world.submit(entry, self.world.job(home, runs)) for home in self.world.agents]
+        return [
+            self.world.submit(entry, self.world.make_job(home, runs)) for home in self.world.agents
+        ]
 
     def outcomes(self, calls):
         return {call.outcome for call in calls}
@@ -102,7 +104,7 @@
                 stale_member._replace(version=stale_member.version + 1)
             )
         calls = [
-            self.world.submit(self.world.entries[1], self.world.job(home, (150.0,) * 8))
+            self.world.submit(self.world.entries[1], self.world.make_job(home, (150.0,) * 8))
             for _ in range(2)
         ]
         self.world.run(5_000)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -83,7 +83,7 @@
                     process.minion.inner.inject_fault(fault)
                 for _ in range(8):
                     for process in world.agents:
-                        world.submit(world.entries[0], world.job(process, (100.0,) * 4))
+                        world.submit(world.entries[0], world.make_job(process, (100.0,) * 4))
                     world.run(600.0)
                 healths = [process.application.health for process in world.agents]
                 self.assertEqual(sum(health.is_ejected for health in healths), expected)
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -10,11 +10,11 @@
     BEGIN,
     END,
     draw_plot,
-    fill_parts,
+    fill_experiment_tables,
     make_aims,
     make_table,
     merge_rows,
-    place_table,
+    replace_table,
 )
 from geraniumspool.client import OUTCOME_COMPLETE, OUTCOME_MAY_HAVE_RUN, OUTCOME_NOT_RUN
 from geraniumspool.loadreport import JobOutcome
@@ -55,7 +55,7 @@
         self.assertAlmostEqual(tally.narrow_ratio(50), 1.0, 2)
         self.assertAlmostEqual(tally.narrow_ratio(99), 3.0, 2)
         self.assertAlmostEqual(tally.wide_ratio(50), 4.0, 2)
-        self.assertEqual(tally.late, 1)
+        self.assertEqual(tally.deadline_missed, 1)
 
     def test_refusals(self):
         """Cancelled and expired jobs do not count as refusals.
@@ -70,7 +70,7 @@
         tally.record(JobOutcome(plan, "x", OUTCOME_MAY_HAVE_RUN, "home_gone", 900.0))
         self.assertAlmostEqual(tally.refused_ms(99), 4.0, 1)
         self.assertIsNone(tally.ratio(50))
-        self.assertEqual(tally.late, 2)
+        self.assertEqual(tally.deadline_missed, 2)
 
 
 class StartsTest(unittest.TestCase):
@@ -123,10 +123,10 @@
         self.assertEqual(
             [cell.strip() for cell in line.split("|")[1:6]], ["a", "x", "yes", "3", "–"]
         )
-        page = place_table(f"one\n{BEGIN}\nold\n{END}\ntwo\n", "new")
+        page = replace_table(f"one\n{BEGIN}\nold\n{END}\ntwo\n", "new")
         self.assertEqual(page, f"one\n{BEGIN}\nnew\n{END}\ntwo\n")
         with self.assertRaises(ValueError):
-            place_table("no place", "new")
+            replace_table("no place", "new")
 
     def test_aims(self):
         """An aim is compared with the worst row of the chosen policies.
@@ -154,7 +154,7 @@
         """
         page = "x\n<!-- table of a, b begins -->\nold\n<!-- table ends -->\ny\n"
         rows = [make_row("a", "p", jobs=3), make_row("c", "q", jobs=4)]
-        lines = fill_parts(page, rows).splitlines()
+        lines = fill_experiment_tables(page, rows).splitlines()
         self.assertNotIn("old", lines)
         self.assertEqual(
             [c.strip() for c in lines[3].split("|")[1:-1]][:3], ["experiment", "policy", "jobs"]
--- a/tests/test_patterns.py
+++ b/tests/test_patterns.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from benchmarks.pattern_loads import PATTERNS, SHORT, draw_load
-from benchmarks.pattern_play import Play
-from benchmarks.pattern_policies import IN_USE, POLICIES
+from benchmarks.pattern_loads import PATTERNS, SHORT_QUEUE, draw_load
+from benchmarks.pattern_play import PatternSimulation
+from benchmarks.pattern_policies import POLICIES, POLICY_IN_USE
 
 CAPACITY_CPU_MS = 800_000
 # Half the size that ``benchmarks.patterns`` simulates.
@@ -25,10 +25,13 @@
                 self.assertGreater(offered, 0.7 * pattern.load)
 
     def test_a_burst_of_one_queue_brings_only_its_jobs(self):
-        burst_pattern = next(pattern for pattern in PATTERNS if pattern.only)
+        burst_pattern = next(pattern for pattern in PATTERNS if pattern.burst_queue)
         steady_pattern = burst_pattern._replace(bursts=())
         counts = [
-            sum(arrival.job.queue == SHORT for arrival in draw_load(pattern, CAPACITY_CPU_MS, 3))
+            sum(
+                arrival.job.queue == SHORT_QUEUE
+                for arrival in draw_load(pattern, CAPACITY_CPU_MS, 3)
+            )
             for pattern in (burst_pattern, steady_pattern)
         ]
         self.assertEqual(*counts)
@@ -40,7 +43,9 @@
     def play(self, name):
         """Simulate a pattern, check that no minion exceeded its capacity, and return the result."""
         pattern = next(pattern for pattern in PATTERNS if pattern.name == name)
-        played = Play(pattern, POLICIES[IN_USE], workers=WORKERS, dispatchers=DISPATCHERS)
+        played = PatternSimulation(
+            pattern, POLICIES[POLICY_IN_USE], workers=WORKERS, dispatchers=DISPATCHERS
+        )
         row = played.run()
         for worker in played.world.workers:
             minion = worker.minion
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -62,7 +62,7 @@
 
     def check_guarantees(self, world: World):
         """End all faults and check the guarantees."""
-        world.quiet()
+        world.end_faults_and_settle()
         self.assertEqual(world.find_violations(), [])
 
     def drain(self, world: World, process, limit_ms: float):
@@ -83,7 +83,7 @@
 
 
 def lose_next(kind, number):
-    return lambda network: network.lose_first.update({kind.__name__: number})
+    return lambda network: network.lose_next.update({kind.__name__: number})
 
 
 def duplicate(kind, late_ms):
@@ -95,7 +95,7 @@
 
 
 def delay(kind, late_ms):
-    return lambda network: network.delay_kinds.update({kind.__name__: late_ms})
+    return lambda network: network.delay_ms_by_kind.update({kind.__name__: late_ms})
 
 
 KINDS = (m.Submit, m.Answer, m.Offer, m.Results, m.Revoke, m.Revoked, m.Inquire)
@@ -123,13 +123,13 @@
         entries = list(world.entries)
         for name, inject in MESSAGE_FAULTS:
             inject(world.network)
-            job = world.job(world.agents[0], WIDE_RUNS_MS)._replace(name=name)
+            job = world.make_job(world.agents[0], WIDE_RUNS_MS)._replace(name=name)
             play(world, job, entries)
             world.run(RUN_OUT_MS)
             world.network.clear()
             world.submit(entries[1], job)
             world.run(500.0)
-        world.quiet()
+        world.end_faults_and_settle()
         violations = world.find_violations()
         for name, _ in MESSAGE_FAULTS:
             with self.subTest(fault=name):
@@ -161,7 +161,9 @@
         """The answer is correct when the deadline passes while tasks are queued."""
 
         def play(world, job, entries):
-            blocker = world.job(world.agents[0], (900.0,) * 8)._replace(name=job.name + " blocker")
+            blocker = world.make_job(world.agents[0], (900.0,) * 8)._replace(
+                name=job.name + " blocker"
+            )
             world.submit(entries[0], blocker)
             submit_repeatedly(world, job._replace(deadline_ms=500.0), entries, (50.0, 300.0, 400.0))
 
@@ -202,7 +204,7 @@
         home, runner = world.agents
         entry, other = world.entries
         actors = {"entry": entry, "home": home, "runner": runner}
-        job = world.job(home, WIDE_RUNS_MS)
+        job = world.make_job(home, WIDE_RUNS_MS)
         world.submit(entry, job)
         world.run(moment_ms)
         inject(world, actors)
@@ -214,7 +216,7 @@
             world.thaw(process)
         world.network.heal()
         world.run(RUN_OUT_MS)
-        fresh = world.job(world.agents[-1], WIDE_RUNS_MS)
+        fresh = world.make_job(world.agents[-1], WIDE_RUNS_MS)
         world.submit(other, job)
         world.submit(other, fresh)
         self.check_guarantees(world)
@@ -266,7 +268,7 @@
             world.agents[role].minion.inner.inject_fault(fault)
             calls = []
             for _ in range(6):
-                job = world.job(world.agents[0], WIDE_RUNS_MS)
+                job = world.make_job(world.agents[0], WIDE_RUNS_MS)
                 calls += submit_repeatedly(world, job, world.entries, (200.0, 1_500.0))
             self.check_guarantees(world)
         finally:
@@ -303,19 +305,19 @@
                 inject(world.network)
                 homes = [*world.agents, *world.agents]
                 for home in homes:
-                    world.submit(entry, world.job(home, (60.0, 20.0)))
+                    world.submit(entry, world.make_job(home, (60.0, 20.0)))
                     world.run(10.0)
                 world.run(150.0)
                 if is_replaced:
                     entry = world.replace(entry)
-                again = [world.submit(entry, world.job(home, (400.0, 90.0))) for home in homes]
+                again = [world.submit(entry, world.make_job(home, (400.0, 90.0))) for home in homes]
                 world.run(2_000.0)
                 self.assertEqual({call.outcome for call in again}, {"complete"})
 
     def test_other_body_under_one_ticket(self):
         """A different body under a used ticket is a conflict; the first job is unaffected."""
         world = self.make()
-        job = world.job(world.agents[0])
+        job = world.make_job(world.agents[0])
         first = world.submit(world.entries[0], job)
         second = world.submit(world.entries[1], job._replace(name="other"))
         world.run(1_000.0)
@@ -346,10 +348,10 @@
             for moment_ms in (0.0, 1.5, 100.0, 2_000.0):
                 with self.case(refusal=name, moment_ms=moment_ms) as world:
                     first, second = world.entries
-                    job = world.job(world.agents[0], WIDE_RUNS_MS)
+                    job = world.make_job(world.agents[0], WIDE_RUNS_MS)
                     if name == "quota":
                         self.set_team(world, running_tasks=6)
-                        blocker = world.job(world.agents[1], (3_000.0,))
+                        blocker = world.make_job(world.agents[1], (3_000.0,))
                         world.submit(second, blocker)
                     else:
                         self.refuse_all(world, second)
@@ -361,15 +363,15 @@
         """A refused job never runs, even if a delayed submission of it arrives later."""
         world = self.make()
         first, second = world.entries
-        job = world.job(world.agents[0])
-        world.network.delay_kinds["Submit"] = 3_000.0
+        job = world.make_job(world.agents[0])
+        world.network.delay_ms_by_kind["Submit"] = 3_000.0
         world.submit(first, job)
         self.refuse_all(world, second)
         refused = world.submit(second, job)
         world.run(100.0)
         self.assertEqual((refused.outcome, refused.status), ("not_run", 503))
         self.check_guarantees(world)
-        self.assertEqual(world.started(job), 0)
+        self.assertEqual(world.count_starts(job), 0)
 
     def test_cancellation(self):
         """Cancel before submission, while queued, while offered, while running, and after."""
@@ -377,7 +379,7 @@
             for fault in ("none", "runner cut off", "runner frozen", "revokes lost"):
                 with self.case(moment_ms=moment_ms, fault=fault) as world:
                     home, runner = world.agents
-                    job = world.job(home, WIDE_RUNS_MS)
+                    job = world.make_job(home, WIDE_RUNS_MS)
                     if moment_ms is not None:
                         world.submit(world.entries[0], job)
                         world.run(moment_ms)
@@ -397,13 +399,13 @@
             with self.case({"agents": 2, "drain_limit_ms": 1_000.0}, fault=fault) as world:
                 home = world.agents[0]
                 others = world.agents[1:]
-                blocker = world.job(home, (20_000.0,) * 2, 60_000.0)
+                blocker = world.make_job(home, (20_000.0,) * 2, 60_000.0)
                 world.submit(world.entries[0], blocker)
                 world.run(50.0)
-                job = world.job(home, (20_000.0,) * 2, 60_000.0)
+                job = world.make_job(home, (20_000.0,) * 2, 60_000.0)
                 world.submit(world.entries[0], job)
                 world.run(50.0)
-                self.assertEqual(world.started(job), 2)
+                self.assertEqual(world.count_starts(job), 2)
                 if fault == "cut off":
                     holders = [one for one in others if one.minion.starts]
                     for holder in holders:
@@ -423,7 +425,7 @@
         """The archive answers "not run" for a ticket that was never submitted."""
         world = self.make()
         home = world.agents[0]
-        done, unused = world.job(home), world.job(home)
+        done, unused = world.make_job(home), world.make_job(home)
         world.submit(world.entries[0], done)
         world.run(1_000.0)
         self.drain(world, home, 5_000.0)
@@ -432,12 +434,12 @@
         world.run(500.0)
         self.assertEqual([call.outcome for call in calls], ["complete", "not_run"])
         self.check_guarantees(world)
-        self.assertEqual((world.started(done), world.started(unused)), (3, 0))
+        self.assertEqual((world.count_starts(done), world.count_starts(unused)), (3, 0))
 
     def test_evicted_record(self):
         """A ticket whose record may have been evicted is answered "may have run"."""
         world = self.make(max_record_bytes=2_000)
-        jobs = [world.job(world.agents[0]) for _ in range(6)]
+        jobs = [world.make_job(world.agents[0]) for _ in range(6)]
         for job in jobs:
             world.submit(world.entries[0], job)
             world.run(1_000.0)
@@ -458,7 +460,7 @@
         :param between: injects a fault before the third request
         :returns: the first and the last call
         """
-        job = world.job(None, (200.0, 200.0))
+        job = world.make_job(None, (200.0, 200.0))
         prepare(world)
         first = world.submit(world.entries[0], job, "order-1")
         world.submit(world.entries[1], job, "order-1")
@@ -512,7 +514,7 @@
     def test_no_not_run_while_store_is_unreachable(self):
         """While the store is unreachable, no key is answered "not run"."""
         world = self.make()
-        job = world.job(None, (200.0,))
+        job = world.make_job(None, (200.0,))
         first = world.submit(world.entries[0], job, "order-1")
         world.run(50.0)
         world.store.down = True
@@ -524,7 +526,7 @@
     def test_no_home_left(self):
         """A key whose job ran is not answered "not run" once all agents are gone."""
         world = self.make()
-        job = world.job(None, (200.0,))
+        job = world.make_job(None, (200.0,))
         world.submit(world.entries[0], job, "order-1")
         world.run(1_000.0)
         for process in list(world.agents):
@@ -540,9 +542,9 @@
         for dropped in (False, True):
             with self.subTest(dropped_early=dropped):
                 world = self.make()
-                job = world.job(None, (50.0,))
+                job = world.make_job(None, (50.0,))
                 first = world.submit(world.entries[0], job, "order-1")
-                warm = world.submit(world.entries[1], world.job(None, (50.0,)), "order-2")
+                warm = world.submit(world.entries[1], world.make_job(None, (50.0,)), "order-2")
                 world.run(500.0)
                 if dropped:
                     world.store.lapse_leases()
@@ -558,17 +560,17 @@
     def test_lease_lapsed_before_binding_a_key(self):
         """A key made before the lease lapsed is not bound; later keys get a new lease."""
         world = self.make()
-        world.submit(world.entries[0], world.job(None, (50.0,)), "order-1")
+        world.submit(world.entries[0], world.make_job(None, (50.0,)), "order-1")
         world.run(500.0)
         world.store.lapse_leases()
-        job = world.job(None, (50.0,))
+        job = world.make_job(None, (50.0,))
         for _ in range(3):
             refused = world.submit(world.entries[0], job, "order-2")
             world.run(1_000.0)
         self.assertEqual(refused.outcome, "may_have_run", refused.document)
-        self.assertEqual(world.started(job), 0)
+        self.assertEqual(world.count_starts(job), 0)
         world.run(MAX_KEY_AHEAD_MS + CLOCK_SKEW_MS)
-        last = world.submit(world.entries[0], world.job(None, (50.0,)), "order-3")
+        last = world.submit(world.entries[0], world.make_job(None, (50.0,)), "order-3")
         world.run(1_000.0)
         self.assertEqual(last.outcome, "complete", last.document)
         self.check_guarantees(world)
@@ -580,7 +582,7 @@
     def submit_load(self, world, rounds=6, pause_ms=400.0):
         for _ in range(rounds):
             for entry in world.entries:
-                world.submit(entry, world.job(None, (150.0,) * 4))
+                world.submit(entry, world.make_job(None, (150.0,) * 4))
             world.run(pause_ms)
 
     def test_no_new_work(self):
@@ -591,7 +593,7 @@
                     leaver = world.agents[0]
                     self.submit_load(world)
                     if fault == "heartbeats lost":
-                        world.network.lose_first.update(Heartbeat=6, ShortHeartbeat=6)
+                        world.network.lose_next.update(Heartbeat=6, ShortHeartbeat=6)
                     elif fault == "heartbeats doubled late":
                         world.network.duplicate_delay_ms = 900.0
                         world.network.duplicated_kinds |= {"Heartbeat", "ShortHeartbeat"}
@@ -639,7 +641,7 @@
             for name, inject in self.FAULTS:
                 with self.case({"agents": 2}, role=role, fault=name) as world:
                     home = world.agents[0]
-                    jobs = [world.job(home, (600.0,) * 4) for _ in range(2)]
+                    jobs = [world.make_job(home, (600.0,) * 4) for _ in range(2)]
                     calls = [world.submit(world.entries[0], job) for job in jobs]
                     world.run(100.0)
                     holders = [one for one in world.agents[1:] if one.minion.starts]
@@ -664,7 +666,7 @@
         jobs = []
         for leaver in list(world.agents):
             for home in world.agents:
-                jobs.append(world.job(home, (200.0,) * 3))
+                jobs.append(world.make_job(home, (200.0,) * 3))
                 world.submit(world.entries[0], jobs[-1])
             world.run(60.0)
             self.drain(world, leaver, 3_000.0)
@@ -679,13 +681,13 @@
         """A request over a real connection is answered while its entry drains."""
         world = self.make()
         entry = world.entries[0].application
-        job = world.job(world.agents[0], (500.0,) * 3)
+        job = world.make_job(world.agents[0], (500.0,) * 3)
         request = self.encode_request(job)
         host, port = entry.ready_line()["callers"].rsplit(":", 1)
         connection = eventlet.connect((host, int(port)))
         self.addCleanup(connection.close)
         connection.sendall(request)
-        self.assertTrue(self.run_until(world, lambda: world.started(job) > 0))
+        self.assertTrue(self.run_until(world, lambda: world.count_starts(job) > 0))
         draining = eventlet.spawn(entry.drain)
         self.run_until(world, lambda: not entry.callers.ready)
         world.run(1_000.0)
@@ -701,7 +703,7 @@
     def encode_request(job: Job) -> bytes:
         tasks = [
             {"payload": {"run_ms": run, "value": value}}
-            for run, value in zip(job.runs, job.values, strict=True)
+            for run, value in zip(job.run_times_ms, job.values, strict=True)
         ]
         body = json.dumps({"service": SERVICE, "team": TEAM, "deadline_ms": 9e3, "tasks": tasks})
         head = f"PUT /v1/jobs/{job.ticket} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n"
@@ -895,7 +897,7 @@
             runs = [draw.choice((20.0, 150.0, 700.0)) for _ in range(draw.randint(1, 8))]
             home = draw.choice([*world.agents, None])
             deadline_ms = draw.choice((400.0, 2_000.0, 8_000.0))
-            jobs.append(world.job(home, runs, deadline_ms))
+            jobs.append(world.make_job(home, runs, deadline_ms))
             world.submit(entry, jobs[-1], f"order-{len(jobs)}")
         elif chance < 0.85:
             number = draw.randint(max(0, len(jobs) - 10), len(jobs) - 1)
@@ -913,7 +915,7 @@
             with self.subTest(seed=seed):
                 draw = random.Random(seed)
                 world = self.make(agents=2, entries=2, seed=seed)
-                world.network.storm = random.Random(seed + 1_000)
+                world.network.random_faults = random.Random(seed + 1_000)
                 jobs = []
                 for _ in range(self.STEPS):
                     self.step(world, draw, jobs)
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -318,7 +318,7 @@
 
         def run(*arguments):
             body = answer(*arguments)
-            clock.pass_gate()
+            clock.block_while_frozen()
             return body
 
         self.client.run = run
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -23,7 +23,7 @@
                 self.assertAlmostEqual(line.slope, slope)
                 self.assertAlmostEqual(line.intercept, intercept)
                 self.assertAlmostEqual(line.spread, spread)
-                self.assertAlmostEqual(line.at(10), intercept + 10 * slope)
+                self.assertAlmostEqual(line.value_at(10), intercept + 10 * slope)
 
     def test_no_point_is_an_error(self):
         with self.assertRaises(ValueError):
@@ -33,4 +33,4 @@
         """Encoded figures are rounded to four significant digits."""
         line = fit("a / b", "us", [Point(1, 123456.0), Point(2, 123456.0)])
         (read,) = decode_slopes(encode_slopes([line]))
-        self.assertEqual((read.name, read.unit, read.at(5)), ("a / b", "us", 123500.0))
+        self.assertEqual((read.name, read.unit, read.value_at(5)), ("a / b", "us", 123500.0))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -18,7 +18,7 @@
         with tempfile.TemporaryDirectory() as folder:
             soak = Soak(seed, folder, LOAD_DURATION_S)
             soak.run()
-        self.assertEqual([], soak.witness.broken)
+        self.assertEqual([], soak.checker.violations)
         self.assertTrue(any(outcome.succeeded for outcome in soak.outcomes))
 
     def test_no_guarantee_is_violated(self):
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -4,8 +4,8 @@
 import unittest
 from unittest import mock
 
-from benchmarks.storm import Storm
-from tests.world import ProcessMinion
+from benchmarks.storm import RandomFaultRun
+from tests.world import CountingMinionClient
 
 SHORT_RUN_STEPS = 8
 
@@ -17,16 +17,16 @@
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def make(self, *arguments) -> Storm:
-        storm = Storm(*arguments)
-        self.addCleanup(storm.stop)
-        return storm
+    def make(self, *arguments) -> RandomFaultRun:
+        fault_run = RandomFaultRun(*arguments)
+        self.addCleanup(fault_run.stop)
+        return fault_run
 
     def test_guarantees_hold(self):
         for seed in range(5):
             with self.subTest(seed=seed):
-                storm = self.make(seed)
-                self.assertEqual(storm.run(), [], storm.acts)
+                fault_run = self.make(seed)
+                self.assertEqual(fault_run.run(), [], fault_run.acts)
 
     def test_same_seed_repeats_the_acts(self):
         first, second = self.make(3, SHORT_RUN_STEPS), self.make(3, SHORT_RUN_STEPS)
@@ -37,23 +37,25 @@
     def test_checks_detect_violations(self):
         """Each case: a function that causes a violation, and part of the reported text."""
 
-        def count_starts_twice(storm):
-            count = ProcessMinion._count
+        def count_starts_twice(fault_run):
+            count = CountingMinionClient._count
             twice = mock.patch.object(
-                ProcessMinion, "_count", lambda self, value, amount: count(self, value, 2 * amount)
+                CountingMinionClient,
+                "_count",
+                lambda self, value, amount: count(self, value, 2 * amount),
             )
             twice.start()
             self.addCleanup(twice.stop)
 
-        def add_accepted_revision(storm):
-            storm._accepted[1 << 40] = 1.0
+        def add_accepted_revision(fault_run):
+            fault_run._accepted[1 << 40] = 1.0
 
-        def remove_agent_from_world(storm):
-            storm.world.agents.pop()
+        def remove_agent_from_world(fault_run):
+            fault_run.world.agents.pop()
 
-        def lose_all_submits(storm):
-            storm.world.network.dropped_kinds.add("Submit")
-            storm.world.network.clear = lambda: None
+        def lose_all_submits(fault_run):
+            fault_run.world.network.dropped_kinds.add("Submit")
+            fault_run.world.network.clear = lambda: None
 
         cases = (
             (count_starts_twice, "started 2 times"),
@@ -63,6 +65,6 @@
         )
         for inject_violation, word in cases:
             with self.subTest(inject_violation.__name__):
-                storm = self.make(3, SHORT_RUN_STEPS)
-                inject_violation(storm)
-                self.assertIn(word, " ".join(storm.run()))
+                fault_run = self.make(3, SHORT_RUN_STEPS)
+                inject_violation(fault_run)
+                self.assertIn(word, " ".join(fault_run.run()))
--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -62,7 +62,7 @@
         start = len(world.network.sent)
         calls = []
         for _ in range(jobs):
-            calls.append(world.submit(world.entries[0], world.job(world.agents[0], WIDE)))
+            calls.append(world.submit(world.entries[0], world.make_job(world.agents[0], WIDE)))
             world.run(PAUSE_MS)
         sent = world.network.sent[start:]
         offers = [receiver for _, receiver, message in sent if isinstance(message, Offer)]
@@ -88,7 +88,7 @@
                 recover()
                 world.run(DETECTION_MS)
                 self.assertGreater(self.count_offers(world, peers_in(world, "d1"), 3)[0], 0)
-                world.quiet()
+                world.end_faults_and_settle()
                 self.assertEqual(world.find_violations(), [])
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -98,7 +98,7 @@
             self.paused_ms += self.now() - self._frozen_at_ms
         self.dead = True
 
-    def pass_gate(self) -> None:
+    def block_while_frozen(self) -> None:
         """Block the calling green thread while the process is frozen.
 
         :raises GreenletExit: if the process is dead
@@ -125,7 +125,7 @@
         return not self._clock.dead and super().send(peer, message)
 
 
-class ProcessMinion:
+class CountingMinionClient:
     """Minion of one agent, which counts the starts of tasks and outlives the agent.
 
     :ivar starts: starts of tasks by the value in the payload
@@ -138,7 +138,7 @@
         self._world = world
 
     def run(self, minion, task_id, payload, timeout_ms) -> bytes:
-        self._clock.pass_gate()
+        self._clock.block_while_frozen()
         value = json.loads(payload)["value"]
         self._count(value, 1)
         try:
@@ -147,7 +147,7 @@
             self._count(value, -1)
             raise
         finally:
-            self._clock.pass_gate()
+            self._clock.block_while_frozen()
 
     def stop(self, minion, task_id) -> bool:
         return self.inner.stop(minion, task_id)
@@ -160,9 +160,9 @@
 class FaultyNetwork(MemoryNetwork):
     """Network that can also lose the next messages of a type, delay a type, or fault at random.
 
-    :ivar lose_first: how many of the next messages to lose, by type name
-    :ivar delay_kinds: extra delay in milliseconds, by type name
-    :ivar storm: random source that loses, duplicates or delays any message; None for no
+    :ivar lose_next: how many of the next messages to lose, by type name
+    :ivar delay_ms_by_kind: extra delay in milliseconds, by type name
+    :ivar random_faults: random source that loses, duplicates or delays any message; None for no
         random faults
     """
 
@@ -172,34 +172,41 @@
 
     def __init__(self, clock):
         super().__init__(clock, delay_ms=1.0)
-        self.lose_first: Counter = Counter()
-        self.delay_kinds: dict[str, float] = {}
-        self.storm: random.Random | None = None
+        self.lose_next: Counter = Counter()
+        self.delay_ms_by_kind: dict[str, float] = {}
+        self.random_faults: random.Random | None = None
 
     def transmit(self, sender, receiver, message) -> None:
         kind = type(message).__name__
-        if self.storm is not None:
+        if self.random_faults is not None:
             self._carry_in_storm(sender, receiver, message)
             return
-        if self.lose_first[kind] > 0:
-            self.lose_first[kind] -= 1
+        if self.lose_next[kind] > 0:
+            self.lose_next[kind] -= 1
             self.sent.append((sender, receiver, message))
             return
-        if kind in self.delay_kinds and (sender.address, receiver.address) not in self.partitioned:
+        if (
+            kind in self.delay_ms_by_kind
+            and (sender.address, receiver.address) not in self.partitioned
+        ):
             self.sent.append((sender, receiver, message))
-            self._carry_late(sender, receiver, message, self.delay_kinds[kind])
+            self._carry_late(sender, receiver, message, self.delay_ms_by_kind[kind])
             return
         super().transmit(sender, receiver, message)
 
     def _carry_in_storm(self, sender, receiver, message) -> None:
         self.sent.append((sender, receiver, message))
-        draw = self.storm.random()
+        draw = self.random_faults.random()
         if draw < self.STORM_LOSS_SHARE or (sender.address, receiver.address) in self.partitioned:
             return
         copies = 2 if draw < self.STORM_LOSS_SHARE + self.STORM_DUPLICATE_SHARE else 1
         for _ in range(copies):
-            is_late = self.storm.random() < self.STORM_DELAY_SHARE
-            late_ms = self.storm.expovariate(1 / 1_500.0) if is_late else self.storm.random()
+            is_late = self.random_faults.random() < self.STORM_DELAY_SHARE
+            late_ms = (
+                self.random_faults.expovariate(1 / 1_500.0)
+                if is_late
+                else self.random_faults.random()
+            )
             self._carry_late(sender, receiver, message, late_ms)
 
     def _carry_late(self, sender, receiver, message, late_ms: float) -> None:
@@ -208,12 +215,12 @@
 
     def clear(self) -> None:
         """End every fault and thaw every frozen address."""
-        self.storm = None
+        self.random_faults = None
         self.heal()
         self.dropped_kinds.clear()
         self.duplicated_kinds.clear()
-        self.lose_first.clear()
-        self.delay_kinds.clear()
+        self.lose_next.clear()
+        self.delay_ms_by_kind.clear()
         for address in list(self.held_messages):
             self.resume(address)
 
@@ -236,7 +243,7 @@
     clock: ProcessClock
     peer: Peer
     domain: str
-    minion: ProcessMinion | None
+    minion: CountingMinionClient | None
 
 
 class Job(NamedTuple):
@@ -244,17 +251,17 @@
 
     :param name: unique name, from which the values in the tasks' payloads are made
     :param ticket: empty for a job that is submitted by POST
-    :param runs: run time of each task in milliseconds
+    :param run_times_ms: run time of each task in milliseconds
     """
 
     name: str
     ticket: str
-    runs: tuple[float, ...]
+    run_times_ms: tuple[float, ...]
     deadline_ms: float
 
     @property
     def values(self) -> list[str]:
-        return [f"{self.name}.{index}" for index in range(len(self.runs))]
+        return [f"{self.name}.{index}" for index in range(len(self.run_times_ms))]
 
 
 class Call:
@@ -265,10 +272,10 @@
     :ivar document: decoded body of the response
     """
 
-    def __init__(self, job: Job, entry: Process, began_ms: float):
+    def __init__(self, job: Job, entry: Process, sent_ms: float):
         self.job = job
         self.entry = entry
-        self.began_ms = began_ms
+        self.sent_ms = sent_ms
         self.paused_ms = entry.clock.paused_ms
         self.ended_ms: float | None = None
         self.status = 0
@@ -323,7 +330,7 @@
 
     def add_agent(self, domain: str, address: str = "") -> Process:
         clock, messenger, metrics = self._make_infrastructure("agent", domain, address)
-        minion = ProcessMinion(clock, self)
+        minion = CountingMinionClient(clock, self)
         announced = Announcement(SERVICE, "http://127.0.0.1:1", self._slots, 64)
         settings = AgentSettings(
             domain,
@@ -383,16 +390,18 @@
             self.network.resume(process.peer.address)
             self.clock.run_ready_threads()
 
-    def job(self, home: Process | None, runs=(100.0, 100.0, 100.0), deadline_ms=8_000.0) -> Job:
+    def make_job(
+        self, home: Process | None, run_times_ms=(100.0, 100.0, 100.0), deadline_ms=8_000.0
+    ) -> Job:
         """Return a job with one task for each run time.
 
         :param home: agent that the job's ticket names; None for a job without a ticket
-        :param runs: run time of each task in milliseconds
+        :param run_times_ms: run time of each task in milliseconds
         """
         ticket = ""
         if home is not None:
             ticket = self.keyring.issue(home.peer, SERVICE, self.clock.wall_ms())
-        return Job(f"job{next(self._names)}", ticket, tuple(runs), deadline_ms)
+        return Job(f"job{next(self._names)}", ticket, tuple(run_times_ms), deadline_ms)
 
     def submit(self, entry: Process, job: Job, key: str = "") -> Call:
         """Submit a job by PUT under its ticket, or by POST if it has none.
@@ -402,7 +411,7 @@
         """
         tasks = [
             {"payload": {"run_ms": run, "value": value}, "run_ms": run}
-            for run, value in zip(job.runs, job.values, strict=True)
+            for run, value in zip(job.run_times_ms, job.values, strict=True)
         ]
         body = {"service": SERVICE, "team": TEAM, "deadline_ms": job.deadline_ms, "tasks": tasks}
         method, path = ("PUT", f"/v1/jobs/{job.ticket}") if job.ticket else ("POST", "/v1/jobs")
@@ -441,7 +450,7 @@
         finally:
             call.ended_ms = self.clock.now()
 
-    def quiet(self) -> None:
+    def end_faults_and_settle(self) -> None:
         """End every fault, deliver delayed messages, and run until the system is idle."""
         self.store.down = False
         self.network.clear()
@@ -449,21 +458,22 @@
             self.thaw(process)
         self.run(RECOVERY_MS)
 
-    def started(self, job: Job) -> int:
+    def count_starts(self, job: Job) -> int:
         """Return how often tasks of the job were started in total."""
         return sum(self.starts[value] for value in job.values)
 
-    def find_violations(self, end_ms: float = END_MS) -> list[str]:
-        """Return descriptions of violated guarantees; call after :meth:`quiet`.
+    def find_violations(self, answer_margin_ms: float = END_MS) -> list[str]:
+        """Return descriptions of violated guarantees; call after :meth:`end_faults_and_settle`.
 
         Checked are: no task was started twice, every request was answered in time, no job
         reported as not run was started, and complete jobs have the results of their own tasks.
 
-        :param end_ms: time in milliseconds after its deadline by which a job must be answered
+        :param answer_margin_ms: time in milliseconds after its deadline by which a job must be
+            answered
         """
         violations = [f"{value} started {n} times" for value, n in self.starts.items() if n > 1]
         for call in self.calls:
-            violations += self._check_call(call, end_ms)
+            violations += self._check_call(call, answer_margin_ms)
         return violations
 
     def _check_call(self, call: Call, end_ms: float) -> list[str]:
@@ -472,11 +482,13 @@
             return [f"{job.name} was never answered"]
         violations = []
         paused_ms = call.entry.clock.paused_ms - call.paused_ms
-        took_ms = call.ended_ms - call.began_ms - paused_ms
+        took_ms = call.ended_ms - call.sent_ms - paused_ms
         if took_ms > job.deadline_ms + end_ms:
             violations.append(f"{job.name} was answered after {took_ms:.0f} ms")
-        if call.outcome == "not_run" and self.started(job):
-            violations.append(f"{job.name} was answered not_run, with {self.started(job)} starts")
+        if call.outcome == "not_run" and self.count_starts(job):
+            violations.append(
+                f"{job.name} was answered not_run, with {self.count_starts(job)} starts"
+            )
         if call.outcome == "complete":
             values = [row["value"] for row in call.document["results"]]
             if values != job.values:
