--- a/geraniumspool/contracts.py
+++ b/geraniumspool/contracts.py
@@ -17,7 +17,7 @@
     def now(self) -> float:
         """Return monotonic time in milliseconds."""
 
-    def wall(self) -> int:
+    def wall_ms(self) -> int:
         """Return milliseconds since the epoch."""
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Timer:
@@ -33,7 +33,7 @@
 class Messenger(Protocol):
     """Inbox and links of one process; see :mod:`geraniumspool.link`."""
 
-    me: Peer
+    local_peer: Peer
 
     def start(self, receive: Callable[[Delivery], None]) -> None:
         """Start delivering incoming messages to ``receive``, in order of arrival.
@@ -175,10 +175,10 @@
 class MinionClient(Protocol):
     """Client that a runner calls its minion with; see :mod:`geraniumspool.minion`."""
 
-    def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def run(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         """Run one task and return its result as JSON text.
 
-        :param limit_ms: longest time to wait for the response, in milliseconds
+        :param timeout_ms: longest time to wait for the response, in milliseconds
         :raises NotStarted: if the connection was refused, so that the task never started
         :raises TaskFailed: if the minion answered with an error
         :raises TaskUnknown: if no response arrived in time; the task may have run
--- a/geraniumspool/entry.py
+++ b/geraniumspool/entry.py
@@ -2,12 +2,12 @@
 
 import logging
 
-from geraniumspool.application import Application, ReadyLine, draw_incarnation
+from geraniumspool.application import Application, ReadyLine, new_incarnation
 from geraniumspool.audit import AuditTrail
 from geraniumspool.binding import Bindings
 from geraniumspool.callers import Callers
-from geraniumspool.calls import Calls
-from geraniumspool.change_desk import ChangeDesk
+from geraniumspool.calls import HomeRequests
+from geraniumspool.change_desk import ConfigurationChanges
 from geraniumspool.clock import SystemClock
 from geraniumspool.configuration import Configuration
 from geraniumspool.configuration_watcher import ConfigurationWatcher
@@ -45,10 +45,10 @@
 from geraniumspool.registry import Registry
 from geraniumspool.roster import Roster
 from geraniumspool.routes import Route
-from geraniumspool.scope import scope_by
+from geraniumspool.scope import make_scope_classifier
 from geraniumspool.settings import EntrySettings
 from geraniumspool.ticket import Keyring
-from geraniumspool.web import Application as WebApplication
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 _LOG = logging.getLogger(__name__)
@@ -77,10 +77,10 @@
         self._settings = settings
         self._messenger = messenger
         self._state = MEMBER_READY
-        self.decisions = DecisionLog(messenger.me.incarnation, clock, _LOG)
+        self.decisions = DecisionLog(messenger.local_peer.incarnation, clock, _LOG)
         self.roster = Roster(clock, settings.domain)
         self.configuration = Configuration(clock, metrics)
-        self.calls = Calls(messenger, clock, metrics, self.roster.is_gone)
+        self.home_requests = HomeRequests(messenger, clock, metrics, self.roster.is_gone)
         self._create_membership(store, clock)
         self._create_configuration(store, clock)
         self._create_web_servers(store, clock)
@@ -93,36 +93,38 @@
         self._callers_server.start()
         self._operators_server.start()
         self.callers.ready = True
-        self._run(self._registrar.run)
-        self._run(self.registry.run)
-        self._run(self.watcher.run)
+        self._spawn(self._registrar.run)
+        self._spawn(self.registry.run)
+        self._spawn(self.watcher.run)
 
     def ready_line(self) -> ReadyLine:
         """Return the addresses of the inbox and of both HTTP listeners."""
         return ReadyLine(
             ready=ROLE_ENTRY,
-            inbox=self._messenger.me.address,
+            inbox=self._messenger.local_peer.address,
             callers=self._callers_server.address,
             operators=self._operators_server.address,
         )
 
     def describe(self) -> Member:
         """Return the membership record that this entry announces to other processes."""
-        return Member(*self._messenger.me, self._settings.domain, ROLE_ENTRY, self._state)
+        return Member(*self._messenger.local_peer, self._settings.domain, ROLE_ENTRY, self._state)
 
     def drain(self) -> bool:
         """Stop accepting requests and wait for those in flight.
 
         :returns: whether all of them finished within ``drain_limit_ms``
         """
-        self.decisions.record(DRAIN_STARTED, self._messenger.me.address)
+        self.decisions.record(DRAIN_STARTED, self._messenger.local_peer.address)
         self.callers.ready = False
         self._state = MEMBER_LEAVING
         self._registrar.withdraw()
         finished = self._callers_server.drain(self._settings.drain_limit_ms)
         self._state = MEMBER_LEFT
         self.registry.run_round()
-        self.decisions.record(DRAIN_FINISHED, self._messenger.me.address, finished=str(finished))
+        self.decisions.record(
+            DRAIN_FINISHED, self._messenger.local_peer.address, finished=str(finished)
+        )
         return finished
 
     def stop(self) -> None:
@@ -146,7 +148,7 @@
         self.quotas = Quotas(
             clock,
             self.configuration,
-            self.registry.peers_demand,
+            self.registry.get_peer_demand,
             lambda: len(self.roster.entries()),
         )
         self._registrar = Registrar(
@@ -157,7 +159,7 @@
         self.watcher = ConfigurationWatcher(
             store, self.configuration, clock, self._configuration_changed
         )
-        self.desk = ChangeDesk(
+        self.configuration_changes = ConfigurationChanges(
             store,
             self.configuration,
             AuditTrail(store, clock),
@@ -172,7 +174,7 @@
         self.callers = Callers(
             keyring,
             homes,
-            self.calls,
+            self.home_requests,
             self.quotas,
             Bindings(store, clock),
             self.configuration,
@@ -189,8 +191,8 @@
             self.registry,
             self.configuration,
             self.watcher,
-            self.desk,
-            self.calls,
+            self.configuration_changes,
+            self.home_requests,
             self.decisions,
             self.metrics,
             clock,
@@ -215,13 +217,13 @@
 
     def _make_handlers(self) -> dict:
         return {
-            Answer: self.calls.handle_answer,
+            Answer: self.home_requests.handle_answer,
             Heartbeat: self.registry.handle_heartbeat,
             ShortHeartbeat: self.registry.handle_short_heartbeat,
             Digest: self._handle_digest,
             Inquire: self._handle_inquire,
             WrongIncarnation: self._handle_wrong_incarnation,
-            Drain: self._take_drain,
+            Drain: self._handle_drain,
         }
 
     def _handle_digest(self, sender: Peer, digest: Digest) -> None:
@@ -238,12 +240,12 @@
         self._messenger.send(sender, answer)
 
     def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        self.calls.handle_wrong_incarnation(sender, rejection.meant)
+        self.home_requests.handle_wrong_incarnation(sender, rejection.meant)
         self.registry.handle_wrong_incarnation(sender, rejection.meant)
 
     def _member_changed(self, member: Member) -> None:
         if is_final(member):
-            self.calls.wake(peer_of(member))
+            self.home_requests.recheck_peer(peer_of(member))
 
     def _configuration_changed(self, documents: list[Document]) -> None:
         for document in documents:
@@ -258,8 +260,8 @@
     """
     clock = SystemClock()
     metrics = Metrics(ROLE_ENTRY, settings.domain)
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = EtcdStore(list(settings.store_urls), clock, metrics, settings.store_timeout_ms)
     entry = Entry(settings, messenger, store, clock, metrics)
-    messenger.scope = scope_by(entry.roster, settings.domain)
+    messenger.scope = make_scope_classifier(entry.roster, settings.domain)
     return entry
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -80,10 +80,10 @@
                 world = World(domains=1, agents=agents, slots=8)
                 self.addCleanup(world.stop)
                 for process in world.agents[:bad]:
-                    process.minion.inner.script(fault)
+                    process.minion.inner.inject_fault(fault)
                 for _ in range(8):
                     for process in world.agents:
-                        world.submit(world.entries[0], world.job(process, (100.0,) * 4))
+                        world.submit(world.entries[0], world.make_job(process, (100.0,) * 4))
                     world.run(600.0)
                 healths = [process.application.health for process in world.agents]
                 self.assertEqual(sum(health.is_ejected for health in healths), expected)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,7 @@
 )
 from geraniumspool.registry import Registry
 from geraniumspool.replies import PUSHES_AT_ONCE
-from geraniumspool.revisions import FAR_ROUNDS, SILENT_ROUNDS, TOLD_ROUNDS
+from geraniumspool.revisions import FOREIGN_DIGEST_ROUNDS, FORWARDED_ROUNDS, UNREACHABLE_ROUNDS
 from geraniumspool.roster import Roster
 from geraniumspool.windows import FOREIGN_MEMBERS
 from tests.test_heartbeat import FakeConfiguration, RecordingMessenger
@@ -50,7 +50,7 @@
         service = "fitting" if role == "agent" else ""
         incarnation = incarnation or (1 << 60) + number
         self.member = Member(address, incarnation, domain, role, "ready", service)
-        self.me = peer_of(self.member)
+        self.local_peer = peer_of(self.member)
         self.paused = False
         self.demand = (("opticians", 1.0, 2.0),)
         self.roster = Roster(network.clock, domain)
@@ -69,10 +69,10 @@
             self.component = Heartbeater(
                 *common, lambda: self.member, self.configuration, PERIOD_MS
             )
-        network.processes[self.me] = self
+        network.processes[self.local_peer] = self
 
     def send(self, peer, message):
-        data = messages.encode(self.me, peer.incarnation, message)
+        data = messages.encode(self.local_peer, peer.incarnation, message)
         self.network.queue.append((self, peer, data))
         return True
 
@@ -93,7 +93,7 @@
             self.component.handle_digest(delivery.sender, delivery.message)
 
     def get_state(self, process):
-        member = self.roster.get(process.me)
+        member = self.roster.get(process.local_peer)
         return member.state if member else None
 
 
@@ -112,11 +112,11 @@
         while self.queue:
             source, peer, data = self.queue.pop(0)
             target = self.processes.get(peer)
-            self.bytes[source.me] += len(data)
-            self.count[source.me] += 1
+            self.bytes[source.local_peer] += len(data)
+            self.count[source.local_peer] += 1
             domains = frozenset({source.member.domain, target.member.domain}) if target else None
             if target and not target.paused and domains not in self.partitions:
-                self.bytes[target.me] += len(data)
+                self.bytes[target.local_peer] += len(data)
                 target.receive(messages.decode(data))
 
     def run(self, rounds):
@@ -154,14 +154,14 @@
     def check_states(self, process, expected):
         for other in self.running_processes():
             if other is not process:
-                self.assertEqual(other.get_state(process), expected, other.me.address)
+                self.assertEqual(other.get_state(process), expected, other.local_peer.address)
 
     def entry_of(self, agent):
         return self.network.processes[agent.component.target]
 
     def test_all_processes_know_all_others(self):
         for process in self.running_processes():
-            others = {agent.me for agent in self.agents} - {process.me}
+            others = {agent.local_peer for agent in self.agents} - {process.local_peer}
             self.assertEqual(set(map(peer_of, process.roster.agents("fitting"))), others)
             self.assertEqual(len(process.roster.entries()), 4)
 
@@ -178,7 +178,7 @@
 
     def test_new_incarnation_at_an_old_address(self):
         old = self.agents[0]
-        del self.network.processes[old.me]
+        del self.network.processes[old.local_peer]
         new = self.add(10, "north", "agent", incarnation=5)
         self.network.introduce()
         self.network.run(4)
@@ -219,15 +219,15 @@
         """This includes entries that receive no digests from the other domain directly."""
         self.network.partitions.add(frozenset({"north", "south"}))
         for rounds, known in (
-            (SILENT_ROUNDS - FAR_ROUNDS, False),
-            (FAR_ROUNDS + TOLD_ROUNDS, True),
+            (UNREACHABLE_ROUNDS - FOREIGN_DIGEST_ROUNDS, False),
+            (FOREIGN_DIGEST_ROUNDS + FORWARDED_ROUNDS, True),
         ):
             self.network.run(rounds)
             for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
-                self.assertEqual(near == {process.member.domain}, known, process.me.address)
+                self.assertEqual(near == {process.member.domain}, known, process.local_peer.address)
         self.network.partitions.clear()
-        self.network.run(FAR_ROUNDS + 1)
+        self.network.run(FOREIGN_DIGEST_ROUNDS + 1)
         self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
 
     def test_no_member_is_declared_dead_in_a_partition_between_domains(self):
@@ -235,9 +235,9 @@
         self.network.partitions.add(frozenset({"north", "south"}))
         self.network.run(330)
         for process in self.running_processes():
-            others = {other.me for other in self.running_processes()} - {process.me}
+            others = {other.local_peer for other in self.running_processes()} - {process.local_peer}
             ready = {peer_of(m) for m in process.roster.members() if m.state == "ready"}
-            self.assertEqual(ready - {process.me}, others)
+            self.assertEqual(ready - {process.local_peer}, others)
         self.agents[5].member = self.agents[5].member._replace(state="ejected")
         self.network.run(2)
         self.assertEqual(self.agents[0].get_state(self.agents[5]), "ready")
@@ -251,7 +251,7 @@
         self.network.introduce()
         self.network.run(6)
         other_entries = self.entries[2:]
-        for rounds in (1, FAR_ROUNDS, SILENT_ROUNDS, 3 * SILENT_ROUNDS):
+        for rounds in (1, FOREIGN_DIGEST_ROUNDS, UNREACHABLE_ROUNDS, 3 * UNREACHABLE_ROUNDS):
             with self.subTest(rounds=rounds):
                 self.network.partitions.add(frozenset({"north", "south"}))
                 for agent in agents:
@@ -260,7 +260,7 @@
                     agent.member = old._replace(state=state, version=old.version + 1)
                 self.network.run(rounds)
                 self.network.partitions.clear()
-                self.network.run(FAR_ROUNDS + 3)
+                self.network.run(FOREIGN_DIGEST_ROUNDS + 3)
                 for entry in other_entries:
                     known = {entry.get_state(agent) for agent in agents}
                     self.assertEqual(known, {agents[0].member.state})
@@ -307,22 +307,26 @@
         self.network.run(5)
         self.assertEqual([p.roster.version for p in self.running_processes()], versions)
         for process in self.running_processes():
-            loads = [m.load for m in process.roster.agents("fitting") if peer_of(m) != process.me]
+            loads = [
+                m.load for m in process.roster.agents("fitting") if peer_of(m) != process.local_peer
+            ]
             self.assertEqual(set(loads), {load})
 
     def test_configuration_reaches_all_and_is_reported(self):
         self.entries[3].configuration.apply([Document("team/opticians", 9, b"{}")])
-        self.assertEqual(self.entries[3].component.in_force(), {"north": 0, "south": 0})
+        self.assertEqual(
+            self.entries[3].component.get_revisions_in_force(), {"north": 0, "south": 0}
+        )
         self.network.run(6)
         for process in self.running_processes():
             self.assertEqual(process.configuration.revision, 9)
         for entry in self.entries:
-            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 9})
+            self.assertEqual(entry.component.get_revisions_in_force(), {"north": 9, "south": 9})
         self.agents[0].paused = True
         self.entries[0].configuration.apply([Document("team/opticians", 11, b"{}")])
         self.network.run(5)
         for entry in self.entries:
-            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 11})
+            self.assertEqual(entry.component.get_revisions_in_force(), {"north": 9, "south": 11})
 
     def test_starting_agent_has_all_batches_of_configuration_at_once(self):
         documents = [Document(f"team/{number}", number, b"{}") for number in range(1, 9)]
@@ -338,7 +342,7 @@
         agent.step()
         self.network.deliver()
         self.assertEqual(agent.configuration.revision, len(documents))
-        self.assertEqual(self.network.count[agent.me], len(documents) // 2)
+        self.assertEqual(self.network.count[agent.local_peer], len(documents) // 2)
 
     def test_configuration_is_pushed_without_waiting_for_heartbeats(self):
         for entry in self.entries[:2]:
@@ -352,7 +356,7 @@
         self.network.run(6)
         totals = Counter()
         for entry in self.entries:
-            for report in entry.component.peers_demand():
+            for report in entry.component.get_peer_demand():
                 totals[report.demand] += 1
         one, both = (("opticians", 1.0, 2.0),), (("opticians", 2.0, 4.0),)
         self.assertEqual(totals[one], 4)
@@ -375,16 +379,18 @@
                 self.network.run(lost)
                 self.network.partitions.clear()
                 self.network.run(rounds)
-                told = {report.entry: report.demand for report in first.component.peers_demand()}
-                self.assertEqual(told[second.me], demand)
+                told = {report.entry: report.demand for report in first.component.get_peer_demand()}
+                self.assertEqual(told[second.local_peer], demand)
 
     def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
         self.network.count.clear()
         self.network.run(10)
         for agent in self.agents:
-            self.assertEqual(self.network.count[agent.me], 10)
-        digests = sum(self.network.count[e.me] for e in self.entries) - 10 * len(self.agents)
-        self.assertEqual(digests, 10 * 4 + 10 // FAR_ROUNDS * 2)
+            self.assertEqual(self.network.count[agent.local_peer], 10)
+        digests = sum(self.network.count[e.local_peer] for e in self.entries) - 10 * len(
+            self.agents
+        )
+        self.assertEqual(digests, 10 * 4 + 10 // FOREIGN_DIGEST_ROUNDS * 2)
 
 
 class BudgetTest(unittest.TestCase):
@@ -400,7 +406,7 @@
             load = Load(8, generator.randrange(9), generator.randrange(3), generator.random())
             entry.roster.apply_indirect(agent._replace(load=load))
         agents = [p for p in network.processes.values() if p.member.domain == "north"][1:]
-        network.processes = {process.me: process for process in [entry, *agents]}
+        network.processes = {process.local_peer: process for process in [entry, *agents]}
         network.introduce()
         network.run(1)
         period_ms = entry.component.period_ms
@@ -414,7 +420,7 @@
             changed_agent = agents[round_number]
             changed_agent.member = changed_agent.member._replace(state="ejected")
             network.run(1)
-        worst = max(network.bytes[agent.me] for agent in agents) / 3
+        worst = max(network.bytes[agent.local_peer] for agent in agents) / 3
         self.assertLess(worst / (PERIOD_MS / 1_000), BUDGET_BYTES_PER_S)
 
 
--- a/tests/test_run_certainty.py
+++ b/tests/test_run_certainty.py
@@ -67,7 +67,7 @@
         incarnation = self.minion.incarnation
         self.executor.handle_minion_report(incarnation)
         self.executor.handle_minion_departure(incarnation.instance, incarnation.started_unix_ms)
-        self.clock.settle()
+        self.clock.run_ready_threads()
 
     def test_active_runs_of_departed_minion_are_not_reported_as_over(self):
         self.start_runs(1)
@@ -114,7 +114,7 @@
         before = self.minion.incarnation
         self.leave(300.0)
         self.executor.handle_minion_report(before._replace(sequence=before.sequence + 9))
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertFalse(self.executor.state().accepts)
 
     def test_next_minion_is_adopted_once_the_departed_one_has_exited(self):
@@ -152,7 +152,7 @@
         self.assertEqual(RUN_DONE, self.outcome(1))
 
     def test_stopped_run_whose_end_is_not_listed_yet_is_not_refused(self):
-        self.minion.inject(ScriptedFault("start", CallFault.LOST_AFTER))
+        self.minion.inject_fault(ScriptedFault("start", CallFault.LOST_AFTER))
         self.minion.ignored_calls = {"look"}
         self.start(make_order(1, "j.0.0.1", run_ms=200))
         self.end_more_runs_than_listed()
