--- a/benchmarks/experiment_base.py
+++ b/benchmarks/experiment_base.py
@@ -1,4 +1,4 @@
-"""Shared parts of the experiments: parallel fleets, slices of load, result rows."""
+"""Shared parts of the experiments: parallel systems, slices of load, result rows."""
 
 import contextlib
 import os
@@ -15,13 +15,13 @@
 from eventlet import tpool
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.counts import NO_COUNTS, Counts, Meter, is_alive
+from benchmarks.counts import ZERO_COUNTS, Counts, Meter, is_alive
 from geraniumspool.client import OUTCOME_COMPLETE, OUTCOME_MAY_HAVE_RUN, OUTCOME_NOT_RUN
 from geraniumspool.load import Load, LoadOptions
 from geraniumspool.loadreport import OUTCOME_UNANSWERED, JobOutcome, LoadReport
 from geraniumspool.ticket import Keyring
 from geraniumspool.workload import JobPlan, ideal_ms
-from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN, Fleet, Program
+from tests.processes import SERVICE, TEAM, TICKET_KEY, TOKEN, ProcessSystem, Program
 
 DOMAINS = ["sukhbaatar", "bayanzurkh", "khan-uul"]
 AGENTS_PER_DOMAIN = [4, 4, 3]
@@ -98,16 +98,16 @@
 class Tally:
     """Outcomes and response times of jobs over several slices of load.
 
-    :ivar late: admitted jobs that were not complete by their deadline
+    :ivar deadline_missed: admitted jobs that were not complete by their deadline
     :ivar work_ms: total run time of the tasks of all jobs in milliseconds
     """
 
-    def __init__(self, trip_ms: float):
+    def __init__(self, one_way_delay_ms: float):
         """Start empty.
 
-        :param trip_ms: one-way latency between client and entries in milliseconds
+        :param one_way_delay_ms: one-way latency between client and entries in milliseconds
         """
-        self._trip_ms = trip_ms
+        self._one_way_delay_ms = one_way_delay_ms
         self._ratios = HdrHistogram(1, MAX_RATIO, 3)
         self._narrow = HdrHistogram(1, MAX_RATIO, 3)
         self._middle = HdrHistogram(1, MAX_RATIO, 3)
@@ -115,11 +115,11 @@
         self._refused = HdrHistogram(1, MAX_MS * SCALE, 3)
         self.outcomes: Counter[str] = Counter()
         self.codes: Counter[str] = Counter()
-        self.late = 0
+        self.deadline_missed = 0
         self.work_ms = 0.0
         self.jobs: list[Job] = []
 
-    def note(self, outcome: JobOutcome) -> None:
+    def record(self, outcome: JobOutcome) -> None:
         """Record the outcome of one job."""
         plan = outcome.plan
         self.work_ms += plan.work_ms
@@ -127,15 +127,15 @@
         self.codes[outcome.code] += bool(outcome.code)
         self.jobs.append(Job(outcome.ticket, outcome.outcome, len(plan.tasks)))
         if outcome.outcome == OUTCOME_COMPLETE:
-            self.late += outcome.response_ms > plan.deadline_ms
-            ideal = ideal_ms(plan, SLOTS, self._trip_ms)
+            self.deadline_missed += outcome.response_ms > plan.deadline_ms
+            ideal = ideal_ms(plan, SLOTS, self._one_way_delay_ms)
             ratio = min(MAX_RATIO, max(1, round(outcome.response_ms / ideal * SCALE)))
             self._ratios.record_value(ratio)
             self._by_width(plan).record_value(ratio)
         elif outcome.code == CANCELLED_CODE:
             return
         elif outcome.outcome in LOST_OUTCOMES or outcome.code == EXPIRED_CODE:
-            self.late += 1
+            self.deadline_missed += 1
         elif outcome.outcome == OUTCOME_NOT_RUN:
             self._refused.record_value(round(max(1, min(MAX_MS, outcome.response_ms) * SCALE)))
 
@@ -171,22 +171,29 @@
     return round(histogram.get_value_at_percentile(percentile) / SCALE, 3)
 
 
-class Trial:
-    """Measurement of one policy in an experiment, in slices of load on one fleet."""
+class PolicyMeasurement:
+    """Measurement of one policy in an experiment, in slices of load on one system."""
 
-    def __init__(self, fleet: Fleet, experiment: str, policy: str, chosen: bool, trip_ms: float):
+    def __init__(
+        self,
+        system: ProcessSystem,
+        experiment: str,
+        policy: str,
+        chosen: bool,
+        one_way_delay_ms: float,
+    ):
         """Start without results.
 
         :param chosen: whether the policy is the one in use
-        :param trip_ms: one-way latency between client and entries in milliseconds
+        :param one_way_delay_ms: one-way latency between client and entries in milliseconds
         """
-        self.fleet = fleet
+        self.system = system
         self._experiment = experiment
         self._policy = policy
         self._chosen = chosen
-        self._trip_ms = trip_ms
-        self.tally = Tally(trip_ms)
-        self.counts = NO_COUNTS
+        self._one_way_delay_ms = one_way_delay_ms
+        self.tally = Tally(one_way_delay_ms)
+        self.counts = ZERO_COUNTS
         self.meter: Meter | None = None
         self.wrong_answers = 0
         self.starts = 0
@@ -212,23 +219,27 @@
         :param on_end: called after the last answer, before starts are counted
         :param options: fields of :class:`geraniumspool.load.LoadOptions`
         """
-        options = {"slots": SLOTS, "trip_ms": self._trip_ms, "team": TEAM} | options
-        self.meter = Meter(self.fleet)
-        before = self.fleet.starts()["starts"]
+        options = {
+            "slots": SLOTS,
+            "one_way_delay_ms": self._one_way_delay_ms,
+            "team": TEAM,
+        } | options
+        self.meter = Meter(self.system)
+        before = self.system.sum_starts()["starts"]
         first = len(self.tally.jobs)
         samples: list[int] = []
         sampler = eventlet.spawn(self._sample, samples, seconds) if watch else None
-        entries = options.pop("entries", None) or self.fleet.callers()
+        entries = options.pop("entries", None) or self.system.caller_addresses()
         chosen = LoadOptions(entries=entries, service=SERVICE, seconds=seconds, **options)
-        load = Load(chosen, observer=self.tally.note)
+        load = Load(chosen, observer=self.tally.record)
         on_start(load.stop)
         report = load.run()
         on_end()
         if sampler:
             sampler.kill()
         eventlet.sleep(SETTLE_S)
-        started = self.fleet.starts()["starts"] - before
-        self.counts += self.meter.read()
+        started = self.system.sum_starts()["starts"] - before
+        self.counts += self.meter.total()
         self.starts += started
         self.wrong_answers += report.wrong_answers
         self._seconds += min(seconds, report.elapsed_ms / 1_000)
@@ -247,7 +258,7 @@
         end = time.monotonic() + seconds
         eventlet.sleep(seconds / 5)
         while time.monotonic() < end:
-            samples.append(self.fleet.starts()["running"])
+            samples.append(self.system.sum_starts()["running"])
             eventlet.sleep(SAMPLE_S)
 
     def row(self, **notes: float) -> Row:
@@ -257,7 +268,7 @@
         """
         tally = self.tally
         tasks = max(1, self.starts)
-        check = check_starts(self.fleet, tally.jobs, self.starts)
+        check = check_starts(self.system, tally.jobs, self.starts)
         goodput = statistics.mean(self._goodput or [r.goodput_share for r in self.reports])
         if self._seconds:
             offered = tally.work_ms / 1_000 / (SLOTS * self._seconds)
@@ -285,7 +296,7 @@
             wrong_answers=self.wrong_answers,
             goodput_share=round(goodput, 3),
             refused_ms_p99=tally.refused_ms(99),
-            deadline_missed=tally.late,
+            deadline_missed=tally.deadline_missed,
             load_average=round(max(self._loads or [0.0]), 1),
             notes=notes,
         )
@@ -302,7 +313,7 @@
     false_not_run: int
 
 
-def check_starts(fleet: Fleet, jobs: list[Job], starts: int) -> StartsCheck:
+def check_starts(system: ProcessSystem, jobs: list[Job], starts: int) -> StartsCheck:
     """Compare the starts at the minions with the answers.
 
     Each task of a complete job was started at least once. Only if there were more starts than
@@ -322,7 +333,7 @@
         for job in incomplete
         for index in range(job.tasks)
     ]
-    counts = list(pool.imap(lambda pair: _count_starts(fleet, pair[1]), names))
+    counts = list(pool.imap(lambda pair: _count_starts(system, pair[1]), names))
     false_jobs = {
         job.ticket
         for (job, _), count in zip(names, counts, strict=True)
@@ -332,92 +343,92 @@
     return StartsCheck(surplus - started_tasks, len(false_jobs))
 
 
-def _count_starts(fleet: Fleet, task: str) -> int:
+def _count_starts(system: ProcessSystem, task: str) -> int:
     total = 0
-    for minion in fleet.minions:
+    for minion in system.minions:
         if is_alive(minion):
             url = f"{minion.ready['minion']}/starts/{task}"
-            total += fleet.http.request("GET", url, timeout=10).json()["starts"]
+            total += system.http.request("GET", url, timeout=10).json()["starts"]
     return total
 
 
 @contextlib.contextmanager
-def open_fleets(*settings: dict) -> Iterator[list[Fleet]]:
-    """Start fleets in parallel, yield them once they are ready, and stop them at the end.
+def open_systems(*settings: dict) -> Iterator[list[ProcessSystem]]:
+    """Start systems in parallel, yield them once they are ready, and stop them at the end.
 
-    :param settings: agent settings, one dictionary per fleet
-    :raises RuntimeError: if a fleet is not ready in time
+    :param settings: agent settings, one dictionary per system
+    :raises RuntimeError: if a system is not ready in time
     """
     pool = eventlet.GreenPool()
-    fleets = list(pool.imap(_start_fleet, settings))
+    systems = list(pool.imap(_start_system, settings))
     try:
-        for fleet in fleets:
-            wait_ready(fleet)
-        yield fleets
+        for system in systems:
+            wait_ready(system)
+        yield systems
     finally:
-        for fleet in fleets:
-            fleet.stop()
+        for system in systems:
+            system.stop()
 
 
-def _start_fleet(settings: dict) -> Fleet:
-    # Starting a process blocks the event loop, so a native thread starts each fleet.
-    return tpool.execute(Fleet, DOMAINS, AGENTS_PER_DOMAIN, agent_settings=settings)
+def _start_system(settings: dict) -> ProcessSystem:
+    # Starting a process blocks the event loop, so a native thread starts each system.
+    return tpool.execute(ProcessSystem, DOMAINS, AGENTS_PER_DOMAIN, agent_settings=settings)
 
 
-def wait_ready(fleet: Fleet, agents: int = AGENTS) -> None:
+def wait_ready(system: ProcessSystem, agents: int = AGENTS) -> None:
     """Wait until every running entry sees enough ready agents.
 
     :raises RuntimeError: after ``READY_LIMIT_S``
     """
     end = time.monotonic() + READY_LIMIT_S
-    for entry in fleet.entries:
-        while is_alive(entry) and fleet.ready_agents(entry) < agents:
+    for entry in system.entries:
+        while is_alive(entry) and system.ready_agents(entry) < agents:
             if time.monotonic() > end:
                 raise RuntimeError(f"{agents} agents were not ready within {READY_LIMIT_S:g} s")
             eventlet.sleep(0.1)
 
 
-class Turn(NamedTuple):
-    """A slice of load, or other work, on one fleet.
+class ScheduledSlice(NamedTuple):
+    """A slice of load, or other work, on one system.
 
-    :param seconds: time until the next turn starts; this one may still be waiting for answers
+    :param seconds: time until the next slice starts; this one may still be waiting for answers
     """
 
-    fleet: Fleet
+    system: ProcessSystem
     seconds: float
     run: Callable[[], object]
 
 
-def take_turns(turns: Iterable[Turn]) -> None:
-    """Start turns one after the other; turns on the same fleet never overlap."""
+def run_slices(slices: Iterable[ScheduledSlice]) -> None:
+    """Start slices one after the other; slices on the same system never overlap."""
     running: dict[int, eventlet.greenthread.GreenThread] = {}
-    for turn in turns:
-        if id(turn.fleet) in running:
-            running[id(turn.fleet)].wait()
-        running[id(turn.fleet)] = eventlet.spawn(turn.run)
-        eventlet.sleep(turn.seconds)
+    for scheduled in slices:
+        if id(scheduled.system) in running:
+            running[id(scheduled.system)].wait()
+        running[id(scheduled.system)] = eventlet.spawn(scheduled.run)
+        eventlet.sleep(scheduled.seconds)
     for thread in running.values():
         thread.wait()
 
 
-def measure_trip(fleet: Fleet) -> float:
+def measure_trip(system: ProcessSystem) -> float:
     """Return half the median round-trip time to an entry, in milliseconds."""
-    url = f"http://{fleet.callers()[0]}/healthz"
+    url = f"http://{system.caller_addresses()[0]}/healthz"
     times = []
     for _ in range(TRIP_SAMPLES):
         begin = time.perf_counter()
-        fleet.http.request("GET", url, timeout=10)
+        system.http.request("GET", url, timeout=10)
         times.append(time.perf_counter() - begin)
     return statistics.median(times) * 1_000 / 2
 
 
-def put_faults(fleet: Fleet, url: str, **faults) -> None:
+def set_faults(system: ProcessSystem, url: str, **faults) -> None:
     """Set the faults of a store or minion stand-in; a minion ends those left out.
 
     :param url: base URL of the stand-in
     :raises RuntimeError: if it does not answer with status 200
     """
-    reply = fleet.http.request("PUT", f"{url}/faults", json=faults, timeout=10)
+    reply = system.http.request("PUT", f"{url}/faults", json=faults, timeout=10)
     if reply.status != 200:
         raise RuntimeError(f"PUT {url}/faults: status {reply.status}: {reply.data!r}")
 
@@ -437,9 +448,9 @@
     return (time.monotonic() - begin) * 1_000
 
 
-def restart_entry(fleet: Fleet, index: int) -> None:
+def restart_entry(system: ProcessSystem, index: int) -> None:
     """Start a new entry at the addresses of one that has ended."""
-    old = fleet.entries[index].ready
+    old = system.entries[index].ready
     settings = {
         "role": "entry",
         "domain": DOMAINS[index],
@@ -451,19 +462,19 @@
         "heartbeat_timeout_ms": 2000,
         "registration_ttl_ms": 3000,
     }
-    fleet.entries[index] = _start_program(fleet, "entry", settings)
+    system.entries[index] = _start_program(system, "entry", settings)
 
 
-def restart_agent(fleet: Fleet, index: int) -> None:
+def restart_agent(system: ProcessSystem, index: int) -> None:
     """Start a new agent at the addresses of one that has ended, where its minion finds it."""
-    old = fleet.agents[index].ready
+    old = system.agents[index].ready
     settings = {
         "role": "agent",
         "domain": domain_of(index),
         "inbox": old["inbox"],
         "minion_listen": old["minion"].removeprefix("http://"),
     }
-    fleet.agents[index] = _start_program(fleet, "agent", settings)
+    system.agents[index] = _start_program(system, "agent", settings)
 
 
 def domain_of(index: int) -> str:
@@ -478,15 +489,15 @@
     raise IndexError(index)
 
 
-def _start_program(fleet: Fleet, role: str, settings: dict) -> Program:
-    common = {"store_urls": [fleet.store_url], "heartbeat_period_ms": 500}
+def _start_program(system: ProcessSystem, role: str, settings: dict) -> Program:
+    common = {"store_urls": [system.store_url], "heartbeat_period_ms": 500}
     with tempfile.NamedTemporaryFile("w", suffix=".yaml", encoding="utf-8") as file:
         yaml.safe_dump(settings | common, file)
         file.flush()
         return tpool.execute(Program, role, file.name)
 
 
-def leave(program: Program) -> int:
+def shut_down(program: Program) -> int:
     """Shut a process down gracefully without blocking the load, and kill it after a limit.
 
     :returns: its exit code
@@ -497,7 +508,7 @@
     return program.process.returncode
 
 
-def subtract(after: Counts, before: Counts) -> dict[str, float]:
+def describe_messages_spent(after: Counts, before: Counts) -> dict[str, float]:
     """Return the messages sent between two counts, as notes of a row."""
     spent = after - before
     return {"messages_spent": spent.work_messages, "wasted_spent": spent.wasted_messages}
--- a/benchmarks/experiment_faults.py
+++ b/benchmarks/experiment_faults.py
@@ -11,21 +11,26 @@
 
 from benchmarks.experiment_base import (
     Job,
+    PolicyMeasurement,
     Row,
-    Trial,
-    Turn,
+    ScheduledSlice,
     is_alive,
-    leave,
     measure_trip,
-    open_fleets,
-    put_faults,
+    open_systems,
     restart_agent,
     restart_entry,
-    take_turns,
+    run_slices,
+    set_faults,
+    shut_down,
     wait_ready,
     wait_until,
 )
-from benchmarks.experiment_limits import change, configure, is_in_force, newest
+from benchmarks.experiment_limits import (
+    change_configuration,
+    configure,
+    is_in_force,
+    newest_revision,
+)
 from geraniumspool.client import (
     OUTCOME_COMPLETE,
     OUTCOME_MAY_HAVE_RUN,
@@ -36,7 +41,7 @@
     TaskRequest,
 )
 from geraniumspool.workload import MIXES, RunTimes
-from tests.processes import SERVICE, TEAM, Fleet
+from tests.processes import SERVICE, TEAM, ProcessSystem
 
 MINION_SHARE = 0.6
 MINION_S = 8.0
@@ -87,101 +92,105 @@
 BAD_MINION_INDICES = (0, 0, 4, 8, 1, 5)
 
 
-def measure_minions() -> list[Row]:
+def measure_faulty_minions() -> list[Row]:
     """Measure one faulty minion out of eleven, with and without ejection."""
-    trials, turns = [], []
-    with open_fleets({}, {}) as fleets:
-        trip_ms = measure_trip(fleets[0])
-        configure(fleets[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
+    measurements, slices = [], []
+    with open_systems({}, {}) as systems:
+        one_way_delay_ms = measure_trip(systems[0])
+        configure(systems[1], f"service/{SERVICE}", "ejection_failure_share: 1\n")
         for bad, minion_index in zip(BAD_MINIONS, BAD_MINION_INDICES, strict=True):
-            for fleet, name in zip(fleets, ("ejection", "no ejection"), strict=True):
-                chosen = fleet is fleets[0]
-                trial = Trial(fleet, "minions", f"{bad.name}, {name}", chosen, trip_ms)
-                run = functools.partial(_run_with_bad_minion, trial, minion_index, bad)
-                trials.append(trial)
-                turns.append(Turn(fleet, MINION_S, run))
-        take_turns(turns)
-        return [_describe_failures(trial) for trial in trials]
-
-
-def _run_with_bad_minion(trial: Trial, minion_index: int, bad: BadMinion) -> None:
-    fleet = trial.fleet
-    url = fleet.minions[minion_index].ready["minion"]
-    put_faults(fleet, url, **bad.faults)
-    flapping = eventlet.spawn(_flap, fleet, url, bad) if bad.flaps else None
+            for system, name in zip(systems, ("ejection", "no ejection"), strict=True):
+                chosen = system is systems[0]
+                measurement = PolicyMeasurement(
+                    system, "minions", f"{bad.name}, {name}", chosen, one_way_delay_ms
+                )
+                run = functools.partial(_run_with_bad_minion, measurement, minion_index, bad)
+                measurements.append(measurement)
+                slices.append(ScheduledSlice(system, MINION_S, run))
+        run_slices(slices)
+        return [_describe_failures(measurement) for measurement in measurements]
+
+
+def _run_with_bad_minion(measurement: PolicyMeasurement, minion_index: int, bad: BadMinion) -> None:
+    system = measurement.system
+    url = system.minions[minion_index].ready["minion"]
+    set_faults(system, url, **bad.faults)
+    flapping = eventlet.spawn(_flap, system, url, bad) if bad.flaps else None
 
     def end_faults() -> None:
         if flapping:
             flapping.kill()
-        put_faults(fleet, url)
+        set_faults(system, url)
 
-    trial.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=end_faults)
+    measurement.run(MINION_S, mix=MINION_MIX, load_share=MINION_SHARE, on_end=end_faults)
 
 
-def _describe_failures(trial: Trial) -> Row:
-    jobs = len(trial.tally.jobs)
-    failed = sum(job.outcome != OUTCOME_COMPLETE for job in trial.tally.jobs)
-    return trial.row(failed_share=round(failed / max(1, jobs), 4))
+def _describe_failures(measurement: PolicyMeasurement) -> Row:
+    jobs = len(measurement.tally.jobs)
+    failed = sum(job.outcome != OUTCOME_COMPLETE for job in measurement.tally.jobs)
+    return measurement.row(failed_share=round(failed / max(1, jobs), 4))
 
 
-def _flap(fleet: Fleet, url: str, bad: BadMinion) -> None:
+def _flap(system: ProcessSystem, url: str, bad: BadMinion) -> None:
     while True:
         eventlet.sleep(FLAP_S)
-        put_faults(fleet, url)
+        set_faults(system, url)
         eventlet.sleep(FLAP_S)
-        put_faults(fleet, url, **bad.faults)
+        set_faults(system, url, **bad.faults)
 
 
-def measure_unknown() -> list[Row]:
+def measure_process_faults() -> list[Row]:
     """Measure jobs in flight when processes fail, while some jobs are submitted twice."""
-    cases: tuple[tuple[str, Callable[[Trial], None]], ...] = (
-        ("no fault", lambda trial: None),
+    cases: tuple[tuple[str, Callable[[PolicyMeasurement], None]], ...] = (
+        ("no fault", lambda measurement: None),
         ("agent frozen 6 s", _freeze_agent),
         ("entry killed, back at its address", _kill_entry),
         ("agent killed", _kill_agent),
         ("agent killed, back at its address", _kill_agent_and_restart),
     )
     rows = []
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
+    with open_systems({}) as (system,):
+        one_way_delay_ms = measure_trip(system)
         for name, fault in cases:
-            trial = Trial(fleet, "unknown", name, True, trip_ms)
-            task = eventlet.spawn(_inject_after_delay, fault, trial)
+            measurement = PolicyMeasurement(system, "unknown", name, True, one_way_delay_ms)
+            task = eventlet.spawn(_inject_after_delay, fault, measurement)
             options = {"mix": FAULT_MIX, "load_share": FAULT_SHARE}
-            trial.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
+            measurement.run(FAULT_S, resubmit_share=RESUBMIT_SHARE, **options)
             task.wait()
-            row = _describe_failures(trial)
-            extra_notes = {"wasted_messages": trial.counts.wasted_messages}
+            row = _describe_failures(measurement)
+            extra_notes = {"wasted_messages": measurement.counts.wasted_messages}
             rows.append(row._replace(notes=row.notes | extra_notes))
     return rows
 
 
-def _inject_after_delay(fault: Callable[[Trial], None], trial: Trial) -> None:
+def _inject_after_delay(
+    fault: Callable[[PolicyMeasurement], None], measurement: PolicyMeasurement
+) -> None:
     eventlet.sleep(FAULT_DELAY_S)
-    trial.meter.look()
-    fault(trial)
+    measurement.meter.sample()
+    fault(measurement)
 
 
-def _freeze_agent(trial: Trial) -> None:
-    agent = trial.fleet.agents[0]
+def _freeze_agent(measurement: PolicyMeasurement) -> None:
+    agent = measurement.system.agents[0]
     agent.send(signal.SIGSTOP)
     eventlet.sleep(FREEZE_S)
     agent.send(signal.SIGCONT)
 
 
-def _kill_entry(trial: Trial) -> None:
-    trial.fleet.entries[1].kill()
+def _kill_entry(measurement: PolicyMeasurement) -> None:
+    measurement.system.entries[1].kill()
     eventlet.sleep(ENTRY_DOWN_S)
-    restart_entry(trial.fleet, 1)
+    restart_entry(measurement.system, 1)
 
 
-def _kill_agent(trial: Trial) -> None:
-    trial.fleet.agents[10].kill()
+def _kill_agent(measurement: PolicyMeasurement) -> None:
+    measurement.system.agents[10].kill()
 
 
-def _kill_agent_and_restart(trial: Trial) -> None:
-    trial.fleet.agents[5].kill()
-    restart_agent(trial.fleet, 5)
+def _kill_agent_and_restart(measurement: PolicyMeasurement) -> None:
+    measurement.system.agents[5].kill()
+    restart_agent(measurement.system, 5)
 
 
 def measure_store() -> list[Row]:
@@ -193,22 +202,22 @@
         ("down 10 s", {"down": True}, STORE_DOWN_S, 18.0),
     )
     rows = []
-    with open_fleets({}) as (fleet,):
-        trip_ms = measure_trip(fleet)
+    with open_systems({}) as (system,):
+        one_way_delay_ms = measure_trip(system)
         for number, (name, faults, down_s, seconds) in enumerate(cases):
-            trial = Trial(fleet, "store", name, True, trip_ms)
+            measurement = PolicyMeasurement(system, "store", name, True, one_way_delay_ms)
             notes: dict[str, float] = {}
-            task = eventlet.spawn(_change_later, fleet, number, faults, down_s, notes)
-            trial.run(seconds, mix=FAULT_MIX, load_share=STORE_SHARE)
+            task = eventlet.spawn(_change_later, system, number, faults, down_s, notes)
+            measurement.run(seconds, mix=FAULT_MIX, load_share=STORE_SHARE)
             task.wait()
-            put_faults(fleet, fleet.store_url, down=False, slow_ms=0, lose_answers=0)
-            row = _describe_failures(trial)
+            set_faults(system, system.store_url, down=False, slow_ms=0, lose_answers=0)
+            row = _describe_failures(measurement)
             rows.append(row._replace(notes=row.notes | notes))
     return rows
 
 
 def _change_later(
-    fleet: Fleet, number: int, faults: dict, down_s: float, notes: dict[str, float]
+    system: ProcessSystem, number: int, faults: dict, down_s: float, notes: dict[str, float]
 ) -> None:
     """Change a document, retrying until it is accepted, and wait until it is in force.
 
@@ -220,22 +229,22 @@
     :param notes: receives the number of retries and the times in milliseconds
     """
     eventlet.sleep(1.0)
-    before = newest(fleet)
+    before = newest_revision(system)
     if faults:
-        put_faults(fleet, fleet.store_url, **faults)
+        set_faults(system, system.store_url, **faults)
     begin = time.monotonic()
     if down_s:
-        eventlet.spawn_after(down_s, put_faults, fleet, fleet.store_url, down=False)
+        eventlet.spawn_after(down_s, set_faults, system, system.store_url, down=False)
     change_id = uuid.uuid4().hex
     body = f"weight: {number + 2}\n"
     retries = 0
-    while change(fleet, "team/opticians", body, change_id) != 200:
+    while change_configuration(system, "team/opticians", body, change_id) != 200:
         retries += 1
         if time.monotonic() - begin > STORE_LIMIT_S:
             break
         eventlet.sleep(0.1)
     accepted = time.monotonic()
-    wait_until(lambda: is_in_force(fleet, before + 1), STORE_LIMIT_S)
+    wait_until(lambda: is_in_force(system, before + 1), STORE_LIMIT_S)
     notes["repeated_changes"] = retries
     notes["accepted_ms"] = round((accepted - begin - down_s) * 1_000, 1)
     notes["in_force_ms"] = round((time.monotonic() - begin - down_s) * 1_000, 1)
@@ -243,19 +252,21 @@
 
 def measure_restarts() -> list[Row]:
     """Measure a rolling restart of all agents and entries under load."""
-    with open_fleets({}) as (fleet,):
-        trial = Trial(fleet, "restarts", "every agent and entry", True, measure_trip(fleet))
+    with open_systems({}) as (system,):
+        measurement = PolicyMeasurement(
+            system, "restarts", "every agent and entry", True, measure_trip(system)
+        )
         notes: dict[str, float] = {}
-        callers = [_Caller(fleet, number) for number in range(CALLERS)]
+        callers = [_Caller(system, number) for number in range(CALLERS)]
         tasks = []
 
         def start(stop_load: Callable[[], None]) -> None:
             stops = [stop_load, *(caller.stop for caller in callers)]
             tasks.extend(eventlet.spawn(caller.run) for caller in callers)
-            tasks.append(eventlet.spawn(_restart_all, trial, notes, stops))
+            tasks.append(eventlet.spawn(_restart_all, measurement, notes, stops))
 
         options = {"mix": FAULT_MIX, "load_share": RESTART_SHARE}
-        trial.run(RESTART_SECONDS, resubmit_share=RESUBMIT_SHARE, on_start=start, **options)
+        measurement.run(RESTART_SECONDS, resubmit_share=RESUBMIT_SHARE, on_start=start, **options)
         for task in tasks:
             task.wait()
         notes["client_jobs"] = sum(caller.jobs for caller in callers)
@@ -265,9 +276,9 @@
         notes["client_resubmissions"] = sum(caller.resubmissions for caller in callers)
         # The minions counted the clients' starts in this slice too, so their jobs are checked
         # with it.
-        jobs = len(trial.tally.jobs)
-        trial.tally.jobs += [job for caller in callers for job in caller.done]
-        row = _describe_failures(trial)
+        jobs = len(measurement.tally.jobs)
+        measurement.tally.jobs += [job for caller in callers for job in caller.done]
+        row = _describe_failures(measurement)
         return [row._replace(jobs=jobs, notes=row.notes | notes)]
 
 
@@ -279,12 +290,12 @@
     :ivar done: jobs that ended, also failed ones
     """
 
-    def __init__(self, fleet: Fleet, number: int):
+    def __init__(self, system: ProcessSystem, number: int):
         self.jobs = 0
         self.resubmissions = 0
         self.failures: list[str] = []
         self.done: list[Job] = []
-        self._client = Client(fleet.callers(), SERVICE, TEAM)
+        self._client = Client(system.caller_addresses(), SERVICE, TEAM)
         self._number = number
         self._is_stopped = False
 
@@ -310,25 +321,27 @@
                 self.failures.append("wrong answer")
 
 
-def _restart_all(trial: Trial, notes: dict[str, float], stop: list[Callable[[], None]]) -> None:
-    fleet = trial.fleet
+def _restart_all(
+    measurement: PolicyMeasurement, notes: dict[str, float], stop: list[Callable[[], None]]
+) -> None:
+    system = measurement.system
     eventlet.sleep(2.0)
     begin = time.monotonic()
     codes = []
     longest_leave_s = 0.0
-    for index in range(len(fleet.agents)):
-        trial.meter.look()
+    for index in range(len(system.agents)):
+        measurement.meter.sample()
         leave_began = time.monotonic()
-        codes.append(leave(fleet.agents[index]))
+        codes.append(shut_down(system.agents[index]))
         longest_leave_s = max(longest_leave_s, time.monotonic() - leave_began)
-        restart_agent(fleet, index)
-        wait_ready(fleet)
-    for index in range(len(fleet.entries)):
-        trial.meter.look()
-        codes.append(leave(fleet.entries[index]))
-        restart_entry(fleet, index)
-        wait_ready(fleet)
-    notes["restarted"] = sum(is_alive(program) for program in fleet.agents + fleet.entries)
+        restart_agent(system, index)
+        wait_ready(system)
+    for index in range(len(system.entries)):
+        measurement.meter.sample()
+        codes.append(shut_down(system.entries[index]))
+        restart_entry(system, index)
+        wait_ready(system)
+    notes["restarted"] = sum(is_alive(program) for program in system.agents + system.entries)
     notes["bad_exit_codes"] = sum(code != 0 for code in codes)
     notes["took_s"] = round(time.monotonic() - begin, 1)
     notes["longest_leave_s"] = round(longest_leave_s, 1)
--- a/benchmarks/slope_jobs.py
+++ b/benchmarks/slope_jobs.py
@@ -14,7 +14,7 @@
     memory_bytes,
     processor_us,
 )
-from benchmarks.slope_membership import SERVICE, Outbox, make_member
+from benchmarks.slope_membership import SERVICE, CountingMessenger, make_member
 from geraniumspool.agent import Agent
 from geraniumspool.clock import SystemClock
 from geraniumspool.contracts import Announcement
@@ -39,7 +39,7 @@
 )
 from geraniumspool.records import Records
 from geraniumspool.settings import AgentSettings
-from geraniumspool.ticket import Keyring, read_ticket
+from geraniumspool.ticket import Keyring, decode_unverified
 
 JOB_SIZES = (1, 8, 40, 340)
 WORKER_COUNTS = (11, 100, 551)
@@ -60,7 +60,7 @@
 class InstantMinion:
     """Minion client whose tasks complete at once."""
 
-    def run(self, minion: Announcement, task_id: str, payload: bytes, limit_ms: float) -> bytes:
+    def run(self, minion: Announcement, task_id: str, payload: bytes, timeout_ms: float) -> bytes:
         """Return a result of typical length; see :data:`RESULT`."""
         eventlet.sleep(0)
         return RESULT
@@ -70,7 +70,7 @@
         return True
 
 
-class Wire(Outbox):
+class RecordingMessenger(CountingMessenger):
     """Outbox that also keeps the sent messages in order.
 
     :ivar sent: receivers and messages since the last :meth:`take_all`
@@ -95,7 +95,7 @@
         return sent
 
 
-def make_agent(wire: Wire, domain: str) -> Agent:
+def make_agent(wire: RecordingMessenger, domain: str) -> Agent:
     """Return an agent with an in-memory store and minion; it is not started."""
     clock = SystemClock()
     counters = MemoryCounters()
@@ -104,7 +104,7 @@
     return Agent(settings, wire, store, InstantMinion(), clock, counters)
 
 
-class HomeSide:
+class HomeHarness:
     """A home without a minion, among generated workers that run no tasks.
 
     :ivar home_us: processor time spent in the home in microseconds, encoding included
@@ -117,12 +117,12 @@
         :param workers: number of workers in its roster
         """
         me = make_member(0, 9999, ROLE_AGENT)
-        self.wire = Wire(peer_of(me))
+        self.wire = RecordingMessenger(peer_of(me))
         self.entry = peer_of(make_member(0, 0, ROLE_ENTRY))
         agent = make_agent(self.wire, me.domain)
         for number in range(workers):
             member = make_member(number % 2, number // 2, ROLE_AGENT)
-            agent.roster.observe(member._replace(load=Load(SLOTS, SLOTS)))
+            agent.roster.apply_indirect(member._replace(load=Load(SLOTS, SLOTS)))
         self.home = agent.home
         self.home.service = SERVICE
         self.keyring = Keyring([KEY])
@@ -131,7 +131,7 @@
 
     def submit(self, tasks: int) -> None:
         """Submit one job of so many tasks."""
-        ticket = self.keyring.issue(self.wire.me, SERVICE, 1_790_000_000_000)
+        ticket = self.keyring.issue(self.wire.local_peer, SERVICE, 1_790_000_000_000)
         submit = Submit(
             1, ticket, SERVICE, "team", DEADLINE_MS, b"d" * 16, (Task(PAYLOAD),) * tasks
         )
@@ -150,14 +150,14 @@
                     self._deliver(peer, _make_results(message))
 
     def _deliver(self, sender: Peer, message: Message) -> None:
-        data = encode(sender, self.wire.me.incarnation, message)
+        data = encode(sender, self.wire.local_peer.incarnation, message)
 
         def take() -> None:
             delivery = decode(data)
             if isinstance(delivery.message, Submit):
-                self.home.take_submit(delivery.sender, delivery.message)
+                self.home.handle_submit(delivery.sender, delivery.message)
             else:
-                self.home.take_results(delivery.sender, delivery.message)
+                self.home.handle_results(delivery.sender, delivery.message)
             eventlet.sleep(0)
             eventlet.sleep(0)
 
@@ -189,19 +189,19 @@
 def _measure_home() -> list[Slope]:
     job_us, messages, sizes = [], [], []
     for tasks in JOB_SIZES:
-        side = HomeSide(11)
-        side.run_job(tasks)
+        harness = HomeHarness(11)
+        harness.run_job(tasks)
         count = max(3, TIMED_TASKS // tasks)
         costs = []
         for _ in range(3):
-            side.home_us = 0.0
-            side.wire.reset()
+            harness.home_us = 0.0
+            harness.wire.reset()
             for _ in range(count):
-                side.run_job(tasks)
-            costs.append(side.home_us / count)
+                harness.run_job(tasks)
+            costs.append(harness.home_us / count)
         job_us.append(Point(tasks, sorted(costs)[1]))
-        messages.append(Point(tasks, side.wire.messages / count))
-        sizes.append(Point(tasks, side.wire.bytes / count))
+        messages.append(Point(tasks, harness.wire.messages / count))
+        sizes.append(Point(tasks, harness.wire.bytes / count))
     return [
         fit("home: one job, 11 workers / tasks", "us of processor", job_us),
         fit("home: messages sent for one job, 11 workers / tasks", "messages", messages),
@@ -212,14 +212,14 @@
 def _measure_candidates() -> list[Slope]:
     usable, jobs, wide = [], [], []
     for workers in WORKER_COUNTS:
-        side = HomeSide(workers)
-        usable.append(Point(workers, median_us(lambda s=side: _list_usable(s), 50)))
+        harness = HomeHarness(workers)
+        usable.append(Point(workers, median_us(lambda s=harness: _list_usable(s), 50)))
         for tasks, points in ((1, jobs), (40, wide)):
             costs = []
             for _ in range(15):
-                side.home_us = 0.0
-                side.run_job(tasks)
-                costs.append(side.home_us)
+                harness.home_us = 0.0
+                harness.run_job(tasks)
+                costs.append(harness.home_us)
             points.append(Point(workers, sorted(costs)[len(costs) // 2]))
     return [
         fit("home: list of usable workers / workers known", "us of processor", usable),
@@ -228,9 +228,9 @@
     ]
 
 
-def _list_usable(side: HomeSide) -> None:
+def _list_usable(harness: HomeHarness) -> None:
     for _ in range(50):
-        side.home._placer.list_workers()
+        harness.home._placer.list_workers()
 
 
 def _measure_runner() -> list[Slope]:
@@ -247,9 +247,9 @@
 
 def _run_batches(batch: int, count: int = 200) -> tuple[float, float]:
     me = peer_of(make_member(0, 1, ROLE_AGENT))
-    wire = Wire(me)
+    wire = RecordingMessenger(me)
     runner = make_agent(wire, "domain-00").runner
-    runner.announce(Announcement(SERVICE, "http://127.0.0.1:9", SLOTS, 64))
+    runner.set_minion(Announcement(SERVICE, "http://127.0.0.1:9", SLOTS, 64))
     home = peer_of(make_member(0, 2, ROLE_AGENT))
     numbers = iter(range(1, 1 << 30))
     offers = [_make_offer(numbers, batch, job) for job in range(count)]
@@ -258,7 +258,7 @@
     def run() -> None:
         for message in data:
             delivery = decode(message)
-            runner.take_offer(delivery.sender, delivery.message)
+            runner.handle_offer(delivery.sender, delivery.message)
             while not runner.is_idle:
                 eventlet.sleep(0)
 
@@ -297,13 +297,13 @@
     ]
 
 
-def _hold_jobs(jobs: int) -> HomeSide:
+def _hold_jobs(jobs: int) -> HomeHarness:
     """Return a home with running jobs of which no task has ended."""
-    side = HomeSide(11)
+    harness = HomeHarness(11)
     for _ in range(jobs):
-        side.submit(WIDE_JOB_TASKS)
-    side.wire.take_all()
-    return side
+        harness.submit(WIDE_JOB_TASKS)
+    harness.wire.take_all()
+    return harness
 
 
 def _keep_records(tasks: int) -> Records:
@@ -314,7 +314,7 @@
         text = keyring.issue(home, SERVICE, 1_790_000_000_000)
         results = tuple(bytes(bytearray(RESULT)) for _ in range(tasks))
         answer = Answer(1, text, "complete", results=results)
-        records.keep(read_ticket(text), Record(text, bytes(bytearray(b"d" * 16)), answer))
+        records.add(decode_unverified(text), Record(text, bytes(bytearray(b"d" * 16)), answer))
     return records
 
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -19,7 +19,7 @@
 from geraniumspool.minion import Fault, FaultKind
 from tests.world import TEAM, Job, Process, World
 
-STEPS = 60
+DEFAULT_STEPS = 60
 DOMAINS = 3
 AGENTS = 2
 PAUSES_MS = (1.0, 40.0, 300.0, 900.0, 2_500.0)
@@ -41,14 +41,14 @@
 OUTCOME_COMPLETE = "complete"
 
 
-class Storm:
+class RandomFaultRun:
     """One run of random acts and faults in a deployment of its own.
 
     :ivar acts: descriptions of all acts in order, each after its time in milliseconds
     :ivar violations: descriptions of the violated guarantees
     """
 
-    def __init__(self, seed: int, steps: int = STEPS):
+    def __init__(self, seed: int, steps: int = DEFAULT_STEPS):
         """Start the deployment; acts begin with :meth:`run`.
 
         :param seed: determines every act and the fault of every message
@@ -120,7 +120,7 @@
         tasks = self._random.randint(1, MAX_TASKS)
         runs = [self._random.choice(RUNS_MS) for _ in range(tasks)]
         home = self._random.choice([*self.world.agents, None])
-        self._jobs.append(self.world.job(home, runs, self._random.choice(DEADLINES_MS)))
+        self._jobs.append(self.world.make_job(home, runs, self._random.choice(DEADLINES_MS)))
         self._submit(entry, self._jobs[-1])
 
     def _submit(self, entry: Process, job: Job) -> None:
@@ -131,9 +131,11 @@
 
     def _toggle_message_faults(self) -> None:
         network = self.world.network
-        network.storm = None if network.storm else random.Random(self._random.random())
+        network.random_faults = (
+            None if network.random_faults else random.Random(self._random.random())
+        )
         self._record_act(
-            "messages are lost, doubled and late" if network.storm else "messages arrive"
+            "messages are lost, doubled and late" if network.random_faults else "messages arrive"
         )
 
     def _partition_domains(self) -> None:
@@ -141,7 +143,7 @@
         self._record_act(f"domains {one} and {other} are parted")
         for here in self._processes_of_domain(one):
             for there in self._processes_of_domain(other):
-                self.world.network.part(here.peer.address, there.peer.address)
+                self.world.network.partition(here.peer.address, there.peer.address)
 
     def _processes_of_domain(self, number: int) -> list[Process]:
         return [one for one in self.world.processes if one.domain == f"d{number}"]
@@ -190,11 +192,11 @@
         self._record_act(
             f"minion of {agent.peer.address}: {fault.kind.value} x{fault.slow_factor:.0f}"
         )
-        agent.minion.inner.script(fault)
+        agent.minion.inner.inject_fault(fault)
 
     def _clear_minion_faults(self) -> None:
         for agent in self.world.agents:
-            agent.minion.inner.script(Fault())
+            agent.minion.inner.inject_fault(Fault())
 
     def _inject_store_fault(self) -> None:
         store = self.world.store
@@ -225,7 +227,7 @@
         self._record_act("all faults end")
         self._clear_store_faults()
         self._clear_minion_faults()
-        self.world.quiet()
+        self.world.end_faults_and_settle()
         self._replace_drained()
         self.world.run(SETTLE_MS)
 
@@ -240,11 +242,11 @@
 
     def _propose(self, entry: Process, weight: float, name: str) -> None:
         application = entry.application
-        held = application.configuration.held(CONFIGURATION_KEY)
+        held = application.configuration.get(CONFIGURATION_KEY)
         body = json.dumps({"weight": weight}).encode()
         expected = held.revision if held else 0
         try:
-            receipt = application.desk.propose(
+            receipt = application.configuration_changes.apply_change(
                 CONFIGURATION_KEY, body, expected, name, "nomin", "storm"
             )
         except DispatchError as error:
@@ -255,7 +257,7 @@
 
     def _check_revisions_never_decrease(self) -> None:
         for process in self.world.processes:
-            held = process.application.configuration.held(CONFIGURATION_KEY)
+            held = process.application.configuration.get(CONFIGURATION_KEY)
             revision = held.revision if held else 0
             before = self._revisions.get(process, 0)
             if revision < before:
@@ -267,7 +269,7 @@
         self._check_revisions_never_decrease()
         newest = max(self._accepted, default=0)
         for process in self.world.processes:
-            held = process.application.configuration.held(CONFIGURATION_KEY)
+            held = process.application.configuration.get(CONFIGURATION_KEY)
             revision = held.revision if held else 0
             address = process.peer.address
             if revision < newest:
@@ -294,7 +296,9 @@
         """Check that every home completes a job from every entry."""
         calls = []
         for entry in self.world.entries:
-            jobs = [self.world.job(home, RUNS_MS, PROBE_DEADLINE_MS) for home in self.world.agents]
+            jobs = [
+                self.world.make_job(home, RUNS_MS, PROBE_DEADLINE_MS) for home in self.world.agents
+            ]
             calls += [self.world.submit(entry, job) for job in jobs]
             self.world.run(SETTLE_MS)
         for call in calls:
--- a/geraniumspool/agent.py
+++ b/geraniumspool/agent.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from geraniumspool.application import Application, ReadyLine, draw_incarnation
+from geraniumspool.application import Application, ReadyLine, new_incarnation
 from geraniumspool.clock import SystemClock
 from geraniumspool.configuration import Configuration
 from geraniumspool.contracts import Announcement, Clock, Messenger, MinionClient, Store
@@ -19,7 +19,7 @@
 )
 from geraniumspool.errors import InvalidInput, StoreError
 from geraniumspool.etcd_store import EtcdStore
-from geraniumspool.handover import Handing
+from geraniumspool.handover import RecordsHandover
 from geraniumspool.health import Health
 from geraniumspool.heartbeat import Heartbeater
 from geraniumspool.home import REVOKE_WAIT_MS, Home
@@ -50,7 +50,7 @@
 )
 from geraniumspool.metrics import Metrics
 from geraniumspool.minion import HttpMinionClient
-from geraniumspool.pace import Pace
+from geraniumspool.pace import SlownessDetector
 from geraniumspool.placement import choose_placement
 from geraniumspool.records import Records
 from geraniumspool.registrar import discover_entries
@@ -58,10 +58,10 @@
 from geraniumspool.roster import Roster
 from geraniumspool.routes import Request, Route
 from geraniumspool.runner import Runner
-from geraniumspool.scope import scope_by
+from geraniumspool.scope import make_scope_classifier
 from geraniumspool.settings import AgentSettings
-from geraniumspool.submission import collect
-from geraniumspool.web import Application as WebApplication
+from geraniumspool.submission import collect_findings
+from geraniumspool.web import WebApplication
 from geraniumspool.webserver import WebServer
 
 _LOG = logging.getLogger(__name__)
@@ -114,22 +114,22 @@
         self._settings = settings
         self._messenger = messenger
         self._store = store
-        self._random = random.Random(messenger.me.incarnation)
+        self._random = random.Random(messenger.local_peer.incarnation)
         self._version = 0
         self._has_left = False
         self._reported_state = MEMBER_STARTING
         self._is_draining = False
         self._announced_ms = clock.now()
         self.configuration = Configuration(clock, metrics)
-        self.decisions = DecisionLog(messenger.me.incarnation, clock, _LOG)
+        self.decisions = DecisionLog(messenger.local_peer.incarnation, clock, _LOG)
         self.roster = Roster(clock, settings.domain)
         self.health = Health(
             clock,
             self.decisions,
-            messenger.me.address,
+            messenger.local_peer.address,
             self._may_eject,
             lambda: self.configuration.service(self.home.service).ejection_failure_share,
-            Pace(lambda: self.home.peers_lateness()),
+            SlownessDetector(lambda: self.home.peers_lateness()),
         )
         self.runner = Runner(
             messenger,
@@ -161,7 +161,7 @@
             self.configuration,
             settings.heartbeat_period_ms,
         )
-        self._handover = Handing(messenger, clock, self.roster, self.home, settings.domain)
+        self._handover = RecordsHandover(messenger, clock, self.roster, self.home, settings.domain)
         self._web = WebServer(self._make_web_application(), settings.minion_listen, clock)
         self._handlers = self._make_handlers()
         self.runner.on_change = self._report_change
@@ -174,13 +174,15 @@
         if self._settings.minion is not None:
             self._take_announcement(self._settings.minion)
         self.heartbeater.add_entries(self._settings.entries)
-        self._run(self._discover_entries)
-        self._run(self.heartbeater.run)
-        self._run(self._run_housekeeping)
+        self._spawn(self._discover_entries)
+        self._spawn(self.heartbeater.run)
+        self._spawn(self._run_housekeeping)
 
     def ready_line(self) -> ReadyLine:
         """Return the ready line with the inbox and the address for the minion's announcements."""
-        return ReadyLine(ready=ROLE_AGENT, inbox=self._messenger.me.address, minion=self.minion_url)
+        return ReadyLine(
+            ready=ROLE_AGENT, inbox=self._messenger.local_peer.address, minion=self.minion_url
+        )
 
     @property
     def minion_url(self) -> str:
@@ -192,7 +194,7 @@
         minion = self.runner.minion
         archive = self._handover.archive
         return Member(
-            *self._messenger.me,
+            *self._messenger.local_peer,
             self._settings.domain,
             ROLE_AGENT,
             self._state(),
@@ -210,15 +212,15 @@
         :returns: whether all jobs and tasks finished within the drain limit
         """
         self._is_draining = True
-        self.decisions.record(DRAIN_STARTED, self._messenger.me.address)
+        self.decisions.record(DRAIN_STARTED, self._messenger.local_peer.address)
         self.home.leave()
         self.runner.leave()
         self._report_change()
         finished = self._wait_until(self._is_idle, self._settings.drain_limit_ms)
         if not finished:
-            self.home.abandon()
+            self.home.abort_jobs()
             self._wait_until(lambda: self.home.is_idle, ABANDON_LIMIT_MS)
-        self.runner.repeat_results()
+        self.runner.resend_results()
         handed_over = self._handover.hand_over()
         if self._handover.archive:
             archive_address = self._handover.archive.address
@@ -226,10 +228,13 @@
         self._has_left = True
         self._report_change()
         self.decisions.record(
-            DRAIN_FINISHED, self._messenger.me.address, finished=str(finished), records=handed_over
+            DRAIN_FINISHED,
+            self._messenger.local_peer.address,
+            finished=str(finished),
+            records=handed_over,
         )
         self._clock.sleep(STOP_GRACE_MS)
-        self.heartbeater.beat_now()
+        self.heartbeater.send_to_all_entries()
         return finished
 
     def stop(self) -> None:
@@ -255,7 +260,7 @@
     def _report_change(self) -> None:
         self._reported_state = self._state()
         self._version += 1
-        self.heartbeater.beat_now()
+        self.heartbeater.send_to_all_entries()
 
     def _may_eject(self) -> bool:
         service = self.home.service
@@ -268,31 +273,31 @@
 
     def _make_handlers(self) -> dict:
         return {
-            Submit: self.home.take_submit,
-            Decline: self.home.take_decline,
-            Inquire: self.home.take_inquire,
-            Cancel: self.home.take_cancel,
+            Submit: self.home.handle_submit,
+            Decline: self.home.handle_decline,
+            Inquire: self.home.handle_inquire,
+            Cancel: self.home.handle_cancel,
             Offer: self._take_offer,
-            Results: self.home.take_results,
-            Revoke: self.runner.take_revoke,
-            Revoked: self.home.take_revoked,
+            Results: self.home.handle_results,
+            Revoke: self.runner.handle_revoke,
+            Revoked: self.home.handle_revoked,
             HeartbeatReply: self._take_reply,
-            WrongIncarnation: self._take_rejection,
-            Handover: self._handover.take,
-            HandoverReceipt: self._handover.take_receipt,
-            Drain: self._take_drain,
+            WrongIncarnation: self._handle_wrong_incarnation,
+            Handover: self._handover.store_batch,
+            HandoverReceipt: self._handover.handle_receipt,
+            Drain: self._handle_drain,
         }
 
     def _take_offer(self, sender: Peer, offer: Offer) -> None:
-        self.home.hint(sender, offer.load)
-        self.runner.take_offer(sender, offer)
+        self.home.update_load(sender, offer.load)
+        self.runner.handle_offer(sender, offer)
 
     def _take_reply(self, sender: Peer, reply: HeartbeatReply) -> None:
-        self.heartbeater.take_reply(sender, reply)
+        self.heartbeater.handle_reply(sender, reply)
         self._apply_evacuation()
         for address, incarnation, load in reply.loads:
-            self.home.hint(Peer(address, incarnation), load)
-        self.home.schedule_place()
+            self.home.update_load(Peer(address, incarnation), load)
+        self.home.schedule_placement()
 
     def _apply_evacuation(self) -> None:
         domain = self._settings.domain
@@ -302,9 +307,9 @@
             self.decisions.record(code, domain, revision=self.configuration.revision)
             self.runner.set_evacuated(is_evacuated)
 
-    def _take_rejection(self, sender: Peer, rejection: WrongIncarnation) -> None:
-        self.heartbeater.take_rejection(sender)
-        self.home.take_rejection(sender, rejection)
+    def _handle_wrong_incarnation(self, sender: Peer, rejection: WrongIncarnation) -> None:
+        self.heartbeater.handle_wrong_incarnation(sender)
+        self.home.handle_wrong_incarnation(sender, rejection)
         self.runner.forget_home(Peer(sender.address, rejection.meant))
 
     def _discover_entries(self) -> None:
@@ -313,7 +318,7 @@
         while True:
             try:
                 for member in discover_entries(self._store):
-                    self.roster.observe(member)
+                    self.roster.apply_indirect(member)
                 if self.roster.entries():
                     return
             except StoreError as error:
@@ -325,9 +330,9 @@
         while True:
             self._clock.sleep(HOUSEKEEPING_MS)
             self.home.expire_records()
-            self.home.schedule_place()
-            self.roster.forget()
-            self.home.forget_workers()
+            self.home.schedule_placement()
+            self.roster.forget_final()
+            self.home.forget_gone_workers()
             self._check_minion()
             if self._state() != self._reported_state:
                 self._report_change()
@@ -348,7 +353,7 @@
             self.health.reset()
         self.home.service = announcement.service
         if not self._is_draining:
-            self.runner.announce(announcement)
+            self.runner.set_minion(announcement)
 
     def _make_web_application(self) -> WebApplication:
         routes = [
@@ -381,7 +386,7 @@
     :param body: JSON object with the fields of ``Announcement``
     :raises InvalidInput: if the body is anything else or a value is out of range
     """
-    with collect("announcement") as findings:
+    with collect_findings("announcement") as findings:
         try:
             sent_fields = msgspec.json.decode(body, type=dict[str, str | int | float])
             fields = Announcement._field_defaults | sent_fields
@@ -390,7 +395,7 @@
             )
         except msgspec.MsgspecError as error:
             findings.add("", str(error))
-            raise InvalidInput(findings.all) from error
+            raise InvalidInput(findings.findings) from error
         if announcement.slots < 1:
             findings.add("slots", "must be at least 1")
         if announcement.connections < 1:
@@ -407,9 +412,9 @@
     """
     clock = SystemClock()
     metrics = Metrics(ROLE_AGENT, settings.domain)
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = EtcdStore(list(settings.store_urls), clock, metrics, settings.store_timeout_ms)
     client = HttpMinionClient(metrics)
     agent = Agent(settings, messenger, store, client, clock, metrics)
-    messenger.scope = scope_by(agent.roster, settings.domain)
+    messenger.scope = make_scope_classifier(agent.roster, settings.domain)
     return agent
--- a/geraniumspool/dispatch_agent.py
+++ b/geraniumspool/dispatch_agent.py
@@ -6,10 +6,10 @@
 
 from geraniumspool.application import Application, ReadyLine
 from geraniumspool.claim_messages import FenceJobs
-from geraniumspool.contracts import Clock, Messenger, MinionControl, MinionLife, Store
+from geraniumspool.contracts import Clock, Messenger, MinionControl, MinionIncarnation, Store
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings
-from geraniumspool.evacuation_guard import DEFAULT_BOUND_MS, EvacuationGuard
+from geraniumspool.evacuation_guard import DEFAULT_EVACUATION_MS, EvacuationGuard
 from geraniumspool.evacuations import Evacuations
 from geraniumspool.executor import Executor
 from geraniumspool.leased_key import LeasedKey
@@ -28,12 +28,12 @@
 _LOG = logging.getLogger(__name__)
 
 # Part of the grace period that is reserved for stopping runs that haven't ended by then.
-STOP_MS = 900.0
+STOP_GRACE_MS = 900.0
 # Time limit for these runs to end after they were told to stop.
-END_MS = 500.0
+STOP_WAIT_MS = 500.0
 
 
-class DispatchAgent(Application):
+class ExecutorProcess(Application):
     """Run an executor process, which runs tasks on one minion."""
 
     def __init__(
@@ -61,7 +61,7 @@
             Evacuations(clock, metrics),
             lambda: store.list(evacuations_prefix),
             evacuations_prefix,
-            settings.evacuation_ms or DEFAULT_BOUND_MS,
+            settings.evacuation_ms or DEFAULT_EVACUATION_MS,
         )
         self.executor = Executor(
             clock,
@@ -69,22 +69,22 @@
             messenger.send,
             metrics,
             settings.domain,
-            clock.wall(),
+            clock.wall_ms(),
             self.guard,
             started_ms,
         )
         self.executor.reset_link = messenger.reset
-        address = messenger.me.address
+        address = messenger.local_peer.address
         record = encode_record(WorkerRecord(settings.domain))
         self._key = LeasedKey(store, clock, WORKER_PREFIX + address, record, KEY_TTL_MS)
-        self.executor.lives.on_life = self._store_minion_life
+        self.executor.incarnations.on_incarnation = self._store_incarnation
         self._servers: list[WebServer] = []
         self._handlers = {
-            StartRuns: self.executor.take_start,
-            StopRuns: self.executor.take_stop,
+            StartRuns: self.executor.handle_start,
+            StopRuns: self.executor.handle_stop,
             RenewRuns: self._take_renewal,
-            FenceJobs: self.executor.fences.take,
-            WrongIncarnation: self._take_rejection,
+            FenceJobs: self.executor.job_fences.handle_fence_jobs,
+            WrongIncarnation: self._handle_wrong_incarnation,
         }
 
     def serve(self, servers: list[WebServer]) -> None:
@@ -95,17 +95,17 @@
         """Bind the listeners and start the green threads."""
         self._messenger.start(self._receive)
         # No task may start before the evacuated failure domains are known.
-        self.guard.check()
-        self._run(self.executor.run_looks)
-        self._run(self.executor.run_ticks)
-        self._run(self._maintain_key)
+        self.guard.refresh()
+        self._spawn(self.executor.run_poll_loop)
+        self._spawn(self.executor.run_periodic_checks)
+        self._spawn(self._maintain_key)
         for server in self._servers:
             server.start()
         _LOG.info("started", extra={"fields": (("name", self._settings.name),)})
 
     def ready_line(self) -> ReadyLine:
         """Return the line to print when ready, with the process's name and message address."""
-        return ReadyLine(ready=self._settings.name, inbox=self._messenger.me.address)
+        return ReadyLine(ready=self._settings.name, inbox=self._messenger.local_peer.address)
 
     def drain(self) -> bool:
         """Shut down gracefully: refuse new runs, finish open ones, then stop the rest.
@@ -114,10 +114,10 @@
         """
         _LOG.info("draining", extra={"fields": (("name", self._settings.name),)})
         self.executor.leave()
-        limit_ms = self._settings.grace_s * MS_PER_SECOND - STOP_MS
+        limit_ms = self._settings.grace_s * MS_PER_SECOND - STOP_GRACE_MS
         done = self._wait_until(lambda: self.executor.is_idle, limit_ms)
         self.executor.stop_all("process_stops")
-        self._wait_until(lambda: self.executor.is_idle, END_MS)
+        self._wait_until(lambda: self.executor.is_idle, STOP_WAIT_MS)
         if not self.executor.has_minion:
             # Without its minion the worker doesn't come back, so that no dispatcher needs to
             # wait for it.
@@ -144,20 +144,22 @@
         record = decode_record(stored, WorkerRecord) if stored else None
         if self._key.was_absent:
             # The previous process withdrew its key, or ended so long ago that the key expired.
-            self.executor.lives.is_former_over = True
+            self.executor.incarnations.is_earlier_minion_over = True
         if record is not None and record.life is not None:
-            self._key.go_on_with(encode_record(WorkerRecord(self._settings.domain, record.life)))
-            self.executor.take_life(record.life)
+            self._key.set_initial_value(
+                encode_record(WorkerRecord(self._settings.domain, record.life))
+            )
+            self.executor.handle_minion_report(record.life)
         self._key.run()
 
-    def _store_minion_life(self, life: MinionLife) -> None:
-        self._key.update(encode_record(WorkerRecord(self._settings.domain, life)))
+    def _store_incarnation(self, incarnation: MinionIncarnation) -> None:
+        self._key.update(encode_record(WorkerRecord(self._settings.domain, incarnation)))
 
     def _take_renewal(self, dispatcher: Peer, message: RenewRuns) -> None:
         """Renew a dispatcher's lease; check the key if the dispatcher doesn't see it."""
-        self.executor.take_renewal(dispatcher, message)
+        self.executor.handle_renewal(dispatcher, message)
         if not message.is_listed:
-            eventlet.spawn_n(self._key.check)
+            eventlet.spawn_n(self._key.check_exists)
 
-    def _take_rejection(self, sender: Peer, message: Message) -> None:
-        self.executor.lose_dispatcher(Peer(sender.address, message.meant))
+    def _handle_wrong_incarnation(self, sender: Peer, message: Message) -> None:
+        self.executor.expire_dispatcher(Peer(sender.address, message.meant))
--- a/geraniumspool/job_router.py
+++ b/geraniumspool/job_router.py
@@ -18,16 +18,16 @@
 from geraniumspool.contracts import Clock, Counters
 from geraniumspool.dispatch_job import DispatchJob
 from geraniumspool.dispatcher import (
-    ANSWER_MARGIN_MS,
-    DEFAULT_WAIT_MS,
+    DEFAULT_TIMEOUT_MS,
     HELD_ELSEWHERE,
+    RESULT_MARGIN_MS,
     Dispatcher,
 )
 from geraniumspool.dispatcher_peers import DispatcherPeers, PeerView
 from geraniumspool.evacuations import Evacuations
-from geraniumspool.fleet import GATHER_MS, LOST_MS
+from geraniumspool.fleet import RUNS_LOST_AFTER_MS, STARTUP_REPORT_MS
 from geraniumspool.forwarded_jobs import LEASE_OVER, NOT_RECEIVED, ForwardedJobs
-from geraniumspool.job_admission import GATHERING_MS, NO_WORKER_RETRY_MS
+from geraniumspool.job_admission import NO_WORKER_RETRY_MS, POWER_LOSS_RECOVERY_MS
 from geraniumspool.job_claims import JobClaims
 from geraniumspool.job_messages import (
     DispatcherReport,
@@ -38,7 +38,7 @@
 )
 from geraniumspool.job_specs import JobOutcome, JobResult, JobSpec
 from geraniumspool.messages import Message, Peer
-from geraniumspool.owner_choice import Option
+from geraniumspool.owner_choice import OwnerOption
 from geraniumspool.queues import Queue
 from geraniumspool.run_leases import DISPATCHER_LEASE_MS
 
@@ -64,7 +64,7 @@
 MAX_TRIES = 2
 # The connection to a dispatcher that is silent for this long is reopened. Each side does so, as
 # a broken connection may still carry messages one way.
-RESET_MS = 900.0
+LINK_RESET_MS = 900.0
 
 # Codes of refusals after which another dispatcher may still take the job.
 _RETRIABLE_CODES = frozenset(
@@ -86,12 +86,12 @@
 _REROUTED_CODES = _GIVEN_BACK_CODES | {HELD_ELSEWHERE}
 # A job is sent to the dispatcher that holds its claim at most this many times; after that it ends
 # as unfinished, and its caller has to send it again.
-MAX_FOLLOWS = 4
+MAX_HOLDER_REDIRECTS = 4
 # Pause before a job is sent to a holder for the second time or later: the previous one was
 # releasing its claim.
-FOLLOW_PAUSE_MS = 60.0
+HOLDER_REDIRECT_DELAY_MS = 60.0
 # Stands for this process in ForwardedJob.tried, which otherwise contains addresses.
-HERE = ""
+THIS_PROCESS = ""
 
 
 class ForwardedJob:
@@ -99,40 +99,40 @@
 
     All times are readings of this process's clock in milliseconds.
 
-    :ivar wait_ms: how long its caller waits for an answer, in milliseconds
+    :ivar timeout_ms: how long its caller waits for an answer, in milliseconds
     :ivar version: version of the configuration that ``queue`` is from
     :ivar number: number of the last message that forwarded it, 0 before the first
     :ivar owner: dispatcher that it was forwarded to, None while this one places or holds it
     :ivar owner_peer: address and incarnation of that dispatcher when the job was sent
     :ivar sent_ms: when it was last forwarded
-    :ivar heard_ms: when ``owner_peer`` was last heard, or was sent the job if that is later
-    :ivar tried: addresses of the dispatchers that it was forwarded to, and ``HERE``
+    :ivar last_message_ms: when ``owner_peer`` was last heard, or was sent the job if that is later
+    :ivar tried: addresses of the dispatchers that it was forwarded to, and ``THIS_PROCESS``
     :ivar local: the job at the dispatcher of this process, if that places it after all
     :ivar may_have_run: whether a lost owner may have started some of its tasks
     :ivar held_ms: since when it is held until an owner is known
-    :ivar follows: how often it was sent to the dispatcher that holds its claim
+    :ivar holder_redirects: how often it was sent to the dispatcher that holds its claim
     :ivar waiters: number of callers that wait for the result
     :ivar result: how it ended, None before
     """
 
-    def __init__(self, spec: JobSpec, queue: Queue, wait_ms: float, version: int, now: float):
+    def __init__(self, spec: JobSpec, queue: Queue, timeout_ms: float, version: int, now: float):
         """Initialize a job that has just arrived.
 
         :param now: current time in milliseconds
         """
         self.spec = spec
         self.queue = queue
-        self.wait_ms = wait_ms
+        self.timeout_ms = timeout_ms
         self.version = version
         self.arrived_ms = now
         self.number = 0
         self.owner: PeerView | None = None
         self.owner_peer: Peer | None = None
         self.sent_ms = 0.0
-        self.heard_ms = 0.0
+        self.last_message_ms = 0.0
         self.tried: set[str] = set()
         self.may_have_run = False
-        self.follows = 0
+        self.holder_redirects = 0
         self.local: DispatchJob | None = None
         self.finished = Event()
         self.result: JobResult | None = None
@@ -191,7 +191,7 @@
         # a process has started.
         self._owner_seen_ms = clock.now()
         self._had_loads = False
-        dispatcher.find_capacity = self._find_capacity
+        dispatcher.get_remote_capacity = self._find_capacity
 
     @property
     def has_workers(self) -> bool:
@@ -200,7 +200,7 @@
         own = any(view.is_usable for view in fleet.views)
         # With evacuated workers only, this process still has to be ready, to tell callers that
         # their jobs cannot run now.
-        return own or fleet.has_evacuated or any(self.peers.owners())
+        return own or fleet.has_evacuated or any(self.peers.list_owners())
 
     @property
     def is_idle(self) -> bool:
@@ -208,11 +208,11 @@
         return not self._jobs and self._dispatcher.is_idle
 
     def submit(
-        self, spec: JobSpec, queue: Queue, wait_ms: float, version: int = 0
+        self, spec: JobSpec, queue: Queue, timeout_ms: float, version: int = 0
     ) -> JobResult | RoutedJob:
         """Accept a job, join it to the one with the same id, or refuse it.
 
-        :param wait_ms: how long the caller waits, in milliseconds; 0 if it does not say
+        :param timeout_ms: how long the caller waits, in milliseconds; 0 if it does not say
         :param version: version of the configuration that the queue is from
         :returns: the job to wait for, or the refusal
         """
@@ -220,25 +220,25 @@
         if existing is not None:
             existing.waiters += 1
             return existing
-        if self._dispatcher.knows(spec.job_id) or spec.unsupported:
-            return self._dispatcher.submit(spec, queue, wait_ms, version)
+        if self._dispatcher.has_job(spec.job_id) or spec.unsupported:
+            return self._dispatcher.submit(spec, queue, timeout_ms, version)
         option = self._choose_owner(spec, queue, set())
         now = self._clock.now()
         if option is not None:
             self._owner_seen_ms = now
         if self._is_placed_locally(option, now):
-            return self._dispatcher.submit(spec, queue, wait_ms, version)
-        refusal = self._dispatcher.judge_end(spec, queue)
+            return self._dispatcher.submit(spec, queue, timeout_ms, version)
+        refusal = self._dispatcher.refuse_if_exiting(spec, queue)
         if refusal is not None:
             return refusal
-        job = ForwardedJob(spec, queue, wait_ms or DEFAULT_WAIT_MS, version, now)
+        job = ForwardedJob(spec, queue, timeout_ms or DEFAULT_TIMEOUT_MS, version, now)
         if option is None:
             return self._hold(job)
         self._jobs[spec.job_id] = job
         self._forward(job, option)
         return job
 
-    def _is_placed_locally(self, option: Option | None, now: float) -> bool:
+    def _is_placed_locally(self, option: OwnerOption | None, now: float) -> bool:
         """Return whether the dispatcher of this process gets a new job, if only to refuse it.
 
         :param option: the chosen owner, None if none can take the job
@@ -247,7 +247,7 @@
         if option is not None:
             return option.owner is None
         fleet = self._dispatcher.fleet
-        is_gathering = now - self._owner_seen_ms < GATHER_MS and not self.peers.is_leaving
+        is_gathering = now - self._owner_seen_ms < STARTUP_REPORT_MS and not self.peers.is_leaving
         return fleet.has_owned or fleet.has_evacuated or not is_gathering
 
     def _hold(self, job: ForwardedJob) -> ForwardedJob:
@@ -260,7 +260,7 @@
 
     def _can_hold(self) -> bool:
         """Return whether this process keeps running for as long as a job may be held."""
-        return self._clock.now() + GATHERING_MS < self._dispatcher.ends_ms
+        return self._clock.now() + POWER_LOSS_RECOVERY_MS < self._dispatcher.exit_ms
 
     def _place_held(self, now: float) -> None:
         held, self._held = self._held, []
@@ -272,10 +272,10 @@
                 self._place_locally(job)
             elif option is not None:
                 self._forward(job, option)
-            elif now - job.held_ms < GATHERING_MS:
+            elif now - job.held_ms < POWER_LOSS_RECOVERY_MS:
                 self._held.append(job)
             else:
-                retry_ms = urgency.choose_retry(NO_WORKER_RETRY_MS)
+                retry_ms = urgency.choose_retry_delay(NO_WORKER_RETRY_MS)
                 self._finish(job, JobResult(JobOutcome.REFUSED, "no_worker", retry_ms))
 
     def wait(self, job: RoutedJob) -> JobResult:
@@ -289,15 +289,15 @@
         spec, queue = job.spec, job.queue
         if spec.job_id in self._jobs:
             return self.wait(self._jobs[spec.job_id])
-        wait_ms = job.timing.limit_ms + ANSWER_MARGIN_MS
-        rerouted = ForwardedJob(spec, queue, wait_ms, 0, job.timing.arrived_ms)
+        timeout_ms = job.timing.timeout_ms + RESULT_MARGIN_MS
+        rerouted = ForwardedJob(spec, queue, timeout_ms, 0, job.timing.arrived_ms)
         rerouted.waiters = job.waiters
         if result.holder:
             self._jobs[spec.job_id] = rerouted
             self._follow_claim(rerouted, result)
             return self.wait(rerouted)
         option = self._choose_owner(
-            spec, queue, set() if result.code in _GIVEN_BACK_CODES else {HERE}
+            spec, queue, set() if result.code in _GIVEN_BACK_CODES else {THIS_PROCESS}
         )
         if result.code not in _GIVEN_BACK_CODES and not (option and _has_room(option, rerouted)):
             return result
@@ -310,7 +310,7 @@
         self._forward(rerouted, option)
         return self.wait(rerouted)
 
-    def leave_job(self, job: RoutedJob) -> None:
+    def remove_waiter(self, job: RoutedJob) -> None:
         """Remove one caller from a job, and end the job if that was the last one."""
         age_ms = self._clock.now() - _arrived_ms(job)
         self._log("caller left", job, waiters=job.waiters - 1, age_ms=round(age_ms, 1))
@@ -318,7 +318,7 @@
         if isinstance(job, DispatchJob):
             found = self._jobs.get(job.spec.job_id)
         if found is None:
-            self._dispatcher.leave_job(job)
+            self._dispatcher.remove_waiter(job)
             return
         found.waiters -= 1
         if found.waiters <= 0 and found.result is None:
@@ -336,29 +336,29 @@
         """Return how many jobs of a queue wait at this dispatcher without any task started."""
         return self._dispatcher.count_waiting(queue)
 
-    def leave(self) -> None:
+    def give_up_workers(self) -> None:
         """Give up all workers, and give back the jobs that have not started."""
         self.peers.is_leaving = True
         self._update_groups()
         self._report_to_all()
 
-    def abandon(self) -> None:
+    def abort_jobs(self) -> None:
         """End every job as unfinished, as the process is about to exit."""
         for job in list(self._jobs.values()):
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "process_stops"))
-        self._dispatcher.abandon()
+        self._dispatcher.abort_jobs()
 
-    def take_members(self) -> None:
+    def update_members(self) -> None:
         """Update the groups of workers after a change of the registered members."""
         self._update_groups()
 
-    def take_forward(self, sender: Peer, message: ForwardJob) -> None:
+    def handle_forward_job(self, sender: Peer, message: ForwardJob) -> None:
         """Accept a job that another dispatcher forwards."""
-        self.forwarded.take(sender, message)
+        self.forwarded.handle_forward_job(sender, message)
         if self._clock.now() - message.echo_ms > STALE_ECHO_MS:
             self._report_soon(sender)
 
-    def take_end(self, sender: Peer, message: ForwardedEnd) -> None:
+    def handle_forwarded_end(self, sender: Peer, message: ForwardedEnd) -> None:
         """Handle an owner's answer to a forwarded job.
 
         :param sender: the owner; answers of earlier owners and incarnations are ignored
@@ -376,25 +376,25 @@
         else:
             self._finish(job, result)
 
-    def take_report(self, sender: Peer, report: DispatcherReport) -> None:
+    def handle_report(self, sender: Peer, report: DispatcherReport) -> None:
         """Handle another dispatcher's report of its load and of the jobs that it waits for."""
         now = self._clock.now()
-        self._evacuations.hear(report.evacuations, report.echo_ms)
-        view = self.peers.find(sender)
+        self._evacuations.merge(report.evacuations, report.echo_ms)
+        view = self.peers.find_or_add(sender)
         was_leaving, was_alive = view.is_leaving, view.was_alive
-        view.take(report, now)
-        self.forwarded.settle(sender, report)
+        view.apply_report(report, now)
+        self.forwarded.reconcile(sender, report)
         if view.is_leaving != was_leaving or not was_alive:
             self._update_groups()
         if self._held and report.loads:
             self._place_held(now)
 
-    def take_rejection(self, sender: Peer) -> None:
+    def handle_wrong_incarnation(self, sender: Peer) -> None:
         """Note that another incarnation answers at a dispatcher's address."""
         if sender.address in self.peers.views:
-            self.peers.find(sender)
+            self.peers.find_or_add(sender)
 
-    def run_ticks(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Send reports and enforce leases and deadlines, forever."""
         while True:
             self._clock.sleep(TICK_MS)
@@ -402,35 +402,37 @@
             self._update_groups()
             self._send_reports(now)
             self._place_held(now)
-            self.forwarded.end_leases(now)
+            self.forwarded.expire_leases(now)
             for job in list(self._jobs.values()):
                 self._check_deadline_and_owner(job, now)
 
-    def _choose_owner(self, spec: JobSpec, queue: Queue, tried: set[str]) -> Option | None:
+    def _choose_owner(self, spec: JobSpec, queue: Queue, tried: set[str]) -> OwnerOption | None:
         service = queue.service
         options = [
-            Option(view, view.record.domain, load, view.sent_work.get(service, 0.0))
-            for view in self.peers.owners()
+            OwnerOption(view, view.record.domain, load, view.sent_work.get(service, 0.0))
+            for view in self.peers.list_owners()
             if (load := view.loads.get(service)) and view.peer.address not in tried
         ]
-        if not self.peers.is_leaving and HERE not in tried:
+        if not self.peers.is_leaving and THIS_PROCESS not in tried:
             own = self._dispatcher.describe_load(service)
-            options.append(Option(None, self._domain, own))
+            options.append(OwnerOption(None, self._domain, own))
         request = owner_choice.describe_job(spec, queue)
-        return owner_choice.choose_option(options, request, self._domain)
+        return owner_choice.choose_owner(options, request, self._domain)
 
     def _follow_claim(self, job: ForwardedJob, result: JobResult) -> None:
         """Send a job to the dispatcher that holds its claim, to join the job there."""
-        job.follows += 1
-        if job.follows > MAX_FOLLOWS:
+        job.holder_redirects += 1
+        if job.holder_redirects > MAX_HOLDER_REDIRECTS:
             self._finish(job, JobResult(JobOutcome.UNFINISHED, HELD_ELSEWHERE))
             return
-        self._log("job sent to its holder", job, holder=result.holder, follows=job.follows)
-        if job.follows == 1:
+        self._log("job sent to its holder", job, holder=result.holder, follows=job.holder_redirects)
+        if job.holder_redirects == 1:
             self._send_to_holder(job, result.holder)
         else:
             # The previous holder was releasing its claim.
-            self._clock.after(FOLLOW_PAUSE_MS, lambda: self._send_to_holder(job, result.holder))
+            self._clock.after(
+                HOLDER_REDIRECT_DELAY_MS, lambda: self._send_to_holder(job, result.holder)
+            )
 
     def _send_to_holder(self, job: ForwardedJob, holder: str) -> None:
         if job.result is not None:
@@ -438,17 +440,17 @@
         view = self.peers.views.get(holder)
         if view is not None and view.is_reachable(self._clock.now()):
             load = view.loads.get(job.queue.service, ServiceLoad(job.queue.service, 0.0, 0.0, 0.0))
-            self._forward(job, Option(view, view.record.domain, load))
+            self._forward(job, OwnerOption(view, view.record.domain, load))
         else:
             self._place_locally(job)
 
-    def _forward(self, job: ForwardedJob, option: Option) -> None:
+    def _forward(self, job: ForwardedJob, option: OwnerOption) -> None:
         view = option.owner
         now = self._clock.now()
         job.number = self._next_number
         self._next_number += 1
         job.owner, job.owner_peer = view, view.peer
-        job.sent_ms = job.heard_ms = now
+        job.sent_ms = job.last_message_ms = now
         job.tried.add(view.peer.address)
         self._unanswered[job.number] = job
         service = job.queue.service
@@ -460,8 +462,8 @@
             job.queue,
             job.version,
             now - job.arrived_ms,
-            job.wait_ms,
-            view.echo_ms,
+            job.timeout_ms,
+            view.clock_ms,
         )
         self._send(view.peer, message)
         self._counters.add("jobs_forwarded")
@@ -470,7 +472,7 @@
             job,
             owner=view.peer.address,
             number=job.number,
-            told_ms=round(now - view.heard_ms),
+            told_ms=round(now - view.last_message_ms),
             free_cpu=round(option.load.free_cpu),
         )
 
@@ -482,7 +484,7 @@
             return
         if result.code == NOT_RECEIVED:
             job.tried.discard(job.owner_peer.address)
-        is_too_late = now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS
+        is_too_late = now - job.arrived_ms >= job.timeout_ms - RESULT_MARGIN_MS
         if len(job.tried) >= MAX_TRIES and result.code not in _GIVEN_BACK_CODES or is_too_late:
             self._finish(job, result)
             return
@@ -497,10 +499,12 @@
             self._forward(job, option)
 
     def _place_locally(self, job: ForwardedJob) -> None:
-        job.tried.add(HERE)
+        job.tried.add(THIS_PROCESS)
         job.owner = job.owner_peer = None
         age_ms = self._clock.now() - job.arrived_ms
-        submitted = self._dispatcher.submit(job.spec, job.queue, job.wait_ms, job.version, age_ms)
+        submitted = self._dispatcher.submit(
+            job.spec, job.queue, job.timeout_ms, job.version, age_ms
+        )
         if isinstance(submitted, JobResult):
             self._retry(job, submitted)
             return
@@ -544,11 +548,11 @@
         local = job.local
         self._finish(job, result)
         if local is not None:
-            self._dispatcher.leave_job(local)
+            self._dispatcher.remove_waiter(local)
 
     def _check_deadline_and_owner(self, job: ForwardedJob, now: float) -> None:
         """Answer a job whose deadline has passed, and retry one whose owner is lost."""
-        if now - job.arrived_ms >= job.wait_ms - ANSWER_MARGIN_MS / 2:
+        if now - job.arrived_ms >= job.timeout_ms - RESULT_MARGIN_MS / 2:
             self._drop(job, JobResult(JobOutcome.UNFINISHED, "deadline"))
             return
         view = job.owner
@@ -556,11 +560,13 @@
             return
         is_replaced = view.peer != job.owner_peer
         if not is_replaced:
-            job.heard_ms = max(job.heard_ms, view.heard_ms)
+            job.last_message_ms = max(job.last_message_ms, view.last_message_ms)
             if view.is_alive(now):
                 return
-        lost_after_ms = LOST_MS if is_replaced else DISPATCHER_LEASE_MS + LOST_MS
-        if now - job.heard_ms <= lost_after_ms:
+        lost_after_ms = (
+            RUNS_LOST_AFTER_MS if is_replaced else DISPATCHER_LEASE_MS + RUNS_LOST_AFTER_MS
+        )
+        if now - job.last_message_ms <= lost_after_ms:
             return
         del self._unanswered[job.number]
         job.may_have_run = True
@@ -576,45 +582,45 @@
         A dispatcher that gains its first workers or loses its last one reports to all at once.
         """
         loads = self._dispatcher.describe_loads()
-        evacuation_news = self._evacuations.tell()
-        unlisted = self._dispatcher.fleet.list_unlisted()
+        evacuation_news = self._evacuations.to_message()
+        unlisted = self._dispatcher.fleet.list_unregistered()
         has_changed_loads = bool(loads) != self._had_loads
         self._had_loads = bool(loads)
         numbers_by_peer: dict[Peer, list[int]] = {}
         awaited_peers = {job.owner_peer for job in self._unanswered.values()}
-        served_peers = self.forwarded.list_served()
+        served_peers = self.forwarded.list_entry_dispatchers()
         for number, job in self._unanswered.items():
             if now - job.sent_ms > LISTED_AFTER_MS:
                 numbers_by_peer.setdefault(job.owner_peer, []).append(number)
         for view in self.peers.views.values():
-            is_in_domain = bool(loads) and view.is_near
+            is_in_domain = bool(loads) and view.is_in_same_domain
             is_frequent = is_in_domain or view.peer in awaited_peers or view.peer in served_peers
             period_ms = REPORT_MS if is_frequent else IDLE_REPORT_MS
-            if now - view.told_ms < period_ms and not has_changed_loads:
+            if now - view.report_sent_ms < period_ms and not has_changed_loads:
                 continue
-            view.told_ms = now
+            view.report_sent_ms = now
             numbers = tuple(numbers_by_peer.get(view.peer, ()))
             leaving = self.peers.is_leaving
             highest = max(numbers, default=0)
             report = DispatcherReport(
-                now, view.echo_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
+                now, view.clock_ms, leaving, numbers, highest, loads, evacuation_news, unlisted
             )
-            if view.silent_ms(now) > RESET_MS and now - view.reset_ms > RESET_MS:
-                view.reset_ms = now
+            if view.silent_ms(now) > LINK_RESET_MS and now - view.link_reset_ms > LINK_RESET_MS:
+                view.link_reset_ms = now
                 self.reset_link(view.peer)
             self._send(view.peer, report)
 
     def _report_to_all(self) -> None:
         """Send a report to every dispatcher now."""
         for view in self.peers.views.values():
-            view.told_ms = -math.inf
+            view.report_sent_ms = -math.inf
         self._send_reports(self._clock.now())
 
     def _report_soon(self, peer: Peer) -> None:
         """Send a report to a dispatcher in the next tick."""
         view = self.peers.views.get(peer.address)
         if view is not None:
-            view.told_ms = -math.inf
+            view.report_sent_ms = -math.inf
 
     def _apply_evacuations(self) -> None:
         """Apply a change of the evacuated domains, and report it to all dispatchers at once."""
@@ -628,7 +634,7 @@
         return [
             address
             for address, record in workers.items()
-            if not self._evacuations.covers(record.domain)
+            if not self._evacuations.is_evacuated(record.domain)
         ]
 
     def _update_groups(self) -> None:
@@ -637,15 +643,15 @@
         has_changed = self.peers.refresh()
         if directory.version:
             # Before the store was read, this process would be the only arbiter of its claims.
-            self._claims.take_members()
+            self._claims.update_members()
         if has_changed:
             domains = {address: record.domain for address, record in directory.workers.items()}
             self._dispatcher.fleet.set_owned(self.peers.owned, directory.listed, domains)
-            self._dispatcher.return_unowned()
+            self._dispatcher.refuse_without_workers()
 
     def _find_capacity(self, service: str) -> float:
         """Return the processor room of a service at other owners, in thousandths of a core."""
-        loads = (view.loads.get(service) for view in self.peers.owners())
+        loads = (view.loads.get(service) for view in self.peers.list_owners())
         return sum(load.room_cpu for load in loads if load)
 
     def _log(self, message: str, job: RoutedJob, **fields: object) -> None:
@@ -656,9 +662,9 @@
     return job.arrived_ms if isinstance(job, ForwardedJob) else job.timing.arrived_ms
 
 
-def _has_room(option: Option, job: ForwardedJob) -> bool:
+def _has_room(option: OwnerOption, job: ForwardedJob) -> bool:
     request = owner_choice.describe_job(job.spec, job.queue)
-    return owner_choice.predict_wait(option, request) <= 0
+    return owner_choice.predict_wait_ms(option, request) <= 0
 
 
 def _ignore_reset(_peer: Peer) -> None:
--- a/geraniumspool/platform/dispatcher_program.py
+++ b/geraniumspool/platform/dispatcher_program.py
@@ -2,22 +2,22 @@
 
 import sys
 
-from geraniumspool.application import draw_incarnation
-from geraniumspool.bounded_log import set_up_bounded
+from geraniumspool.application import new_incarnation
+from geraniumspool.bounded_log import configure_rate_limited_logging
 from geraniumspool.clock import SystemClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import DispatcherSettings, load_settings
-from geraniumspool.dispatch_entry import DispatchEntry
+from geraniumspool.dispatch_entry import DispatcherProcess
 from geraniumspool.link import NngMessenger
 from geraniumspool.metrics_page import serve_metrics
 from geraniumspool.platform.configuration import OPERATOR_KEYS, decode_configuration
 from geraniumspool.platform.ingress import Ingress, ReadyCheck
 from geraniumspool.platform.store import KeyValueStore
-from geraniumspool.process_start import STARTED_MS
+from geraniumspool.process_start import PROCESS_STARTED_MS
 from geraniumspool.webserver import WebServer
 
 
-def build(path: str) -> DispatchEntry:
+def build(path: str) -> DispatcherProcess:
     """Return the dispatcher application, not yet started.
 
     :param path: path of its settings file
@@ -25,11 +25,11 @@
     """
     settings = load_settings(path, DispatcherSettings)
     clock = SystemClock()
-    set_up_bounded(settings.log_level, sys.stdout.fileno(), clock)
+    configure_rate_limited_logging(settings.log_level, sys.stdout.fileno(), clock)
     metrics = MemoryCounters()
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = KeyValueStore(settings.store, clock, metrics)
-    entry = DispatchEntry(
+    entry = DispatcherProcess(
         settings,
         clock,
         metrics,
@@ -37,12 +37,12 @@
         store,
         OPERATOR_KEYS,
         decode_configuration,
-        STARTED_MS,
+        PROCESS_STARTED_MS,
     )
     callers = WebServer(
         Ingress(entry.router, entry.configuration, metrics), settings.callers_listen, clock
     )
     ready = WebServer(ReadyCheck(lambda: entry.is_ready, metrics), settings.ready_listen, clock)
     pages = serve_metrics(metrics, "dispatcher", settings.domain, settings.metrics_listen, clock)
-    entry.serve(callers, [ready, *pages])
+    entry.set_servers(callers, [ready, *pages])
     return entry
--- a/geraniumspool/platform/executor_program.py
+++ b/geraniumspool/platform/executor_program.py
@@ -2,23 +2,23 @@
 
 import sys
 
-from geraniumspool.application import draw_incarnation
-from geraniumspool.bounded_log import set_up_bounded
+from geraniumspool.application import new_incarnation
+from geraniumspool.bounded_log import configure_rate_limited_logging
 from geraniumspool.clock import SystemClock
 from geraniumspool.counters import MemoryCounters
 from geraniumspool.daemon_settings import ExecutorSettings, load_settings
-from geraniumspool.dispatch_agent import DispatchAgent
+from geraniumspool.dispatch_agent import ExecutorProcess
 from geraniumspool.link import NngMessenger
 from geraniumspool.metrics_page import serve_metrics
 from geraniumspool.platform.configuration import OPERATOR_KEYS
 from geraniumspool.platform.minion import HttpMinionControl
-from geraniumspool.platform.reports import Reports
+from geraniumspool.platform.reports import MinionReportsApplication
 from geraniumspool.platform.store import KeyValueStore
-from geraniumspool.process_start import STARTED_MS
+from geraniumspool.process_start import PROCESS_STARTED_MS
 from geraniumspool.webserver import WebServer
 
 
-def build(path: str) -> DispatchAgent:
+def build(path: str) -> ExecutorProcess:
     """Return the executor application, not yet started.
 
     :param path: path of its settings file
@@ -26,12 +26,12 @@
     """
     settings = load_settings(path, ExecutorSettings)
     clock = SystemClock()
-    set_up_bounded(settings.log_level, sys.stdout.fileno(), clock)
+    configure_rate_limited_logging(settings.log_level, sys.stdout.fileno(), clock)
     metrics = MemoryCounters()
-    messenger = NngMessenger(settings.inbox, draw_incarnation(), clock, metrics)
+    messenger = NngMessenger(settings.inbox, new_incarnation(), clock, metrics)
     store = KeyValueStore(settings.store, clock, metrics)
     control = HttpMinionControl(clock, metrics)
-    agent = DispatchAgent(
+    agent = ExecutorProcess(
         settings,
         clock,
         metrics,
@@ -39,9 +39,11 @@
         store,
         control,
         OPERATOR_KEYS.evacuations,
-        STARTED_MS,
+        PROCESS_STARTED_MS,
+    )
+    reports = WebServer(
+        MinionReportsApplication(agent.executor, metrics), settings.minion_listen, clock
     )
-    reports = WebServer(Reports(agent.executor, metrics), settings.minion_listen, clock)
     pages = serve_metrics(metrics, "executor", settings.domain, settings.metrics_listen, clock)
     agent.serve([reports, *pages])
     return agent
--- a/geraniumspool/platform/ingress.py
+++ b/geraniumspool/platform/ingress.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from geraniumspool.connection import CONNECTION, UNATTACHED
+from geraniumspool.connection import CONNECTION_KEY, NO_CONNECTION
 from geraniumspool.contracts import Counters
 from geraniumspool.job_router import JobRouter, RoutedJob
 from geraniumspool.job_specs import JobOutcome, JobResult, JobSpec, StepSpec
 from geraniumspool.queues import Queue, QueueConfiguration
 from geraniumspool.reply import Reply, reply_json, reply_problem
-from geraniumspool.rooms import Room
+from geraniumspool.rooms import Resources
 from geraniumspool.routes import Request, Route
 from geraniumspool.units import MS_PER_SECOND
-from geraniumspool.web import Application
+from geraniumspool.web import WebApplication
 
 _LOG = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
     times: int = 0
 
 
-class Ingress(Application):
+class Ingress(WebApplication):
     """WSGI application that submits, cancels and counts callers' jobs.
 
     Paths begin with a queue's prefix, which only the configuration knows, so that requests
@@ -91,7 +91,7 @@
         self._configuration = configuration
 
     def dispatch(self, environ: dict[str, Any], body: bytes) -> Reply:
-        """Answer one request; see :meth:`geraniumspool.web.Application.dispatch`."""
+        """Answer one request; see :meth:`geraniumspool.web.WebApplication.dispatch`."""
         table = self._configuration.table
         if table is None:
             return _refuse(503, "configuration_unknown", MS_PER_SECOND)
@@ -123,23 +123,23 @@
         except msgspec.MsgspecError as error:
             return reply_problem(400, "invalid_input", str(error))
         spec = _job_spec(job_id, job_body, queue)
-        wait_ms = _parse_wait(environ.get("HTTP_DEADLINE_MS"))
-        submitted = self._router.submit(spec, queue, wait_ms, version)
+        timeout_ms = _parse_wait(environ.get("HTTP_DEADLINE_MS"))
+        submitted = self._router.submit(spec, queue, timeout_ms, version)
         if not isinstance(submitted, JobResult):
             submitted = self._wait_for_result(environ, submitted)
         return _reply(submitted)
 
     def _wait_for_result(self, environ: dict[str, Any], job: RoutedJob) -> JobResult:
         """Wait for a job's result; the job is left if its caller closes the connection."""
-        connection = environ.get(CONNECTION, UNATTACHED)
-        unwatch = connection.watch_caller(lambda: self._router.leave_job(job))
+        connection = environ.get(CONNECTION_KEY, NO_CONNECTION)
+        unwatch = connection.watch_disconnect(lambda: self._router.remove_waiter(job))
         try:
             return self._router.wait(job)
         finally:
             unwatch()
 
 
-class ReadyCheck(Application):
+class ReadyCheck(WebApplication):
     """WSGI application that tells a load balancer whether to send new connections here."""
 
     def __init__(self, is_ready: Callable[[], bool], counters: Counters):
@@ -164,7 +164,7 @@
 def _step_spec(step: StepBody) -> StepSpec:
     return StepSpec(
         step.count,
-        Room(step.cpu, step.mem_mb, step.gpu),
+        Resources(step.cpu, step.mem_mb, step.gpu),
         step.estimate_ms,
         tuple(step.after),
         step.required_label,
@@ -199,11 +199,11 @@
     :param text: value of the ``Deadline-Ms`` header, None if there is none
     """
     try:
-        wait_ms = float(text or 0.0)
+        timeout_ms = float(text or 0.0)
     except ValueError:
         _LOG.info("invalid Deadline-Ms header", extra={"fields": (("text", text),)})
         return 0.0
-    return wait_ms if math.isfinite(wait_ms) and wait_ms > 0 else 0.0
+    return timeout_ms if math.isfinite(timeout_ms) and timeout_ms > 0 else 0.0
 
 
 def _reply(result: JobResult) -> Reply:
--- a/geraniumspool/replies.py
+++ b/geraniumspool/replies.py
@@ -27,7 +27,7 @@
     Peer,
 )
 from geraniumspool.roster import Roster
-from geraniumspool.windows import Windows
+from geraniumspool.windows import ForeignWindows
 
 DOCUMENT_BYTES = 16_384
 PUSHES_AT_ONCE = 16
@@ -57,7 +57,7 @@
     ):
         """Store the collaborators.
 
-        :param configuration: has ``revision`` and ``since(revision, limit_bytes)``
+        :param configuration: has ``revision`` and ``documents_after(revision, limit_bytes)``
         :param period_ms: returns the heartbeat period that agents should use
         :param generator: source of random numbers for samples of loads
         """
@@ -66,7 +66,7 @@
         self._clock = clock
         self._configuration = configuration
         self._period_ms = period_ms
-        self._windows = Windows(roster)
+        self._windows = ForeignWindows(roster)
         self._hints = Hints(roster, clock, generator)
         self._agents: dict[Peer, _AgentView] = {}
         self._push_timer = Timer(lambda: None)
@@ -80,15 +80,15 @@
         """The agents that send heartbeats to this entry."""
         return list(self._agents)
 
-    def send(self, sender: Peer, heartbeat: Heartbeat) -> None:
+    def reply(self, sender: Peer, heartbeat: Heartbeat) -> None:
         """Reply to a heartbeat."""
         self._messenger.send(sender, self._reply(sender, heartbeat))
 
-    def ask_again(self, sender: Peer) -> None:
+    def request_full_state(self, sender: Peer) -> None:
         """Ask an agent to send a heartbeat with its full state."""
         self._messenger.send(sender, self._make(again=True))
 
-    def push(self) -> None:
+    def push_configuration(self) -> None:
         """Send new configuration to the agents in small batches.
 
         This does not block: a timer sends the batches after the first.
@@ -96,23 +96,23 @@
         self._push_timer.cancel()
         self._push(deque(self._agents))
 
-    def documents(self, revision: int) -> tuple[Document, ...]:
+    def next_documents(self, revision: int) -> tuple[Document, ...]:
         """Return the next documents for a process whose configuration is at a revision."""
         if revision >= self._configuration.revision:
             return ()
-        return tuple(self._configuration.since(revision, DOCUMENT_BYTES))
+        return tuple(self._configuration.documents_after(revision, DOCUMENT_BYTES))
 
-    def served_revisions(self) -> dict[str, int]:
+    def lowest_agent_revisions(self) -> dict[str, int]:
         """Return the lowest configuration revision of this entry's agents, per failure domain."""
         lowest: dict[str, int] = {}
         for peer, view in self._agents.items():
             member = self._roster.get(peer)
-            if member and not is_final(member) and not self._roster.sighting(peer).claimed:
+            if member and not is_final(member) and not self._roster.origin(peer).is_claimed:
                 revision = lowest.get(member.domain, view.config_revision)
                 lowest[member.domain] = min(revision, view.config_revision)
         return lowest
 
-    def has_guests(self) -> bool:
+    def has_foreign_agents(self) -> bool:
         """Return whether agents of other failure domains send heartbeats to this entry."""
         members = map(self._roster.get, self._agents)
         return any(member and member.domain != self._roster.domain for member in members)
@@ -120,10 +120,10 @@
     def prune(self) -> None:
         """Remove agents that are gone or send their heartbeats to another entry."""
         for peer in list(self._agents):
-            if self._roster.is_gone(peer) or not self._roster.sighting(peer).direct:
+            if self._roster.is_gone(peer) or not self._roster.origin(peer).is_direct:
                 del self._agents[peer]
 
-    def forget_rings(self) -> None:
+    def reset_windows(self) -> None:
         """Discard the hash rings, which still contain members that the roster has removed."""
         self._windows.clear()
 
@@ -134,7 +134,7 @@
             view = self._agents.get(peer)
             if view is None or view.config_revision >= self._configuration.revision:
                 continue
-            documents = self.documents(view.config_revision)
+            documents = self.next_documents(view.config_revision)
             self._messenger.send(peer, self._make(documents=documents))
             sent += 1
         if remaining:
@@ -146,7 +146,7 @@
         version = heartbeat.roster_version
         whole = heartbeat.roster_entry == 0 or not self._roster.covers(version)
         is_leaving = is_final(member) or member.state == MEMBER_LEAVING
-        documents = self.documents(heartbeat.config_revision)
+        documents = self.next_documents(heartbeat.config_revision)
         if whole and is_leaving:
             return self._make(documents=documents)
         old_window = frozenset() if whole else view.known_window
@@ -203,7 +203,7 @@
                 for m in members
                 if is_always_included(m) or (m.address in window and not is_final(m))
             )
-        changed = self._roster.since(version)
+        changed = self._roster.changes_since(version)
         selected = [
             m
             for m in changed
--- a/tests/test_binding.py
+++ b/tests/test_binding.py
@@ -28,7 +28,7 @@
     def __init__(self, clock):
         """Derive the time from another clock."""
         self.now = clock.now
-        self.wall = lambda: clock.wall() - CLOCK_SKEW_MS
+        self.wall_ms = lambda: clock.wall_ms() - CLOCK_SKEW_MS
 
 
 class BindingTest(unittest.TestCase):
@@ -43,13 +43,15 @@
 
     def key(self, text: str, age_ms: float = 0.0) -> IdempotencyKey:
         """Return a key whose timestamp is ``age_ms`` in the past."""
-        return IdempotencyKey(text, int(self.clock.wall() - age_ms))
+        return IdempotencyKey(text, int(self.clock.wall_ms() - age_ms))
 
     def test_key(self):
         """A key is a UUID of version 7 with a timestamp; any other text is refused."""
         text = make_key(1_700_000_000_123)
         self.assertEqual(parse_key(text.upper()), (text, 1_700_000_000_123))
-        self.assertEqual(parse_key("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").made_ms, 0x17F22E279B0)
+        self.assertEqual(
+            parse_key("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").created_ms, 0x17F22E279B0
+        )
         self.assertNotEqual(make_key(0), make_key(0))
         foreign = "c" * 36, "1ec9414c-232a-6b00-b3c8-9f6bdeced846", "{" + text + "}", "k" * 300
         for wrong in ("order-17", "", text[:-1], text.replace("-", ""), *foreign):
@@ -130,7 +132,7 @@
             eventlet.spawn(binding.bind, "t", self.key("k"), f"ticket-{number}")
             for number, binding in enumerate(bindings)
         ]
-        self.clock.settle()
+        self.clock.run_ready_threads()
         self.assertEqual(len({task.wait() for task in tasks}), 1)
 
     def test_answer_lost(self):
--- a/tests/test_dispatch_storm.py
+++ b/tests/test_dispatch_storm.py
@@ -10,9 +10,9 @@
 from geraniumspool.clock import ManualClock
 from geraniumspool.job_specs import JobOutcome
 from geraniumspool.memory_minion import MemoryMinion
-from geraniumspool.rooms import Room
-from tests.dispatch_world import DispatchWorld, Home, Worker, make_spec
-from tests.storm_callers import EarlyCallers
+from geraniumspool.rooms import Resources
+from tests.dispatch_world import DispatchWorld, SimulatedDispatcher, SimulatedWorker, make_spec
+from tests.storm_callers import ResendingCallers
 
 # The last four guard against tasks that run twice: a dispatcher that resumed from a pause started
 # tasks of a forwarded job although the caller's dispatcher had given it up, or the caller's
@@ -98,9 +98,9 @@
     :ivar actions: pairs of time and description of what was done, to show on a failure
     :ivar violations: descriptions of failed checks
     :ivar jobs: specification, dispatcher and caller of each job by id; None for jobs that
-        :class:`EarlyCallers` handles
+        :class:`ResendingCallers` handles
     :ivar resubmissions: pairs of due time and specification of jobs to resubmit
-    :ivar thaws: pairs of due time and dispatcher to resume
+    :ivar resumptions: pairs of due time and dispatcher to resume
     :ivar minion_starts: pairs of due time and minion to start anew
     :ivar replacements: pairs of due time and index of the dispatcher to replace
     """
@@ -126,7 +126,7 @@
         # In storms with odd seeds one dispatcher owns all workers.
         self.world = DispatchWorld(
             workers=4,
-            homes=3,
+            dispatchers=3,
             group_workers=4 if seed % 2 else 2,
             domains=DOMAINS if evacuates else DOMAINS[:1],
             evacuation_ms=EVACUATION_MS,
@@ -140,16 +140,16 @@
         self.crashing = set()
         self.resubmitted = set()
         self.resubmissions = []
-        self.thaws = []
+        self.resumptions = []
         self.minion_starts = []
         self.steps = 0
-        self.callers = EarlyCallers(self)
+        self.callers = ResendingCallers(self)
         self.replacements = []
         # A generator of its own, so that actions don't depend on the number of messages.
         self.message_draw = random.Random(f"{seed} messages")
         self.message_faults = (0.0, 0.0, 0.0)
         if returns_early:
-            self.world.network.draw_delays = self.draw_delays
+            self.world.network.choose_delays = self.choose_delays
             for worker in self.world.workers:
                 worker.minion.stop_ms = self.draw.choice(STOPS_MS)
 
@@ -165,8 +165,8 @@
             self.heal,
             self.crash_minion,
             self.replace_executor,
-            self.kill_home,
-            self.freeze_home,
+            self.kill_dispatcher,
+            self.pause_dispatcher,
             self.silence_minion,
             self.mute_minion,
         )
@@ -179,14 +179,14 @@
         if self.returns_early:
             actions += (self.callers.hang_up,) * 6 + (self.submit_twice,) * 3
             actions += (self.change_message_faults,) * 2 + (
-                self.kill_all_homes,
+                self.kill_all_dispatchers,
                 self.change_stop_time,
             )
         for _ in range(EARLY_STEPS if self.returns_early else STEPS):
             if self.draw.random() < ACTION_SHARE:
                 self.draw.choice(actions)()
             self.step()
-        self.calm()
+        self.end_faults()
         for _ in range((EARLY_REST_MS if self.returns_early else REST_MS) // self.step_ms):
             self.step()
         if self.returns_early:
@@ -202,26 +202,28 @@
         if self.steps % (REPORT_MS // self.step_ms) == 0:
             for worker in self.world.workers:
                 if not worker.minion.is_down:
-                    eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
+                    eventlet.spawn_n(
+                        worker.executor.handle_minion_report, worker.minion.incarnation
+                    )
         now = self.world.clock.now()
         for due_ms, spec in [entry for entry in self.resubmissions if entry[0] <= now]:
             self.resubmissions.remove((due_ms, spec))
             self.resubmitted.add(spec.job_id)
             self.submit_anywhere(spec)
-        for due_ms, home in [entry for entry in self.thaws if entry[0] <= now]:
-            self.thaws.remove((due_ms, home))
-            self.thaw_home(home)
+        for due_ms, dispatcher in [entry for entry in self.resumptions if entry[0] <= now]:
+            self.resumptions.remove((due_ms, dispatcher))
+            self.resume_dispatcher(dispatcher)
         for due_ms, minion in [entry for entry in self.minion_starts if entry[0] <= now]:
             self.minion_starts.remove((due_ms, minion))
-            minion.reborn(f"{minion.life.instance}+")
+            minion.restart_renamed(f"{minion.incarnation.instance}+")
         if self.returns_early:
-            self.replace_homes(now)
+            self.replace_dispatchers(now)
             self.callers.step()
-        duplicates = self.world.running_twice()
+        duplicates = self.world.find_duplicate_runs()
         if duplicates:
             self.violations.append(f"{now}: tasks run twice: {sorted(duplicates)}")
         for worker in self.world.workers:
-            if worker.minion.crowded:
+            if worker.minion.overcommitted_runs:
                 self.violations.append(f"{now}: {worker.name} exceeds its capacity")
         self.check_evacuations(now)
 
@@ -235,7 +237,7 @@
         name = f"j{len(self.jobs)}"
         self.jobs[name] = None
         spec = make_spec(name, 2, 3_000, self.draw.choice(RUNS_MS), declared_ms=300)
-        self.callers.hand_in_twice(spec)
+        self.callers.submit_twice(spec)
         self.note(f"{name} submitted to two dispatchers")
 
     def submit_crashing(self):
@@ -245,9 +247,9 @@
 
     def resize_minion(self):
         worker = self.pick_worker()
-        worker.minion.resize(Room(self.draw.choice(MINION_CPUS), 10_000))
-        eventlet.spawn_n(worker.executor.take_life, worker.minion.life)
-        self.note(f"{worker.name} resized to CPU {worker.minion.life.room.cpu}")
+        worker.minion.resize(Resources(self.draw.choice(MINION_CPUS), 10_000))
+        eventlet.spawn_n(worker.executor.handle_minion_report, worker.minion.incarnation)
+        self.note(f"{worker.name} resized to CPU {worker.minion.incarnation.resources.cpu}")
 
     def evacuate(self):
         if self.evacuated_ms and self.draw.random() < 0.5:
@@ -259,13 +261,16 @@
         self.note(f"evacuated {domains}")
 
     def cut_off(self):
-        members = [*self.world.homes, *self.world.workers]
+        members = [*self.world.dispatchers, *self.world.workers]
         # Mostly keep dispatchers cut off for longer: while none of them knows the evacuated
         # domains, only executors enforce the evacuation.
-        if any(home.is_cut_off for home in self.world.homes) and self.draw.random() < 0.7:
+        if (
+            any(dispatcher.is_cut_off for dispatcher in self.world.dispatchers)
+            and self.draw.random() < 0.7
+        ):
             return
-        homes = self.world.homes
-        chosen = self.draw.choice((homes, homes, self.draw.sample(members, 3), []))
+        dispatchers = self.world.dispatchers
+        chosen = self.draw.choice((dispatchers, dispatchers, self.draw.sample(members, 3), []))
         for member in members:
             member.is_cut_off = member in chosen
         self.note(
@@ -294,11 +299,13 @@
     def submit_anywhere(self, spec):
         if self.returns_early:
             self.jobs[spec.job_id] = None
-            self.callers.hand_in(spec)
+            self.callers.submit(spec)
             return
-        home = self.draw.choice([home for home in self.world.homes if not self.is_frozen(home)])
-        caller = home.submit(spec, wait_ms=5_000.0)
-        self.jobs[spec.job_id] = (spec, home, caller)
+        dispatcher = self.draw.choice(
+            [dispatcher for dispatcher in self.world.dispatchers if not self.is_paused(dispatcher)]
+        )
+        caller = dispatcher.submit(spec, timeout_ms=5_000.0)
+        self.jobs[spec.job_id] = (spec, dispatcher, caller)
 
     def pick_worker(self):
         return self.draw.choice(self.world.workers)
@@ -312,32 +319,34 @@
 
     def lose_calls(self):
         worker = self.pick_worker()
-        worker.minion.loss = self.draw.choice(LOSSES)
-        self.note(f"{worker.name} loses a share of {worker.minion.loss} of the minion's calls")
+        worker.minion.loss_probability = self.draw.choice(LOSSES)
+        self.note(
+            f"{worker.name} loses a share of {worker.minion.loss_probability} of the minion's calls"
+        )
 
     def part(self):
-        home = self.draw.choice(self.world.homes)
-        other_homes = [other for other in self.world.homes if other is not home]
-        peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_homes)])
-        pair = self.draw.sample([home.address, peer.address], 2)
-        self.world.network.cut.add(tuple(pair))
+        dispatcher = self.draw.choice(self.world.dispatchers)
+        other_dispatchers = [other for other in self.world.dispatchers if other is not dispatcher]
+        peer = self.draw.choice([self.pick_worker(), self.draw.choice(other_dispatchers)])
+        pair = self.draw.sample([dispatcher.address, peer.address], 2)
+        self.world.network.partitioned.add(tuple(pair))
         if self.draw.random() < 0.5:
-            self.world.network.cut.add(tuple(reversed(pair)))
+            self.world.network.partitioned.add(tuple(reversed(pair)))
         self.note(f"network cut {pair}")
 
     def heal(self):
         self.world.network.heal()
         for worker in self.world.workers:
-            worker.minion.silent = worker.minion.mute = False
+            worker.minion.is_silent = worker.minion.loses_answers = False
 
     def silence_minion(self):
         worker = self.pick_worker()
-        worker.minion.silent = True
+        worker.minion.is_silent = True
         self.note(f"{worker.name} silent")
 
     def mute_minion(self):
         worker = self.pick_worker()
-        worker.minion.mute = True
+        worker.minion.loses_answers = True
         self.note(f"{worker.name} mute")
 
     def crash_minion(self):
@@ -345,8 +354,8 @@
         if self.keeps_names and self.draw.random() < 0.5:
             worker.minion.restart()
         else:
-            worker.minion.reborn(f"{worker.minion.life.instance}+")
-        self.note(f"{worker.name} crashes, now {worker.minion.life.instance}")
+            worker.minion.restart_renamed(f"{worker.minion.incarnation.instance}+")
+        self.note(f"{worker.name} crashes, now {worker.minion.incarnation.instance}")
 
     def leave_minion(self):
         worker = self.pick_worker()
@@ -355,13 +364,13 @@
             return
         run_on_ms = self.draw.choice(RUN_ON_MS)
         minion.leave(run_on_ms)
-        life = minion.life
+        incarnation = minion.incarnation
         if self.draw.random() < 0.5:
             # The last report is lost in half of the cases.
-            eventlet.spawn_n(worker.executor.take_life, life)
+            eventlet.spawn_n(worker.executor.handle_minion_report, incarnation)
         if self.draw.random() < 0.5:
-            minion.refuses = True
-        worker.executor.lose_life(life.instance, life.started_unix_ms)
+            minion.refuses_connections = True
+        worker.executor.handle_minion_departure(incarnation.instance, incarnation.started_unix_ms)
         self.minion_starts.append((self.world.clock.now() + run_on_ms + REPLACEMENT_GAP_MS, minion))
         self.note(f"{worker.name} deregisters and keeps running for {run_on_ms} ms")
 
@@ -369,8 +378,8 @@
         worker = self.pick_worker()
         worker.kill()
         index = self.world.workers.index(worker)
-        incarnation = worker.messenger.me.incarnation + 1
-        self.world.workers[index] = Worker(
+        incarnation = worker.messenger.local_peer.incarnation + 1
+        self.world.workers[index] = SimulatedWorker(
             self.world,
             worker.name,
             incarnation,
@@ -380,72 +389,76 @@
         )
         self.note(f"executor of {worker.name} replaced")
 
-    def is_frozen(self, home):
-        return any(frozen is home for _, frozen in self.thaws)
+    def is_paused(self, dispatcher):
+        return any(paused is dispatcher for _, paused in self.resumptions)
 
-    def freeze_home(self):
-        home = self.draw.choice(self.world.homes)
-        if self.thaws or not self.is_up(home) or home.address in self.world.network.frozen:
+    def pause_dispatcher(self):
+        dispatcher = self.draw.choice(self.world.dispatchers)
+        if (
+            self.resumptions
+            or not self.is_up(dispatcher)
+            or dispatcher.address in self.world.network.held_messages
+        ):
             return
-        self.world.network.freeze(home.address)
-        home.freeze()
-        self.thaws.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), home))
-        self.note(f"{home.address} paused")
+        self.world.network.pause(dispatcher.address)
+        dispatcher.pause()
+        self.resumptions.append((self.world.clock.now() + self.draw.choice(FROZEN_MS), dispatcher))
+        self.note(f"{dispatcher.address} paused")
         if self.returns_early:
-            self.callers.desert(home)
+            self.callers.leave_frozen(dispatcher)
 
-    def thaw_home(self, home):
-        home.thaw()
+    def resume_dispatcher(self, dispatcher):
+        dispatcher.resume()
         network = self.world.network
         if not self.returns_early:
-            network.thaw(home.address)
+            network.resume(dispatcher.address)
             return
-        self.note(f"{home.address} resumes")
+        self.note(f"{dispatcher.address} resumes")
         delay_ms = self.draw.choice((0, READS_LATE_MS))
-        self.world.clock.after(delay_ms, lambda: network.thaw(home.address))
-        self.callers.thaw(home)
+        self.world.clock.after(delay_ms, lambda: network.resume(dispatcher.address))
+        self.callers.resume(dispatcher)
 
-    def kill_home(self):
-        index = self.draw.randrange(len(self.world.homes))
-        old = self.world.homes[index]
-        if self.is_frozen(old) or not self.is_up(old):
+    def kill_dispatcher(self):
+        index = self.draw.randrange(len(self.world.dispatchers))
+        old = self.world.dispatchers[index]
+        if self.is_paused(old) or not self.is_up(old):
             return
         old.kill()
         if self.returns_early:
             self.replacements.append((self.world.clock.now() + self.draw.choice(DOWN_MS), index))
             self.note(f"{old.address} killed")
-            self.callers.lose(old)
+            self.callers.resend_after_crash(old)
             return
-        self.replace_home(index)
+        self.replace_dispatcher(index)
         due_ms = self.world.clock.now() + RESEND_MS
-        for spec, home, caller in self.jobs.values():
-            if home is old and caller.result is None:
+        for spec, dispatcher, caller in self.jobs.values():
+            if dispatcher is old and caller.result is None:
                 self.resubmissions.append((due_ms, spec))
         self.note(f"{old.address} replaced")
 
-    def kill_all_homes(self):
+    def kill_all_dispatchers(self):
         """Kill all dispatchers at once, including paused ones."""
         due_ms = self.world.clock.now() + self.draw.choice(DOWN_MS)
-        self.thaws.clear()
-        for index, home in enumerate(self.world.homes):
-            self.world.network.frozen.pop(home.address, None)
-            if self.is_up(home):
-                home.kill()
+        self.resumptions.clear()
+        for index, dispatcher in enumerate(self.world.dispatchers):
+            self.world.network.held_messages.pop(dispatcher.address, None)
+            if self.is_up(dispatcher):
+                dispatcher.kill()
                 self.replacements.append((due_ms, index))
         self.note("all dispatchers killed")
-        for home in self.world.homes:
-            self.callers.lose(home)
+        for dispatcher in self.world.dispatchers:
+            self.callers.resend_after_crash(dispatcher)
 
-    def replace_homes(self, now):
+    def replace_dispatchers(self, now):
         for due_ms, index in [entry for entry in self.replacements if entry[0] <= now]:
             self.replacements.remove((due_ms, index))
-            self.replace_home(index)
-            self.note(f"{self.world.homes[index].address} replaced")
+            self.replace_dispatcher(index)
+            self.note(f"{self.world.dispatchers[index].address} replaced")
 
-    def replace_home(self, index):
-        old = self.world.homes[index]
-        name = old.messenger.me.address.removeprefix("tcp://")
-        self.world.homes[index] = Home(
+    def replace_dispatcher(self, index):
+        old = self.world.dispatchers[index]
+        name = old.messenger.local_peer.address.removeprefix("tcp://")
+        self.world.dispatchers[index] = SimulatedDispatcher(
             self.world,
             name,
             len(self.actions) + 2,
@@ -453,11 +466,13 @@
             is_cut_off=old.is_cut_off,
         )
 
-    def is_up(self, home):
+    def is_up(self, dispatcher):
         """Return whether a dispatcher process exists; it may be paused."""
         down = {index for _, index in self.replacements}
         return any(
-            other is home for index, other in enumerate(self.world.homes) if index not in down
+            other is dispatcher
+            for index, other in enumerate(self.world.dispatchers)
+            if index not in down
         )
 
     def change_stop_time(self):
@@ -471,11 +486,11 @@
         )
         self.note(f"messages lost, duplicated, delayed: {self.message_faults}")
 
-    def draw_delays(self, sender, receiver):
+    def choose_delays(self, sender, receiver):
         """Return the delay of each copy of a message; only dispatchers' messages are disturbed."""
         delay_ms = self.world.network.delay_ms
-        homes = {home.address for home in self.world.homes}
-        if not {sender, receiver} <= homes:
+        dispatchers = {dispatcher.address for dispatcher in self.world.dispatchers}
+        if not {sender, receiver} <= dispatchers:
             return (delay_ms,)
         loss_share, duplicate_share, extra_ms = self.message_faults
         if self.message_draw.random() < loss_share:
@@ -483,30 +498,30 @@
         copies = 2 if self.message_draw.random() < duplicate_share else 1
         return [delay_ms + self.message_draw.uniform(0, extra_ms) for _ in range(copies)]
 
-    def calm(self):
+    def end_faults(self):
         """End all faults."""
         self.heal()
         if self.returns_early:
             self.calm_early()
-        for member in (*self.world.homes, *self.world.workers):
+        for member in (*self.world.dispatchers, *self.world.workers):
             member.is_cut_off = False
         self.world.evacuate()
         self.evacuated_ms = {}
         for worker in self.world.workers:
-            worker.minion.loss = 0.0
+            worker.minion.loss_probability = 0.0
 
     def calm_early(self):
         self.message_faults = (0.0, 0.0, 0.0)
         now = self.world.clock.now()
-        self.replace_homes(max((due for due, _ in self.replacements), default=now))
-        for _, home in self.thaws:
-            self.thaw_home(home)
-        self.thaws.clear()
+        self.replace_dispatchers(max((due for due, _ in self.replacements), default=now))
+        for _, dispatcher in self.resumptions:
+            self.resume_dispatcher(dispatcher)
+        self.resumptions.clear()
         self.note("end of faults")
-        self.callers.calm()
+        self.callers.end_faults()
 
     def check_answers(self):
-        for name, (spec, _home, caller) in self.jobs.items():
+        for name, (spec, _dispatcher, caller) in self.jobs.items():
             if caller.result is None:
                 self.violations.append(f"{name}: caller got no result")
             elif caller.outcome is JobOutcome.SUCCEEDED:
@@ -516,7 +531,7 @@
 
     def check_refusal(self, name, spec):
         for index in range(spec.steps[0].count):
-            if self.world.started(f"{name}.0.0.{index}"):
+            if self.world.start_count(f"{name}.0.0.{index}"):
                 self.violations.append(f"{name}: refused, but task {index} was started")
 
     def check_crashes(self):
@@ -533,7 +548,7 @@
 
     def check_success(self, name, spec):
         for index in range(spec.steps[0].count):
-            if not self.world.started(f"{name}.0.0.{index}"):
+            if not self.world.start_count(f"{name}.0.0.{index}"):
                 self.violations.append(f"{name}: succeeded, but task {index} was never started")
 
 
@@ -589,6 +604,6 @@
     def test_lost_calls_are_reproducible_by_seed(self):
         minions = [MemoryMinion(ManualClock(), seed=7) for _ in range(2)]
         for minion in minions:
-            minion.loss = 0.5
+            minion.loss_probability = 0.5
         draws = [[minion._random.random() for _ in range(5)] for minion in minions]
         self.assertEqual(*draws)
--- a/tests/test_domain_evacuation.py
+++ b/tests/test_domain_evacuation.py
@@ -24,12 +24,14 @@
         self.revision = 0
 
     def change(self, domain, evacuated):
-        desk = self.world.entries[0].application.desk
+        configuration_changes = self.world.entries[0].application.configuration_changes
         body = json.dumps({"evacuated": evacuated}).encode()
         name = f"c{self.revision}"
 
         def propose():
-            receipt = desk.propose(f"domain/{domain}", body, self.revision, name, "bat", "power")
+            receipt = configuration_changes.apply_change(
+                f"domain/{domain}", body, self.revision, name, "bat", "power"
+            )
             self.revision = receipt.revision
 
         eventlet.spawn(propose)
@@ -46,7 +48,9 @@
     def submit_all(self, runs=(80.0,) * 6):
         """Submit a job to each agent as its home; return the calls."""
         entry = self.world.entries[1]
-        return [self.world.submit(entry, self.world.job(home, runs)) for home in self.world.agents]
+        return [
+            self.world.submit(entry, self.world.make_job(home, runs)) for home in self.world.agents
+        ]
 
     def outcomes(self, calls):
         return {call.outcome for call in calls}
@@ -96,9 +100,11 @@
             slots = agent.application.runner.slots
             described = agent.application.describe()
             stale_member = described._replace(load=described.load._replace(slots=slots, free=slots))
-            home.application.roster.observe(stale_member._replace(version=stale_member.version + 1))
+            home.application.roster.apply_indirect(
+                stale_member._replace(version=stale_member.version + 1)
+            )
         calls = [
-            self.world.submit(self.world.entries[1], self.world.job(home, (150.0,) * 8))
+            self.world.submit(self.world.entries[1], self.world.make_job(home, (150.0,) * 8))
             for _ in range(2)
         ]
         self.world.run(5_000)
@@ -121,13 +127,13 @@
     def test_evacuation_is_in_the_audit_trail_and_the_decisions(self):
         self.change("d0", True)
         self.change("d0", False)
-        desk = self.world.entries[1].application.desk
+        configuration_changes = self.world.entries[1].application.configuration_changes
         trail = []
-        eventlet.spawn(lambda: trail.append(desk.history("domain/d0")))
+        eventlet.spawn(lambda: trail.append(configuration_changes.history("domain/d0")))
         self.world.run(100)
         self.assertEqual(["bat", "bat"], [record.who for record in trail[0].records])
         agent = self.agents_of("d0")[0].application
-        codes = [decision.code for decision in agent.decisions.about("d0")]
+        codes = [decision.code for decision in agent.decisions.list_by_subject("d0")]
         self.assertEqual([DOMAIN_EVACUATED, DOMAIN_RESTORED], codes)
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -24,7 +24,7 @@
 
     def note_failures(self, times=20):
         for _ in range(times):
-            self.health.note(False, 1.0, "task_failed")
+            self.health.record_outcome(False, 1.0, "task_failed")
 
     def test_ejection(self):
         cases = [
@@ -38,12 +38,12 @@
                 self.setUp()
                 self.may_eject = may_eject
                 for ok in outcomes:
-                    self.health.note(ok, 1.0, "" if ok else "task_failed")
+                    self.health.record_outcome(ok, 1.0, "" if ok else "task_failed")
                 self.assertEqual(self.health.is_ejected, expected)
 
     def test_refused_connections_eject_before_enough_outcomes(self):
         for _ in range(4):
-            self.health.note(False, 1.0, NotStarted.code)
+            self.health.record_outcome(False, 1.0, NotStarted.code)
         self.assertTrue(self.health.is_ejected)
 
     def test_probe_and_restore(self):
@@ -60,7 +60,7 @@
         self.clock.advance(PROBE_AFTER_MS)
         for _ in range(PROBES_TO_RESTORE):
             self.assertTrue(self.health.admits(0))
-            self.health.note(True, 50.0, "")
+            self.health.record_outcome(True, 50.0, "")
         self.assertFalse(self.health.is_ejected)
 
 
@@ -80,10 +80,10 @@
                 world = World(domains=1, agents=agents, slots=8)
                 self.addCleanup(world.stop)
                 for process in world.agents[:bad]:
-                    process.minion.inner.script(fault)
+                    process.minion.inner.inject_fault(fault)
                 for _ in range(8):
                     for process in world.agents:
-                        world.submit(world.entries[0], world.job(process, (100.0,) * 4))
+                        world.submit(world.entries[0], world.make_job(process, (100.0,) * 4))
                     world.run(600.0)
                 healths = [process.application.health for process in world.agents]
                 self.assertEqual(sum(health.is_ejected for health in healths), expected)
--- a/tests/test_job_fences.py
+++ b/tests/test_job_fences.py
@@ -4,11 +4,11 @@
 
 from geraniumspool.claim_messages import FenceJobs, JobsFenced
 from geraniumspool.counters import MemoryCounters
-from geraniumspool.job_fences import FENCE_MS
+from geraniumspool.job_fences import FENCE_LIFETIME_MS
 from geraniumspool.link import MemoryMessenger
 from geraniumspool.messages import Peer
 from geraniumspool.run_messages import FENCED, RUN_STOPPED
-from tests.dispatch_world import DispatchWorld, Worker, make_spec
+from tests.dispatch_world import DispatchWorld, SimulatedWorker, make_spec
 
 JOB, TASK = "j", "j.0.0.0"
 RANK = 100
@@ -43,11 +43,11 @@
 
     def request_fence(self, messenger=None, rank=RANK, job_id=JOB):
         self.results.clear()
-        peer = Peer(self.worker.address, self.worker.messenger.me.incarnation)
+        peer = Peer(self.worker.address, self.worker.messenger.local_peer.incarnation)
         (messenger or self.requester).send(peer, FenceJobs((job_id,), rank))
 
     def start_run(self):
-        request = self.world.home.place(make_spec(JOB, run_ms=RUN_MS))
+        request = self.world.dispatcher.submit_locally(make_spec(JOB, run_ms=RUN_MS))
         self.world.clock.advance(30)
         self.assertIn(TASK, self.worker.minion.running)
         return request
@@ -63,7 +63,7 @@
         while not self.results:
             self.world.clock.advance(1)
         self.assertEqual(set(), self.worker.minion.running)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_request_is_answered_at_once_while_runs_are_being_stopped(self):
         self.start_run()
@@ -82,7 +82,7 @@
     def test_a_fence_refuses_runs_of_another_dispatcher(self):
         self.request_fence()
         self.world.clock.advance(5)
-        self.world.home.place(make_spec(JOB, run_ms=RUN_MS))
+        self.world.dispatcher.submit_locally(make_spec(JOB, run_ms=RUN_MS))
         self.world.clock.advance(10)
         refused = self.worker.counters.get("runs_refused", reason=FENCED)
         self.assertEqual(1, refused)
@@ -90,10 +90,10 @@
     def test_a_refused_dispatcher_that_holds_the_claim_runs_the_job_in_the_end(self):
         self.request_fence()
         self.world.clock.advance(5)
-        request = self.world.home.place(make_spec(JOB, run_ms=RUN_MS))
+        request = self.world.dispatcher.submit_locally(make_spec(JOB, run_ms=RUN_MS))
         self.world.clock.advance(RUN_MS + 200)
         self.assertEqual("succeeded", request.outcome.value)
-        self.assertEqual(1, self.world.started(TASK))
+        self.assertEqual(1, self.world.start_count(TASK))
 
     def test_a_fence_is_replaced_by_one_of_higher_rank_only(self):
         second = self.connect("late")
@@ -110,7 +110,7 @@
         self.start_run()
         minion = self.worker.minion
         self.worker.kill()
-        self.worker = self.world.workers[0] = Worker(
+        self.worker = self.world.workers[0] = SimulatedWorker(
             self.world, self.worker.name, 2, minion, fence=100_000
         )
         self.request_fence()
@@ -119,20 +119,28 @@
         self.assertEqual(set(), minion.running)
 
     def test_a_run_that_relies_on_an_unknown_or_lower_fence_is_refused(self):
-        self.assertTrue(self.worker.executor.fences.shuts_out(self.requester.me, TASK, RANK))
-        self.assertFalse(self.worker.executor.fences.shuts_out(self.requester.me, TASK, 0))
+        self.assertTrue(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, RANK)
+        )
+        self.assertFalse(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, 0)
+        )
         self.request_fence()
         self.world.clock.advance(5)
-        self.assertFalse(self.worker.executor.fences.shuts_out(self.requester.me, TASK, RANK))
-        self.assertTrue(self.worker.executor.fences.shuts_out(self.requester.me, TASK, RANK + 1))
+        self.assertFalse(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, RANK)
+        )
+        self.assertTrue(
+            self.worker.executor.job_fences.excludes(self.requester.local_peer, TASK, RANK + 1)
+        )
 
     def test_a_fence_expires(self):
         self.request_fence()
         self.world.clock.advance(5)
         other = Peer("tcp://other", 1)
-        self.assertTrue(self.worker.executor.fences.shuts_out(other, TASK, 0))
-        self.world.clock.advance(FENCE_MS)
-        self.assertFalse(self.worker.executor.fences.shuts_out(other, TASK, 0))
+        self.assertTrue(self.worker.executor.job_fences.excludes(other, TASK, 0))
+        self.world.clock.advance(FENCE_LIFETIME_MS)
+        self.assertFalse(self.worker.executor.job_fences.excludes(other, TASK, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_joined_callers.py
+++ b/tests/test_joined_callers.py
@@ -20,7 +20,7 @@
     def setUp(self):
         self.world = DispatchWorld(1, 2, group_workers=1)
         self.addCleanup(self.world.close)
-        self.entry, self.owner = self.world.homes
+        self.entry, self.owner = self.world.dispatchers
         if not isinstance(self.entry.submit(make_spec("probe")).job, ForwardedJob):
             self.entry, self.owner = self.owner, self.entry
         self.advance(WAIT_MS)
@@ -38,7 +38,7 @@
         self.entry.submit(make_spec("k", run_ms=RUN_MS))
         second = self.owner.submit(self.spec)
         self.advance(LISTED_MS)
-        self.entry.router.leave_job(self.first.job)
+        self.entry.router.remove_waiter(self.first.job)
         self.advance(WAIT_MS)
         self.assertIs(JobOutcome.SUCCEEDED, second.outcome)
 
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -18,8 +18,8 @@
 from geraniumspool.documents import DEFAULT_SERVICE, DEFAULT_TEAM, parse_document
 from geraniumspool.idempotency import parse_key
 from geraniumspool.settings import AgentSettings, EntrySettings, check_file
-from geraniumspool.submission import parse_submission, parse_ticket_order
-from tests.small import point_commands
+from geraniumspool.submission import parse_submission, parse_ticket_request
+from tests.small import direct_commands_to
 
 ROOT = Path(__file__).parent.parent
 EXAMPLES = ROOT / "examples"
@@ -27,7 +27,9 @@
 OPERATIONS = ROOT / "docs" / "OPERATIONS.md"
 TRIAL_MODULES = frozenset({"standin_store", "standin_minion", "demo", "load", "workload"})
 CODE = re.compile(r"[a-z]+(?:_[a-z]+)+|internal")
-CODE_CALLS = frozenset({"reply_problem", "_refuse", "NoAnswer", "Verdict", "Answer"})
+CODE_CALLS = frozenset(
+    {"reply_problem", "_refuse", "_reject", "NoAnswer", "AdmissionDecision", "Answer"}
+)
 PROGRAM = "geraniumspool"
 OUTCOMES = frozenset({"not_run", "may_have_run"})
 
@@ -111,7 +113,7 @@
         before = os.getcwd()
         os.chdir(EXAMPLES / "batbayar")
         self.addCleanup(os.chdir, before)
-        point_commands(self, "h:1", "t")
+        direct_commands_to(self, "h:1", "t")
 
     def test_commands_in_code_blocks_parse(self):
         checked = 0
@@ -230,7 +232,7 @@
     """Check a JSON example with the parser that its keys point to."""
     value = json.loads(text)
     if "count" in value:
-        parse_ticket_order(text.encode())
+        parse_ticket_request(text.encode())
     elif "tasks" in value:
         parse_submission(text.encode())
     elif "url" in value:
--- a/tests/test_platform_ingress.py
+++ b/tests/test_platform_ingress.py
@@ -12,7 +12,7 @@
 from geraniumspool.memory_minion import MemoryMinion
 from geraniumspool.platform.configuration import decode_configuration
 from geraniumspool.platform.ingress import Ingress, ReadyCheck
-from geraniumspool.platform.reports import Reports
+from geraniumspool.platform.reports import MinionReportsApplication
 from geraniumspool.queues import QueueConfiguration
 from geraniumspool.webserver import WebServer
 from tests.dispatch_world import DispatchWorld, make_guard
@@ -69,7 +69,7 @@
     def setUp(self):
         self.world = DispatchWorld(2)
         self.addCleanup(self.world.close)
-        self.dispatcher = self.world.home.dispatcher
+        self.dispatcher = self.world.dispatcher.dispatcher
         self.configuration = QueueConfiguration()
         ingress = Ingress(self.dispatcher, self.configuration, MemoryCounters())
         self.server = WebServer(ingress, "127.0.0.1:0", SystemClock())
@@ -80,7 +80,7 @@
 
     def configure(self, **changes):
         document = json.dumps(CONFIGURATION | changes).encode()
-        return self.configuration.take(decode_configuration(document))
+        return self.configuration.apply(decode_configuration(document))
 
     def run_clock(self):
         """Advance the world's clock in the background until the test ends."""
@@ -209,7 +209,9 @@
         counters = MemoryCounters()
         guard = make_guard(clock, counters)
         self.executor = Executor(clock, self.minion, lambda *_: True, counters, "north", 1, guard)
-        self.server = WebServer(Reports(self.executor, MemoryCounters()), "127.0.0.1:0", clock)
+        self.server = WebServer(
+            MinionReportsApplication(self.executor, MemoryCounters()), "127.0.0.1:0", clock
+        )
         self.server.start()
         self.addCleanup(self.server.stop)
         self.http = urllib3.PoolManager(retries=False)
@@ -229,7 +231,7 @@
             "room": {"cpu": 16000, "mem_mb": 32768, "gpu": 0},
             "labels": ["a", "r1-3"],
             "seq": 4,
-            "born": self.minion.life.started_unix_ms,
+            "born": self.minion.incarnation.started_unix_ms,
             "machine": "m-1",
         }
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/heartbeat", body))
@@ -242,7 +244,7 @@
         self.post("/instances/i-7f3a91c2/heartbeat", body | {"seq": 4})
         eventlet.sleep(0.05)
         self.assertFalse(self.executor.state().accepts)
-        earlier = {"born": self.minion.life.started_unix_ms - 1}
+        earlier = {"born": self.minion.incarnation.started_unix_ms - 1}
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/deregister", earlier))
         self.assertEqual("i-7f3a91c2", self.executor.state().instance)
         self.assertEqual(400, self.post("/instances/i-7f3a91c2/deregister", {"born": "x"}))
@@ -260,7 +262,7 @@
             "state": "ready",
             "room": {"cpu": 16000, "mem_mb": 32768},
             "seq": 4,
-            "born": self.minion.life.started_unix_ms,
+            "born": self.minion.incarnation.started_unix_ms,
         }
         self.assertEqual(200, self.post("/instances/i-7f3a91c2/heartbeat", body))
         wait_until(lambda: self.executor.state().instance)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,7 +23,7 @@
 )
 from geraniumspool.registry import Registry
 from geraniumspool.replies import PUSHES_AT_ONCE
-from geraniumspool.revisions import FAR_ROUNDS, SILENT_ROUNDS, TOLD_ROUNDS
+from geraniumspool.revisions import FOREIGN_DIGEST_ROUNDS, FORWARDED_ROUNDS, UNREACHABLE_ROUNDS
 from geraniumspool.roster import Roster
 from geraniumspool.windows import FOREIGN_MEMBERS
 from tests.test_heartbeat import FakeConfiguration, RecordingMessenger
@@ -50,7 +50,7 @@
         service = "fitting" if role == "agent" else ""
         incarnation = incarnation or (1 << 60) + number
         self.member = Member(address, incarnation, domain, role, "ready", service)
-        self.me = peer_of(self.member)
+        self.local_peer = peer_of(self.member)
         self.paused = False
         self.demand = (("opticians", 1.0, 2.0),)
         self.roster = Roster(network.clock, domain)
@@ -69,10 +69,10 @@
             self.component = Heartbeater(
                 *common, lambda: self.member, self.configuration, PERIOD_MS
             )
-        network.processes[self.me] = self
+        network.processes[self.local_peer] = self
 
     def send(self, peer, message):
-        data = messages.encode(self.me, peer.incarnation, message)
+        data = messages.encode(self.local_peer, peer.incarnation, message)
         self.network.queue.append((self, peer, data))
         return True
 
@@ -80,20 +80,20 @@
         if isinstance(self.component, Registry):
             self.component.run_round()
         else:
-            self.component.beat()
+            self.component.send_heartbeat()
 
     def receive(self, delivery):
         if isinstance(delivery.message, Heartbeat):
-            self.component.take_heartbeat(delivery.sender, delivery.message)
+            self.component.handle_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, ShortHeartbeat):
-            self.component.take_short_heartbeat(delivery.sender, delivery.message)
+            self.component.handle_short_heartbeat(delivery.sender, delivery.message)
         elif isinstance(delivery.message, HeartbeatReply):
-            self.component.take_reply(delivery.sender, delivery.message)
+            self.component.handle_reply(delivery.sender, delivery.message)
         else:
-            self.component.take_digest(delivery.sender, delivery.message)
+            self.component.handle_digest(delivery.sender, delivery.message)
 
     def get_state(self, process):
-        member = self.roster.get(process.me)
+        member = self.roster.get(process.local_peer)
         return member.state if member else None
 
 
@@ -112,11 +112,11 @@
         while self.queue:
             source, peer, data = self.queue.pop(0)
             target = self.processes.get(peer)
-            self.bytes[source.me] += len(data)
-            self.count[source.me] += 1
+            self.bytes[source.local_peer] += len(data)
+            self.count[source.local_peer] += 1
             domains = frozenset({source.member.domain, target.member.domain}) if target else None
             if target and not target.paused and domains not in self.partitions:
-                self.bytes[target.me] += len(data)
+                self.bytes[target.local_peer] += len(data)
                 target.receive(messages.decode(data))
 
     def run(self, rounds):
@@ -131,7 +131,7 @@
         entries = [p for p in self.processes.values() if p.member.role == "entry"]
         for process in self.processes.values():
             for entry in entries:
-                process.roster.observe(entry.member)
+                process.roster.apply_indirect(entry.member)
 
 
 class FleetTest(unittest.TestCase):
@@ -154,14 +154,14 @@
     def check_states(self, process, expected):
         for other in self.running_processes():
             if other is not process:
-                self.assertEqual(other.get_state(process), expected, other.me.address)
+                self.assertEqual(other.get_state(process), expected, other.local_peer.address)
 
     def entry_of(self, agent):
         return self.network.processes[agent.component.target]
 
     def test_all_processes_know_all_others(self):
         for process in self.running_processes():
-            others = {agent.me for agent in self.agents} - {process.me}
+            others = {agent.local_peer for agent in self.agents} - {process.local_peer}
             self.assertEqual(set(map(peer_of, process.roster.agents("fitting"))), others)
             self.assertEqual(len(process.roster.entries()), 4)
 
@@ -178,7 +178,7 @@
 
     def test_new_incarnation_at_an_old_address(self):
         old = self.agents[0]
-        del self.network.processes[old.me]
+        del self.network.processes[old.local_peer]
         new = self.add(10, "north", "agent", incarnation=5)
         self.network.introduce()
         self.network.run(4)
@@ -219,15 +219,15 @@
         """This includes entries that receive no digests from the other domain directly."""
         self.network.partitions.add(frozenset({"north", "south"}))
         for rounds, known in (
-            (SILENT_ROUNDS - FAR_ROUNDS, False),
-            (FAR_ROUNDS + TOLD_ROUNDS, True),
+            (UNREACHABLE_ROUNDS - FOREIGN_DIGEST_ROUNDS, False),
+            (FOREIGN_DIGEST_ROUNDS + FORWARDED_ROUNDS, True),
         ):
             self.network.run(rounds)
             for process in self.running_processes():
                 near = {m.domain for m in process.roster.agents("fitting")}
-                self.assertEqual(near == {process.member.domain}, known, process.me.address)
+                self.assertEqual(near == {process.member.domain}, known, process.local_peer.address)
         self.network.partitions.clear()
-        self.network.run(FAR_ROUNDS + 1)
+        self.network.run(FOREIGN_DIGEST_ROUNDS + 1)
         self.assertEqual({p.roster.unreachable for p in self.running_processes()}, {frozenset()})
 
     def test_no_member_is_declared_dead_in_a_partition_between_domains(self):
@@ -235,9 +235,9 @@
         self.network.partitions.add(frozenset({"north", "south"}))
         self.network.run(330)
         for process in self.running_processes():
-            others = {other.me for other in self.running_processes()} - {process.me}
+            others = {other.local_peer for other in self.running_processes()} - {process.local_peer}
             ready = {peer_of(m) for m in process.roster.members() if m.state == "ready"}
-            self.assertEqual(ready - {process.me}, others)
+            self.assertEqual(ready - {process.local_peer}, others)
         self.agents[5].member = self.agents[5].member._replace(state="ejected")
         self.network.run(2)
         self.assertEqual(self.agents[0].get_state(self.agents[5]), "ready")
@@ -251,7 +251,7 @@
         self.network.introduce()
         self.network.run(6)
         other_entries = self.entries[2:]
-        for rounds in (1, FAR_ROUNDS, SILENT_ROUNDS, 3 * SILENT_ROUNDS):
+        for rounds in (1, FOREIGN_DIGEST_ROUNDS, UNREACHABLE_ROUNDS, 3 * UNREACHABLE_ROUNDS):
             with self.subTest(rounds=rounds):
                 self.network.partitions.add(frozenset({"north", "south"}))
                 for agent in agents:
@@ -260,7 +260,7 @@
                     agent.member = old._replace(state=state, version=old.version + 1)
                 self.network.run(rounds)
                 self.network.partitions.clear()
-                self.network.run(FAR_ROUNDS + 3)
+                self.network.run(FOREIGN_DIGEST_ROUNDS + 3)
                 for entry in other_entries:
                     known = {entry.get_state(agent) for agent in agents}
                     self.assertEqual(known, {agents[0].member.state})
@@ -291,7 +291,7 @@
     def test_departure_is_known_to_all_entries_at_once(self):
         agent = self.agents[0]
         agent.member = agent.member._replace(state="left", archive="tcp://10.0.0.12:7000")
-        agent.component.beat_now()
+        agent.component.send_to_all_entries()
         self.network.deliver()
         for entry in self.entries:
             self.assertEqual(entry.get_state(agent), "left")
@@ -307,22 +307,26 @@
         self.network.run(5)
         self.assertEqual([p.roster.version for p in self.running_processes()], versions)
         for process in self.running_processes():
-            loads = [m.load for m in process.roster.agents("fitting") if peer_of(m) != process.me]
+            loads = [
+                m.load for m in process.roster.agents("fitting") if peer_of(m) != process.local_peer
+            ]
             self.assertEqual(set(loads), {load})
 
     def test_configuration_reaches_all_and_is_reported(self):
         self.entries[3].configuration.apply([Document("team/opticians", 9, b"{}")])
-        self.assertEqual(self.entries[3].component.in_force(), {"north": 0, "south": 0})
+        self.assertEqual(
+            self.entries[3].component.get_revisions_in_force(), {"north": 0, "south": 0}
+        )
         self.network.run(6)
         for process in self.running_processes():
             self.assertEqual(process.configuration.revision, 9)
         for entry in self.entries:
-            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 9})
+            self.assertEqual(entry.component.get_revisions_in_force(), {"north": 9, "south": 9})
         self.agents[0].paused = True
         self.entries[0].configuration.apply([Document("team/opticians", 11, b"{}")])
         self.network.run(5)
         for entry in self.entries:
-            self.assertEqual(entry.component.in_force(), {"north": 9, "south": 11})
+            self.assertEqual(entry.component.get_revisions_in_force(), {"north": 9, "south": 11})
 
     def test_starting_agent_has_all_batches_of_configuration_at_once(self):
         documents = [Document(f"team/{number}", number, b"{}") for number in range(1, 9)]
@@ -330,15 +334,15 @@
             entry.configuration.apply(documents)
         self.network.run(2 * len(documents))
         for entry in self.entries:
-            whole = entry.configuration.since
-            entry.configuration.since = lambda *limits, whole=whole: whole(*limits)[:2]
+            whole = entry.configuration.documents_after
+            entry.configuration.documents_after = lambda *limits, whole=whole: whole(*limits)[:2]
         agent = self.add(16, "north", "agent")
         self.network.introduce()
         self.network.count.clear()
         agent.step()
         self.network.deliver()
         self.assertEqual(agent.configuration.revision, len(documents))
-        self.assertEqual(self.network.count[agent.me], len(documents) // 2)
+        self.assertEqual(self.network.count[agent.local_peer], len(documents) // 2)
 
     def test_configuration_is_pushed_without_waiting_for_heartbeats(self):
         for entry in self.entries[:2]:
@@ -352,7 +356,7 @@
         self.network.run(6)
         totals = Counter()
         for entry in self.entries:
-            for report in entry.component.peers_demand():
+            for report in entry.component.get_peer_demand():
                 totals[report.demand] += 1
         one, both = (("opticians", 1.0, 2.0),), (("opticians", 2.0, 4.0),)
         self.assertEqual(totals[one], 4)
@@ -375,16 +379,18 @@
                 self.network.run(lost)
                 self.network.partitions.clear()
                 self.network.run(rounds)
-                told = {report.entry: report.demand for report in first.component.peers_demand()}
-                self.assertEqual(told[second.me], demand)
+                told = {report.entry: report.demand for report in first.component.get_peer_demand()}
+                self.assertEqual(told[second.local_peer], demand)
 
     def test_idle_fleet_sends_one_heartbeat_a_period_and_few_digests(self):
         self.network.count.clear()
         self.network.run(10)
         for agent in self.agents:
-            self.assertEqual(self.network.count[agent.me], 10)
-        digests = sum(self.network.count[e.me] for e in self.entries) - 10 * len(self.agents)
-        self.assertEqual(digests, 10 * 4 + 10 // FAR_ROUNDS * 2)
+            self.assertEqual(self.network.count[agent.local_peer], 10)
+        digests = sum(self.network.count[e.local_peer] for e in self.entries) - 10 * len(
+            self.agents
+        )
+        self.assertEqual(digests, 10 * 4 + 10 // FOREIGN_DIGEST_ROUNDS * 2)
 
 
 class BudgetTest(unittest.TestCase):
@@ -398,9 +404,9 @@
             domain = ("north", "south", "east")[number % 3]
             agent = Process(network, number + 10, domain, "agent").member
             load = Load(8, generator.randrange(9), generator.randrange(3), generator.random())
-            entry.roster.observe(agent._replace(load=load))
+            entry.roster.apply_indirect(agent._replace(load=load))
         agents = [p for p in network.processes.values() if p.member.domain == "north"][1:]
-        network.processes = {process.me: process for process in [entry, *agents]}
+        network.processes = {process.local_peer: process for process in [entry, *agents]}
         network.introduce()
         network.run(1)
         period_ms = entry.component.period_ms
@@ -414,7 +420,7 @@
             changed_agent = agents[round_number]
             changed_agent.member = changed_agent.member._replace(state="ejected")
             network.run(1)
-        worst = max(network.bytes[agent.me] for agent in agents) / 3
+        worst = max(network.bytes[agent.local_peer] for agent in agents) / 3
         self.assertLess(worst / (PERIOD_MS / 1_000), BUDGET_BYTES_PER_S)
 
 
@@ -444,7 +450,7 @@
         member = member._replace(load=Load(backlog_ms=backlog_ms))
         self.messenger.sent.clear()
         heartbeat = Heartbeat(member, entry, version, revision)
-        self.registry.take_heartbeat(peer_of(member), heartbeat)
+        self.registry.handle_heartbeat(peer_of(member), heartbeat)
         return self.messenger.sent[-1][1] if self.messenger.sent else None
 
     def test_full_roster_or_changes(self):
@@ -489,10 +495,25 @@
         source = Peer("tcp://127.0.0.1:2", 2)
         cases = (
             ("no member", lambda: None, 3, True),
-            ("the current state", lambda: self.roster.hear(agent), 3, False),
-            ("an older state", lambda: self.roster.hear(agent._replace(version=2)), 3, True),
-            ("reported by another process", lambda: self.roster.relay(agent, source), 3, True),
-            ("a dead member", lambda: self.roster.observe(agent._replace(state="dead")), 3, True),
+            ("the current state", lambda: self.roster.apply_direct(agent), 3, False),
+            (
+                "an older state",
+                lambda: self.roster.apply_direct(agent._replace(version=2)),
+                3,
+                True,
+            ),
+            (
+                "reported by another process",
+                lambda: self.roster.apply_relayed(agent, source),
+                3,
+                True,
+            ),
+            (
+                "a dead member",
+                lambda: self.roster.apply_indirect(agent._replace(state="dead")),
+                3,
+                True,
+            ),
         )
         for name, prepare, version, again in cases:
             with self.subTest(name):
@@ -500,16 +521,16 @@
                 prepare()
                 self.clock.advance(PERIOD_MS)
                 beat = ShortHeartbeat(version, self.roster.version, 0, load)
-                self.registry.take_short_heartbeat(peer, beat)
+                self.registry.handle_short_heartbeat(peer, beat)
                 reply = self.messenger.sent[-1][1]
                 self.assertEqual((reply.again, reply.roster_version == 0), (again, again))
                 if not again:
                     self.assertEqual(self.roster.get(peer), agent._replace(load=load))
-                    self.assertEqual(self.roster.sighting(peer).heard_ms, self.clock.now())
+                    self.assertEqual(self.roster.origin(peer).heard_ms, self.clock.now())
 
     def test_heartbeat_with_another_sender_is_ignored(self):
         member = Member("tcp://127.0.0.1:9", 9, "north", "agent", "ready", "f")
-        self.registry.take_heartbeat(Peer("tcp://127.0.0.1:8", 8), Heartbeat(member, 0, 0, 0))
+        self.registry.handle_heartbeat(Peer("tcp://127.0.0.1:8", 8), Heartbeat(member, 0, 0, 0))
         self.assertEqual(self.messenger.sent, [])
         self.assertIsNone(self.roster.find_incarnation(9))
 
@@ -517,12 +538,12 @@
         """If a reply is lost, the next one repeats the changes of the agent's window."""
         for number in range(2 * FOREIGN_MEMBERS):
             foreign = Member(f"tcp://10.0.0.{number}:1", 500 + number, "south", "agent", "ready")
-            self.roster.observe(foreign)
+            self.roster.apply_indirect(foreign)
         known = {m.address: m for m in self.send_heartbeat(entry=0).members}
         version = self.roster.version
         for number in range(2 * FOREIGN_MEMBERS):
             new = Member(f"tcp://10.0.1.{number}:1", 900 + number, "south", "agent", "ready")
-            self.roster.observe(new)
+            self.roster.apply_indirect(new)
         lost = self.send_heartbeat(version=version)
         again = self.send_heartbeat(version=version)
         self.assertEqual((again.members, again.released), (lost.members, lost.released))
@@ -538,7 +559,7 @@
             member = Member(
                 f"tcp://10.0.0.{number}:1", 500 + number, "north", "agent", "ready", "f"
             )
-            self.roster.observe(member._replace(load=Load(8, 8 if number < 20 else 0)))
+            self.roster.apply_indirect(member._replace(load=Load(8, 8 if number < 20 else 0)))
         replies = [self.send_heartbeat(entry=0).loads for _ in range(5)]
         for loads in replies:
             self.assertEqual(len({incarnation for _, incarnation, _ in loads}), HINTS_PER_REPLY)
@@ -549,7 +570,7 @@
 
     def test_digest_with_another_sender_is_ignored(self):
         other = Member("tcp://127.0.0.1:2", 2, "north", "entry", "ready")
-        self.registry.take_digest(Peer(other.address, 3), Digest(other, True, (), (), (), 0, ()))
+        self.registry.handle_digest(Peer(other.address, 3), Digest(other, True, (), (), (), 0, ()))
         self.assertIsNone(self.roster.find_incarnation(2))
 
 
--- a/tests/test_runner.py
+++ b/tests/test_runner.py
@@ -12,8 +12,8 @@
 from geraniumspool.health import PROBES_TO_RESTORE, Health
 from geraniumspool.messages import Offer, OfferedTask, Peer, Results, Revoke, Revoked
 from geraniumspool.minion import Fault, FaultKind, MemoryMinionClient
-from geraniumspool.pace import SLOW, Pace
-from geraniumspool.runner import RESERVE_MS, Runner
+from geraniumspool.pace import SLOW_LATENESS, SlownessDetector
+from geraniumspool.runner import RESERVATION_MS, Runner
 from tests.world import ProcessClock
 
 ME = Peer("tcp://127.0.0.1:7001", 1)
@@ -26,8 +26,8 @@
 class Outbox:
     """A messenger that records the messages sent."""
 
-    def __init__(self, me: Peer):
-        self.me = me
+    def __init__(self, local_peer: Peer):
+        self.local_peer = local_peer
         self.sent = []
 
     def send(self, peer, message) -> bool:
@@ -64,15 +64,15 @@
         self.outbox = Outbox(ME)
         counters = MemoryCounters()
         self.runner = Runner(self.outbox, clock, self.client, counters, self.health, 2.0, HOLD_MS)
-        self.runner.announce(minion)
+        self.runner.set_minion(minion)
 
     def offer(self, *tasks, floor=1, more=False, home=HOME):
-        self.runner.take_offer(home, Offer(floor, tasks, more))
-        self.clock.settle()
+        self.runner.handle_offer(home, Offer(floor, tasks, more))
+        self.clock.run_ready_threads()
 
     def revoke(self, *offers, floor=1, stop=False, home=HOME) -> Revoked:
-        self.runner.take_revoke(home, Revoke(floor, offers, stop))
-        self.clock.settle()
+        self.runner.handle_revoke(home, Revoke(floor, offers, stop))
+        self.clock.run_ready_threads()
         return self.outbox.take(Revoked)[-1]
 
     def results(self) -> list[list[int]]:
@@ -106,9 +106,9 @@
 
     def test_lost_result(self):
         """A result that was dropped is reported as lost, not as not started."""
-        limit = runners.KEPT_RESULT_BYTES
-        self.addCleanup(setattr, runners, "KEPT_RESULT_BYTES", limit)
-        runners.KEPT_RESULT_BYTES = 10
+        limit = runners.MAX_KEPT_RESULT_BYTES
+        self.addCleanup(setattr, runners, "MAX_KEPT_RESULT_BYTES", limit)
+        runners.MAX_KEPT_RESULT_BYTES = 10
         self.offer(make_task(1))
         self.clock.advance(500.0)
         answer = self.revoke(1)
@@ -173,8 +173,8 @@
 
     def test_connection_refused(self):
         """Only a refused connection proves that the task has not started."""
-        self.client.script(Fault(FaultKind.REFUSE), "1.1")
-        self.client.script(Fault(FaultKind.SILENT), "1.2")
+        self.client.inject_fault(Fault(FaultKind.REFUSE), "1.1")
+        self.client.inject_fault(Fault(FaultKind.SILENT), "1.2")
         self.offer(make_task(1), make_task(2))
         self.assertEqual(self.refusals(), {1: "minion_refused_connection"})
         self.clock.advance(9_500.0)
@@ -220,7 +220,7 @@
         self.offer(make_task(20, job=3, run_ms=10.0))
         self.clock.advance(70.0)
         self.assertEqual(self.client.running, 3)
-        self.clock.advance(RESERVE_MS + 100.0)
+        self.clock.advance(RESERVATION_MS + 100.0)
         self.offer(*(make_task(number, any_slot=False) for number in range(30, 36)))
         self.assertEqual(self.client.running, 4)
 
@@ -240,7 +240,7 @@
         self.offer(make_task(3), floor=2)
         self.clock.advance(500.0)
         self.results()
-        self.runner.repeat_results()
+        self.runner.resend_results()
         self.assertEqual(self.results(), [[2, 3]])
 
 
@@ -269,13 +269,18 @@
             ("ejection limit reached", silent, {"may_eject": lambda: False}, ""),
             ("ejection turned off", silent, {"failure_share": lambda: 1.0}, ""),
             ("twice as slow", Fault(slow_factor=2.0), {}, ""),
-            ("as slow as all others", silent, {"pace": Pace(lambda: 2 * SLOW)}, ""),
+            (
+                "as slow as all others",
+                silent,
+                {"slowness": SlownessDetector(lambda: 2 * SLOW_LATENESS)},
+                "",
+            ),
         )
         for name, fault, health, code in cases:
             with self.subTest(case=name):
                 self.setUp()
                 self.make(MINION._replace(slots=8), **health)
-                self.client.script(fault)
+                self.client.inject_fault(fault)
                 self.assertEqual(self.offer_tasks(20), 8)
                 self.clock.advance(950.0)
                 queued = range(9, 21)
@@ -284,7 +289,7 @@
 
     def test_one_hanging_task(self):
         """A single hanging task does not eject the minion while others end in time."""
-        self.client.script(Fault(FaultKind.SILENT), "1.1")
+        self.client.inject_fault(Fault(FaultKind.SILENT), "1.1")
         for _ in range(40):
             self.assertGreater(self.offer_tasks(2), 0)
             self.clock.advance(200.0)
@@ -292,7 +297,7 @@
 
     def test_stopped_tasks_are_not_late(self):
         """Tasks that the dispatcher stopped in time do not raise the lateness."""
-        self.client.script(Fault(slow_factor=10.0))
+        self.client.inject_fault(Fault(slow_factor=10.0))
         for number in range(1, 41):
             self.offer_tasks(1)
             self.clock.advance(140.0)
@@ -302,7 +307,7 @@
 
     def test_queue_is_returned_after_failures(self):
         """Queued tasks are also refused if the minion is ejected for failures."""
-        self.client.script(Fault(FaultKind.FAIL))
+        self.client.inject_fault(Fault(FaultKind.FAIL))
         self.offer_tasks(20)
         self.clock.advance(110.0)
         self.assertEqual(self.refusals(), dict.fromkeys(range(13, 21), runners.REFUSED_EJECTED))
@@ -313,7 +318,7 @@
 
         def run(*arguments):
             body = answer(*arguments)
-            clock.pass_gate()
+            clock.block_while_frozen()
             return body
 
         self.client.run = run
@@ -327,13 +332,13 @@
 
     def test_probes(self):
         """A late probe counts as failed; a minion that recovers is restored."""
-        self.client.script(Fault(slow_factor=10.0))
+        self.client.inject_fault(Fault(slow_factor=10.0))
         self.offer_tasks(8)
         self.clock.advance(3_000.0)
         self.assertEqual((self.offer_tasks(2), self.health.is_ejected), (1, True))
         self.clock.advance(1_500.0)
         self.assertEqual(self.offer_tasks(1), 0)
-        self.client.script(Fault())
+        self.client.inject_fault(Fault())
         self.clock.advance(2_000.0)
         for _ in range(PROBES_TO_RESTORE):
             self.assertTrue(self.health.is_ejected)
